--- a/mallowpass/core/proxy/connections.py
+++ b/mallowpass/core/proxy/connections.py
@@ -95,7 +95,7 @@
         It serves `customer`, None: whichever. `own_only` leaves out those by way of
         other hosts.
         """
-        if self._shares.has_its_part(endpoint, customer):
+        if self._shares.is_customer_at_limit(endpoint, customer):
             return None
         idle = [
             connection
@@ -135,13 +135,13 @@
         most = OPENING_MAX if customer is None else OPENING_FOR_CUSTOMERS_MAX
         if len(opening) >= most or any(_is_for(c, customer) for c in opening):
             return True
-        if not self._holders.known:
+        if not self._holders.are_hosts_known:
             return bool(opening)
-        if not self._shares.has_its_part(endpoint, customer):
+        if not self._shares.is_customer_at_limit(endpoint, customer):
             if customer is not None:
                 self._make_room(endpoint, customer)
-            if self._shares.may_open(endpoint, beyond_share):
-                self._open(endpoint, self._shares.way(endpoint), customer)
+            if self._shares.can_open(endpoint, beyond_share):
+                self._open(endpoint, self._shares.path(endpoint), customer)
                 return True
         lender = self._shares.lender(endpoint) if borrow else None
         if lender is not None:
@@ -168,7 +168,7 @@
 
         Not while the endpoint turns hosts away: none could be opened in its place.
         """
-        if self.now < endpoint.refused_until or not self._shares.is_taken_up(endpoint):
+        if self.now < endpoint.refused_until or not self._shares.is_exhausted(endpoint):
             return
         idle = [
             connection
@@ -272,7 +272,7 @@
             return
         endpoint = connection.endpoint
         if connection.holder:
-            self._holders.answered(connection.holder)
+            self._holders.mark_answered(connection.holder)
         if self._is_endpoints_answer(connection):
             endpoint.failures = 0
             endpoint.heard_at = self.now
@@ -341,13 +341,15 @@
         """
         endpoint = connection.endpoint
         if event.code is Code.UNREACHABLE:
-            self._holders.cannot_reach(connection.holder, endpoint)
+            self._holders.mark_unreachable(connection.holder, endpoint)
         else:
             silent = self._is_silent(connection, event)
-            self._holders.failed(connection.holder, silent)
+            self._holders.mark_failed(connection.holder, silent)
         if self._holders.holds(endpoint.entry.service):
             return True
-        left = self._holders.has_route(endpoint) or self._holders.is_cut_off(endpoint)
+        left = self._holders.has_usable_holder(endpoint) or self._holders.is_cut_off(
+            endpoint
+        )
         if not left:
             return False
         self._node.publish(ConnectionFreed(endpoint))
@@ -414,7 +416,7 @@
         if not connection.holder:
             return replace(reply, code=Code.OTHER)
         endpoint = connection.endpoint
-        self._holders.cannot_reach(connection.holder, endpoint)
+        self._holders.mark_unreachable(connection.holder, endpoint)
         for other in list(endpoint.connections.values()):
             if other.holder != connection.holder:
                 continue
--- a/mallowpass/core/proxy/currentconfiguration.py
+++ b/mallowpass/core/proxy/currentconfiguration.py
@@ -1,4 +1,4 @@
-"""The configuration in force at this host; it only ever moves to a higher version."""
+"""Maintain the configuration in force at this host; its version only increases."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class CurrentConfiguration(ProxySystem):
-    """Follow the configuration that operators accept."""
+    """Watch the configuration in the store, and put newer versions into force."""
 
     __slots__ = ("_unreadable",)
 
     def start(self) -> None:
-        """Follow the configuration's row."""
+        """Watch the configuration's row."""
         self._unreadable = UnreadableRows(self._node, "configuration_unreadable")
         self._node.system(Store).watch(Table.CONFIGURATION, self._on_rows)
 
@@ -28,7 +28,7 @@
                 self._unreadable.clear(row.key)
                 self._accept(row.value)
             elif isinstance(row.value, Unreadable):
-                # The last good one stays in force.
+                # The last valid configuration stays in force.
                 self._unreadable.note(row.key, row.value.reason)
 
     def _accept(self, configuration: Configuration) -> None:
--- a/mallowpass/core/proxy/deadconnections.py
+++ b/mallowpass/core/proxy/deadconnections.py
@@ -1,7 +1,9 @@
-"""Connections on which calls stay unanswered: another is tried, then they are closed.
+"""Detect connections on which calls get no reply.
 
-Something between the two ends may have lost track of a connection, or its endpoint is
-dark: nothing but the silence tells.
+A device between the two ends may have dropped the state of the connection, or the
+endpoint's machine may have failed. Neither closes the connection, so that missing
+replies are the only sign. First another connection is tried, then the dead one is
+closed.
 """
 
 from __future__ import annotations
@@ -12,48 +14,47 @@
 
 __all__ = ["DeadConnections"]
 
-# A connection silent for so long with calls in flight is closed: no statement may
-# run longer than its route's timeout, which is well below.
-SILENCE_MAX = 3.0
+# Seconds without a reply to calls in flight after which a connection is closed. The
+# statement timeouts of routes are well below.
+DEAD_TIMEOUT = 3.0
 
 
 class DeadConnections(ProxySystem):
-    """Watch for answers to the calls that were sent."""
+    """Check that calls get replies, and close connections on which they do not."""
 
     __slots__ = ("_connections",)
 
     def start(self) -> None:
-        """Subscribe to calls."""
+        """Subscribe to the sending of calls."""
         self._connections = self._node.system(Connections)
         self._node.subscribe(CallsSent, self._on_sent)
 
     def _on_sent(self, signal: CallsSent) -> None:
         connection = signal.connection
-        self.timers.after(RESPONSE_TIMEOUT, self._check_quiet, connection, self.now)
-        self.timers.after(SILENCE_MAX, self._check_silence, connection)
+        self.timers.after(RESPONSE_TIMEOUT, self._check_response, connection, self.now)
+        self.timers.after(DEAD_TIMEOUT, self._check_dead, connection)
 
-    def _check_quiet(self, connection: ConnectionRow, sent_at: float) -> None:
-        """Try a new connection to an endpoint that has answered nothing for a while.
+    def _check_response(self, connection: ConnectionRow, sent_at: float) -> None:
+        """Open another connection if the endpoint has sent no reply since `sent_at`.
 
-        One that is dark shows in nothing else but its silence. Waiting for statements
-        to become overdue takes nearly twice as long, at the worst of times.
+        If the endpoint's machine has failed, the attempt to connect shows it. Until a
+        statement counts as overdue takes nearly twice as long.
         """
         endpoint = connection.endpoint
-        answered = not connection.pending or connection.pending[0].sent_at > sent_at
-        if answered or connection.holder or endpoint.heard_at > sent_at:
+        replied = not connection.pending or connection.pending[0].sent_at > sent_at
+        if replied or connection.holder or endpoint.heard_at > sent_at:
             return
         if connection.number in self.tables.connections:
             self._connections.grow(endpoint, connection.customer, beyond_share=True)
 
-    def _check_silence(self, connection: ConnectionRow) -> None:
-        """Close a connection that went silent with calls in flight.
+    def _check_dead(self, connection: ConnectionRow) -> None:
+        """Close a connection whose oldest call in flight got no reply in time.
 
-        Something between the two ends may have lost track of it: no answer would
-        ever come, and each statement sent on it would wait for its timeout.
+        Otherwise each statement sent on it would wait for its timeout.
         """
         if connection.number not in self.tables.connections or not connection.pending:
             return
-        if self.now - connection.pending[0].sent_at < SILENCE_MAX:
+        if self.now - connection.pending[0].sent_at < DEAD_TIMEOUT:
             return
         self._node.log(
             "warning",
@@ -61,4 +62,4 @@
             endpoint=connection.endpoint.name,
             connection=connection.number,
         )
-        self._connections.close(connection, "it went silent")
+        self._connections.close(connection, "no reply to calls in flight")
--- a/mallowpass/core/proxy/draining.py
+++ b/mallowpass/core/proxy/draining.py
@@ -1,4 +1,4 @@
-"""When this host wants callers, and how it stops."""
+"""Control the readiness of this host, and its shutdown."""
 
 from __future__ import annotations
 
@@ -20,67 +20,69 @@
 
 __all__ = ["Draining"]
 
-# New callers still arrive until the balancer has noticed: it asks once a second and
-# takes a host out after two refusals.
-NOTICE_TIME = 2.2
-TRANSACTION_SHARE = 0.5  # of the grace period, for transactions that are open
+# Seconds after the start of a drain in which new callers still connect: the load
+# balancer probes a host once a second, and removes it after two failed probes.
+REMOVAL_DELAY = 2.2
+TRANSACTION_SHARE = 0.5  # fraction of the grace period that open transactions get
 EXIT_MARGIN = 0.3  # seconds before the end of the grace period
-LOOK = 0.1  # seconds between looks at whether all is finished
+CHECK_INTERVAL = 0.1  # seconds
 
 
 class Draining(ProxySystem):
-    """Own this host's readiness and its end."""
+    """Decide when this host is ready, drain it, and end it."""
 
     __slots__ = (
         "_began_at",
-        "_closed",
         "_connections",
+        "_grace_period",
         "_holders",
-        "_known_timer",
+        "_is_closed",
+        "_is_ready",
         "_links",
-        "_limit",
         "_members",
-        "_ready",
+        "_ready_timer",
         "_sessions",
     )
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
-        self._ready = False
-        self._closed = False  # to new callers
-        self._began_at: float | None = None
-        self._limit = 0.0
-        self._known_timer: Timer | None = None
+        self._is_ready = False
+        self._is_closed = False  # to new callers
+        self._began_at: float | None = None  # start of the drain
+        self._grace_period = 0.0  # seconds
+        self._ready_timer: Timer | None = None
 
     def start(self) -> None:
-        """Subscribe to what readiness depends on."""
+        """Subscribe to the signals on which readiness depends, and to the shutdown."""
         node = self._node
         self._connections = node.system(Connections)
         self._holders = node.system(Holders)
         self._links = node.system(Links)
         self._members = node.system(Members)
         self._sessions = node.system(Sessions)
-        node.subscribe(ConfigurationAccepted, self._on_learnt)
-        node.subscribe(EndpointChanged, self._on_endpoint)
-        node.subscribe(ShutdownRequested, self._on_shutdown)
+        node.subscribe(ConfigurationAccepted, self._check_ready)
+        node.subscribe(EndpointChanged, self._on_endpoint_changed)
+        node.subscribe(ShutdownRequested, self._on_shutdown_requested)
 
     # -- Starting ------------------------------------------------------------
 
-    def _on_endpoint(self, signal: EndpointChanged) -> None:
-        self._on_learnt(signal)
-        if self._ready:
-            self._warm(signal.endpoint)
+    def _on_endpoint_changed(self, signal: EndpointChanged) -> None:
+        self._check_ready(signal)
+        if self._is_ready:
+            self._warm_up(signal.endpoint)
 
-    def _on_learnt(self, signal: ConfigurationAccepted | EndpointChanged) -> None:
-        if self._ready or self._began_at is not None:
+    def _check_ready(self, signal: ConfigurationAccepted | EndpointChanged) -> None:
+        if self._is_ready or self._began_at is not None:
             return
         if self.tables.configuration is None or not self._members.known:
             return
-        if not self._holders.known:
-            if self._known_timer is None:
-                self._known_timer = self.timers.after(LOOK, self._look_again, signal)
+        if not self._holders.are_hosts_known:
+            if self._ready_timer is None:
+                self._ready_timer = self.timers.after(
+                    CHECK_INTERVAL, self._check_ready_again, signal
+                )
             return
-        self._ready = True
+        self._is_ready = True
         self._node.log(
             "info",
             "ready",
@@ -89,28 +91,33 @@
         )
         self._node.emit(SetReady(True))
         for endpoint in self.tables.endpoints.values():
-            self._warm(endpoint)
+            self._warm_up(endpoint)
 
-    def _look_again(self, signal: ConfigurationAccepted | EndpointChanged) -> None:
-        self._known_timer = None
-        self._on_learnt(signal)
+    def _check_ready_again(
+        self, signal: ConfigurationAccepted | EndpointChanged
+    ) -> None:
+        self._ready_timer = None
+        self._check_ready(signal)
 
-    def _warm(self, endpoint: EndpointRow) -> None:
+    def _warm_up(self, endpoint: EndpointRow) -> None:
+        """Open a first connection to an endpoint if this host is a holder.
+
+        Without it, the first statement would wait for a handshake, and a crash of the
+        endpoint would not be noticed before a statement.
+        """
         if not self._holders.holds(endpoint.entry.service):
             return
-        # The first statement would else wait for a handshake, and a crash would be
-        # noticed by callers first.
         if not endpoint.connections and not endpoint.is_leaving:
             self._connections.grow(endpoint)
 
     # -- Stopping ------------------------------------------------------------
 
-    def _on_shutdown(self, event: ShutdownRequested) -> None:
+    def _on_shutdown_requested(self, event: ShutdownRequested) -> None:
         if self._began_at is not None:
             return
         self._began_at = self.now
-        self._limit = event.limit
-        self._ready = False
+        self._grace_period = event.limit
+        self._is_ready = False
         self._node.log(
             "info",
             "draining",
@@ -119,25 +126,26 @@
         )
         self._node.emit(SetReady(False))
         self._node.publish(DrainBegan())
-        half = TRANSACTION_SHARE * event.limit
+        transaction_time = TRANSACTION_SHARE * event.limit
         why = "the host is stopping"
-        self.timers.after(half, self._sessions.abort_transactions, why)
-        self.timers.every(LOOK, self._look)
-
-    def _look(self) -> None:
-        waited = self.now - self._began_at
-        if waited >= self._limit - EXIT_MARGIN:
-            self._end("the grace period is over")
-        elif waited >= NOTICE_TIME:
-            if not self._closed:
-                # Callers that still come are better served by any other host.
-                self._closed = True
+        self.timers.after(transaction_time, self._sessions.abort_transactions, why)
+        self.timers.every(CHECK_INTERVAL, self._check_drain)
+
+    def _check_drain(self) -> None:
+        elapsed = self.now - self._began_at
+        if elapsed >= self._grace_period - EXIT_MARGIN:
+            self._exit("the grace period has ended")
+        elif elapsed >= REMOVAL_DELAY:
+            if not self._is_closed:
+                # The balancer has removed this host: callers that still connect
+                # are better served by any other host.
+                self._is_closed = True
                 self._node.emit(StopAccepting())
             self._sessions.close_idle()
             self._links.close_idle()
             if not self.tables.sessions and not self.tables.links:
-                self._end("all sessions have ended")
+                self._exit("all sessions have ended")
 
-    def _end(self, why: str) -> None:
+    def _exit(self, why: str) -> None:
         self._node.log("info", "stopped", why=why, sessions=len(self.tables.sessions))
         self._node.emit(Exit())
--- a/mallowpass/core/proxy/hosts.py
+++ b/mallowpass/core/proxy/hosts.py
@@ -1,4 +1,7 @@
-"""Which hosts share the endpoints' connections: each enters itself in the store."""
+"""Register this host in the store, and track the entries of all hosts.
+
+The hosts in the store divide the connections to endpoints among themselves.
+"""
 
 from __future__ import annotations
 
@@ -18,30 +21,30 @@
 
 __all__ = ["Hosts"]
 
-RETRY = 1.0  # seconds between attempts to enter this host
+RETRY_INTERVAL = 1.0  # seconds at most between attempts to register this host
 
 
 class Hosts(ProxySystem):
-    """Enter this host in the store, and know the others."""
+    """Register this host in the store, and maintain the table of hosts."""
 
     __slots__ = ("_store", "_unreadable")
 
     def start(self) -> None:
-        """Enter this host, and follow the entries of all."""
+        """Watch the hosts' entries; register this host if the fleet is new."""
         self._store = self._node.system(Store)
         self._unreadable = UnreadableRows(self._node, "host_entry_unreadable")
-        self.tables.hosts[self._node.identity.name] = self._own
+        self.tables.hosts[self._node.identity.name] = self._own_row
         if self.tables.first_start:
-            self._enter()
+            self._register()
         self._store.watch(Table.HOSTS, self._on_rows)
-        self._node.subscribe(DrainBegan, self._on_drain)
+        self._node.subscribe(DrainBegan, self._on_drain_began)
 
     @property
     def _key(self) -> RowKey:
         return RowKey(Table.HOSTS, "", self._node.identity.name)
 
     @property
-    def _own(self) -> HostRow:
+    def _own_row(self) -> HostRow:
         identity = self._node.identity
         return HostRow(
             identity.name,
@@ -50,25 +53,26 @@
             identity.capacity,
         )
 
-    def _is_own(self, row: Row) -> bool:
+    def _is_own_entry(self, row: Row) -> bool:
+        """Tell whether a row is this host's entry, and up to date."""
         return row.key.key == self._node.identity.name and row.value == (
-            self._own.encode()
+            self._own_row.encode()
         )
 
-    def _enter(self) -> None:
-        call = ChangeRows(puts=((self._key, self._own.encode()),))
-        self._store.call(call, self._on_entered)
+    def _register(self) -> None:
+        call = ChangeRows(puts=((self._key, self._own_row.encode()),))
+        self._store.call(call, self._on_registered)
 
-    def _on_entered(self, reply: StoreReply) -> None:
+    def _on_registered(self, reply: StoreReply) -> None:
         if reply.status is not StoreStatus.DONE:
-            pause = self._node.random.uniform(RETRY / 2, RETRY)
-            self.timers.after(pause, self._enter)
+            pause = self._node.random.uniform(RETRY_INTERVAL / 2, RETRY_INTERVAL)
+            self.timers.after(pause, self._register)
 
-    def _on_drain(self, signal: DrainBegan) -> None:
-        # Left in, the entry would keep connections from the others for ever.
-        self._store.call(ChangeRows(deletes=(self._key,)), self._on_left)
+    def _on_drain_began(self, signal: DrainBegan) -> None:
+        # If the entry stayed, connections would be assigned to this host for ever.
+        self._store.call(ChangeRows(deletes=(self._key,)), self._on_deregistered)
 
-    def _on_left(self, reply: StoreReply) -> None:
+    def _on_deregistered(self, reply: StoreReply) -> None:
         if reply.status is not StoreStatus.DONE:
             self._node.log("warning", "host_entry_left", why=reply.message)
 
@@ -76,19 +80,21 @@
         hosts = self.tables.hosts
         if complete:
             hosts.clear()
-            # Every change is told to all hosts. After a loss of power of all of them,
-            # each one's entry is still as it was.
-            if not any(self._is_own(row) for row in rows):
-                self._enter()
+            # The entry is written only if it is missing or outdated: each change is
+            # sent to all hosts, and after a loss of power of all hosts the entries are
+            # still in the store.
+            if not any(self._is_own_entry(row) for row in rows):
+                self._register()
         for row in rows:
-            self._take(row)
-        hosts[self._node.identity.name] = self._own
+            self._apply(row)
+        hosts[self._node.identity.name] = self._own_row
         self.tables.hosts_version += 1
 
-    def _take(self, row: Row) -> None:
-        """Take a host's entry; what is known of a host stays where it can't be read.
+    def _apply(self, row: Row) -> None:
+        """Update the table from a host's entry; ignore an entry that can't be read.
 
-        It holds its connections still. Without it, the others would open as many.
+        The host still has its connections. If it were removed from the table, other
+        hosts would open as many in addition.
         """
         name = row.key.key
         if isinstance(row.value, Unreadable):
--- a/mallowpass/core/proxy/idleconnections.py
+++ b/mallowpass/core/proxy/idleconnections.py
@@ -1,7 +1,7 @@
-"""Connections that nobody uses: closed, so that others find room at the endpoints.
+"""Close idle connections, to leave room at the endpoints for other hosts.
 
-An endpoint keeps the connections of hosts that lost power for seconds. Whatever stands
-idle then is missing to those that start in their place.
+An endpoint keeps the connections of hosts that lost power for seconds. Idle ones among
+them reduce the connections that the hosts can open when they start again.
 """
 
 from __future__ import annotations
@@ -18,63 +18,68 @@
 
 __all__ = ["IdleConnections"]
 
-# A connection that was idle for so long is closed if there are others.
-IDLE_MAX = 2.0  # seconds
-# The same for connections beyond half of this host's share. Where all hosts lose power,
-# successors are turned away for as long as the dead ones have over half of the limit.
-SPARE_IDLE_MAX = 0.3  # seconds
-LOOK = 0.15  # seconds between looks
+# Times in seconds.
+# Idle time after which a connection is closed, unless it is the last to its endpoint.
+IDLE_MAX = 2.0
+# The same while this host has more than half of its share. After all hosts lost power,
+# endpoints refuse the restarted hosts while the lost connections take more than half of
+# the limit.
+SPARE_IDLE_MAX = 0.3
+CHECK_INTERVAL = 0.15
 
 
 class IdleConnections(ProxySystem):
-    """Close connections that stand idle."""
+    """Close connections that have been idle for too long."""
 
     __slots__ = ("_connections", "_holders", "_shares")
 
     def start(self) -> None:
-        """Look at the connections of this host now and then."""
+        """Check the connections of this host periodically."""
         self._connections = self._node.system(Connections)
         self._holders = self._node.system(Holders)
         self._shares = self._node.system(Shares)
-        self.timers.every(LOOK, self._look)
+        self.timers.every(CHECK_INTERVAL, self._check)
 
-    def _look(self) -> None:
-        # A host of a large fleet knows many endpoints, and is connected to few.
+    def _check(self) -> None:
+        # In a large fleet a host knows many endpoints, but is connected to few of them.
         connected = {
             connection.endpoint.name: connection.endpoint
             for connection in self.tables.connections.values()
         }
         for endpoint in connected.values():
-            if self._shares.goes_without_holders(endpoint):
+            if self._shares.bypasses_holders(endpoint):
                 self._return_to_holders(endpoint)
             if len(endpoint.connections) > 1:
                 self._close_idle(endpoint)
 
     def _close_idle(self, endpoint: EndpointRow) -> None:
-        """Close what was idle for long, all but one; by way of others goes first."""
+        """Close idle connections but the last one; forwarded connections first."""
         connections = endpoint.connections.values()
         for connection in sorted(connections, key=lambda c: not c.holder):
             if len(endpoint.connections) == 1:
                 return
-            if self._was_idle(connection):
-                self._connections.close(connection, "it was idle")
+            if self._is_timed_out(connection):
+                self._connections.close(connection, "idle timeout")
 
-    def _was_idle(self, connection: ConnectionRow) -> bool:
+    def _is_timed_out(self, connection: ConnectionRow) -> bool:
         if connection.state is not ConnectionState.IDLE:
             return False
-        spare = not connection.holder and self._shares.is_spare(connection.endpoint)
-        longest = SPARE_IDLE_MAX if spare else IDLE_MAX
-        return connection.last_used < self.now - longest
+        is_spare = not connection.holder and self._shares.is_above_half(
+            connection.endpoint
+        )
+        timeout = SPARE_IDLE_MAX if is_spare else IDLE_MAX
+        return connection.last_used < self.now - timeout
 
     def _return_to_holders(self, endpoint: EndpointRow) -> None:
-        """Leave the connection of a host that was cut off, once a holder serves.
+        """Replace the direct connection of a host that was cut off from the holders.
 
-        It is one that nobody counts on: kept, it would be missing to a holder.
+        The shares of the holders do not account for it. It is closed once a connection
+        through a holder is open.
         """
         for connection in list(endpoint.connections.values()):
-            idle = connection.state is ConnectionState.IDLE
-            if idle and self._shares.is_surplus(connection):
-                self._connections.close(connection, "a holder can be reached")
-        by_holder = any(c.holder for c in endpoint.connections.values())
-        if not by_holder and not self._holders.is_cut_off(endpoint):
+            is_idle = connection.state is ConnectionState.IDLE
+            if is_idle and self._shares.is_surplus(connection):
+                self._connections.close(connection, "a holder can be reached again")
+        is_forwarded = any(c.holder for c in endpoint.connections.values())
+        if not is_forwarded and not self._holders.is_cut_off(endpoint):
             self._connections.grow(endpoint)
--- a/mallowpass/core/proxy/load.py
+++ b/mallowpass/core/proxy/load.py
@@ -1,9 +1,9 @@
-"""How many statements this host runs at an endpoint at once.
+"""Limit the statements that this host sends to an endpoint at once.
 
-An endpoint runs a few statements at a time and queues the others, first come, first
-served. Whatever waits there can't be put behind what is more urgent, nor be refused
-any more, and makes each statement of an open transaction wait as well. So a host keeps
-that queue short: what has to wait waits here.
+An endpoint runs a few statements at a time and queues the others in order of arrival. A
+statement in that queue can neither be overtaken by a more urgent one nor be refused any
+more, and it delays the statements of open transactions. Each host therefore keeps the
+queues of endpoints short, and has statements wait in its own queue instead.
 """
 
 from __future__ import annotations
@@ -16,27 +16,27 @@
 
 __all__ = ["Load"]
 
-LATENCY_WEIGHT = 0.1  # of the newest measurement in the moving average
-# Part of the way to the newest measurement that the least latency moves, so that one
-# lucky statement does not count for ever.
+LATENCY_WEIGHT = 0.1  # weight of the newest statement in the moving average
+# Weight of the newest statement in the least latency, while that rises: without the
+# rise, a single quick statement would lower the least latency for good.
 LEAST_WEIGHT = 0.005
-# What statements wait at an endpoint, in seconds, until each host keeps to its part. It
-# is beyond what statements differ by.
+# Queue time, in seconds, above which each host limits its statements to its part of the
+# endpoint's capacity. The latencies of statements differ by less.
 QUEUE_TIME_MAX = 0.1
 
 
 class Load(ProxySystem):
-    """Measure endpoints, and tell whether they may get more to do."""
+    """Measure the latency of endpoints, and limit the statements sent to them."""
 
     __slots__ = ("_holders", "_stalls")
 
     def start(self) -> None:
-        """Find the systems that are asked."""
+        """Look up the systems that this one depends on."""
         self._holders = self._node.system(Holders)
         self._stalls = self._node.system(Stalls)
 
     def record_latency(self, endpoint: EndpointRow, latency: float) -> None:
-        """Record how long a statement took, in seconds."""
+        """Record the latency of a statement, in seconds."""
         if endpoint.latency == 0.0:
             endpoint.latency = endpoint.least_latency = latency
             return
@@ -49,23 +49,23 @@
 
     @staticmethod
     def queue_time(endpoint: EndpointRow) -> float:
-        """Return how long statements wait at an endpoint, in seconds."""
+        """Return the estimated queue time at an endpoint, in seconds."""
         return endpoint.latency - endpoint.least_latency
 
     def has_room(self, endpoint: EndpointRow) -> bool:
         """Tell whether this host may send an endpoint one more statement."""
         service = endpoint.entry.service
         if not self._holders.holds(service):
-            return True  # that is for the holder to say
+            return True  # the holder applies its own limit
         if self.queue_time(endpoint) <= QUEUE_TIME_MAX:
             return True
-        return self._running(endpoint) < self._part(endpoint)
+        return self._running_count(endpoint) < self._running_limit(endpoint)
 
-    def _running(self, endpoint: EndpointRow) -> int:
-        """Return how many statements of this host an endpoint works on.
+    def _running_count(self, endpoint: EndpointRow) -> int:
+        """Return how many statements of this host occupy an endpoint's slots.
 
-        Commits that no replica acknowledges take none of its slots. Counted, they would
-        leave no room for reads that it could run.
+        Commits that no replica acknowledges occupy none: if they counted, reads that
+        the endpoint could run would be held back.
         """
         return sum(
             1
@@ -75,8 +75,8 @@
             and not self._stalls.is_hanging(connection)
         )
 
-    def _part(self, endpoint: EndpointRow) -> int:
-        """Return this host's part of the statements that a full endpoint has."""
+    def _running_limit(self, endpoint: EndpointRow) -> int:
+        """Return this host's part of the statements that an endpoint may have."""
         service = endpoint.entry.service
         hosts = max(1, self._holders.holder_count(service))
-        return max(1, math.ceil(self._holders.statements(service) / hosts))
+        return max(1, math.ceil(self._holders.statement_limit(service) / hosts))
--- a/mallowpass/core/proxy/pauses.py
+++ b/mallowpass/core/proxy/pauses.py
@@ -1,8 +1,9 @@
-"""Pauses of this host: what came meanwhile has waited, nobody knows for how long.
+"""Detect pauses of this process, after which the input may have waited unread.
 
-A process that is stopped, or has no processor, finds all that arrived when it goes on.
-A write among it may be of a caller that has given up and has written something newer
-by way of another host. Run now, it would undo that.
+A process that was stopped, or got no processor time, reads the input that arrived
+meanwhile when it resumes. The input may contain a write whose caller has timed out and
+has since written a newer value through another host. Run after the pause, the old write
+would overwrite the newer value.
 """
 
 from __future__ import annotations
@@ -12,40 +13,40 @@
 
 __all__ = ["Pauses"]
 
-TICK = 0.2  # seconds between two looks at the clock
-LATE_MIN = 0.2  # seconds that a look is late after a pause
-# Seconds after a pause within which all that arrived during it is read.
-READ_TIME = 0.1
+# Times in seconds.
+CHECK_INTERVAL = 0.2
+LATENESS_MIN = 0.2  # lateness of a check that counts as a pause
+BACKLOG_TIME = 0.1  # after a pause, until the input that arrived during it is read
 
 
 class Pauses(ProxySystem):
-    """Tell for how long what is read now may have waited."""
+    """Detect pauses by timers that fire late."""
 
-    __slots__ = ("_ended_at", "_looked_at", "_paused_for")
+    __slots__ = ("_checked_at", "_ended_at", "_pause_time")
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
-        self._looked_at = node.timers.now
-        self._paused_for = 0.0
+        self._checked_at = node.timers.now
+        self._pause_time = 0.0
         self._ended_at = float("-inf")
 
     def start(self) -> None:
-        """Subscribe to the time."""
-        self.timers.every(TICK, self._look)
+        """Check the clock periodically."""
+        self.timers.every(CHECK_INTERVAL, self._check)
 
     @property
     def max_input_delay(self) -> float:
-        """Return for how long what is read now may have waited at most, in seconds."""
-        if self.now > self._ended_at + READ_TIME:
+        """Return the longest time that input read now may have waited, in seconds."""
+        if self.now > self._ended_at + BACKLOG_TIME:
             return 0.0
-        return self._paused_for
+        return self._pause_time
 
-    def _look(self) -> None:
-        passed = self.now - self._looked_at
-        self._looked_at = self.now
-        if passed < TICK + LATE_MIN:
+    def _check(self) -> None:
+        elapsed = self.now - self._checked_at
+        self._checked_at = self.now
+        if elapsed < CHECK_INTERVAL + LATENESS_MIN:
             return
-        self._paused_for = passed
+        self._pause_time = elapsed
         self._ended_at = self.now
         self._node.count("pauses")
-        self._node.log("warning", "paused", seconds=round(passed, 3))
+        self._node.log("warning", "paused", seconds=round(elapsed, 3))
--- a/mallowpass/core/proxy/policy/__init__.py
+++ b/mallowpass/core/proxy/policy/__init__.py
@@ -1,13 +1,12 @@
-"""Decisions under load, apart from events, timers and effects.
+"""Pure functions that decide under load, without events, timers or effects.
 
-Each module answers one load, and says which, and why its limits are what they are. What
-it decides follows from its arguments alone, so each is tested by the load that it is
-for.
+Each module states the load that it is for, and the reasons for its limits. A decision
+depends on the arguments alone, so each module is tested with the load that it is for.
 
-| module | question |
+| module | decision |
 |---|---|
-| `line` | who of those that wait is looked at first, and who need not be |
-| `admission` | who waits on, and who is turned away |
-| `placement` | which of the endpoints that may run a statement does |
-| `sharing` | how many connections a host may have to an endpoint, and which hosts |
+| `line` | which waiting statement is tried first, and which need not be tried |
+| `admission` | which statements keep waiting, and which are refused |
+| `placement` | which of the eligible endpoints runs a statement |
+| `sharing` | how many connections each host may have to an endpoint |
 """
--- a/mallowpass/core/proxy/policy/sharing.py
+++ b/mallowpass/core/proxy/policy/sharing.py
@@ -1,9 +1,10 @@
-"""How many connections a host may have to each endpoint of a service, and which hosts.
+"""Divide the connections that each endpoint of a service accepts among the hosts.
 
-The load: more hosts than an endpoint takes connections for, or more than it should have
-statements of at once. Equal shares of less than two would have a statement wait for
-each transaction that is open, so few hosts hold all, and the others reach endpoints by
-way of them. Every host works the plan out by itself, from the same entries.
+Connections are divided equally where each host gets at least two, and where an endpoint
+can run a statement of each host at once. With one connection, a host would delay all
+its statements while a transaction is open. In larger fleets a few hosts, the holders,
+open all connections, and the other hosts forward their statements to a holder. Each
+host computes the plan on its own, from the same host entries.
 """
 
 from __future__ import annotations
@@ -14,41 +15,47 @@
 from mallowpass.core.proxy.tables import HostRow
 from mallowpass.core.records import record
 
-__all__ = ["STATEMENTS_PER_SLOT", "Fleet", "Plan", "make_plan", "part_of_customer"]
+__all__ = ["STATEMENTS_PER_SLOT", "Fleet", "Plan", "customer_share", "make_plan"]
 
-# A host that holds fewer connections than this to an endpoint would have to make a
-# statement wait for each transaction that is open.
+# Least connections of a host to an endpoint: with one, an open transaction would block
+# all other statements of the host.
 SHARE_MIN = 2
-# Connections of one holder to an endpoint. More would leave fewer holders, so that the
-# end of one touches more sessions; fewer would wait for each other's transactions.
-SHARE_OF_HOLDER = 5
-# Statements of all hosts that a full endpoint should have for each of its slots. At 2
-# the slots of one in another region would stand idle during round trips; with many more
-# each statement waits there, whatever its priority.
+# Connections of one holder to an endpoint. With more, there are fewer holders, and the
+# failure of one affects more sessions; with fewer, statements wait for each other's
+# transactions.
+HOLDER_SHARE = 5
+# Statements that all hosts together may send to an endpoint at once, for each of its
+# slots. At 2, the slots of an endpoint in another region would be idle during round
+# trips; with many more, each statement would queue at the endpoint, regardless of its
+# priority.
 STATEMENTS_PER_SLOT = 4
-# Of these, statements of one holder: one alone would wait for each other's.
-STATEMENTS_OF_HOLDER = 2
-# Share of the limit that the shares of all hosts leave free, for the connections of
-# hosts that died: endpoints drop these after seconds only.
+# Statements of one holder among these. With 1, the statements of a holder would run one
+# at a time.
+STATEMENTS_PER_HOLDER = 2
+# Fraction of the connection limit that is not assigned to any host, as room for the
+# connections of crashed hosts: endpoints keep those for seconds.
 RESERVED_SHARE = 0.1
-# Connections of a host to one endpoint that one customer leaves to the others, however
-# much it sends, where there are several.
-LEFT_TO_OTHERS = 1
+# Connections of a host to an endpoint that a single customer can't use, regardless of
+# its load, where the host has several.
+RESERVED_FOR_OTHER_CUSTOMERS = 1
 
 
 @record
 class Plan:
-    """Hold who holds a service; `direct` tells that every host does."""
+    """Describe which hosts hold the connections to a service's endpoints.
+
+    `direct`: every host connects to the endpoints, and `holders` is empty.
+    """
 
     direct: bool
     share: int  # connections of each holder to each endpoint
     holders: tuple[HostRow, ...] = ()
-    # Holders with one connection more: what is left over when all have their share.
-    favoured: frozenset[str] = frozenset()
+    # Holders with one more connection, from the remainder of the division.
+    holders_with_extra: frozenset[str] = frozenset()
 
 
 class Fleet:
-    """Hold the hosts among which connections are divided, by failure domain."""
+    """Group the hosts that share the connections by failure domain."""
 
     __slots__ = ("_domains", "_size")
 
@@ -66,66 +73,67 @@
         """Return the number of hosts."""
         return self._size
 
-    def choose(self, service: str, count: int) -> tuple[HostRow, ...]:
-        """Choose holders by turns from all failure domains, the largest hosts first."""
+    def choose_holders(self, service: str, count: int) -> tuple[HostRow, ...]:
+        """Return holders, round-robin from all failure domains, largest hosts first."""
         seed = crc32(f"{service} ".encode())
-        turns = self._turns(count)
+        rounds = self._rounds(count)
         ranked = []
         for members in self._domains:
-            # Different for each service: one host that holds all of them would be the
-            # one that all wait for.
-            weighed = [
+            # The hash of the service and the host spreads services over hosts: a host
+            # that held the connections of all services would be a bottleneck.
+            candidates = [
                 (-host.capacity, crc32(host.name.encode(), seed), host)
-                for host in _largest(members, turns)
+                for host in _largest(members, rounds)
             ]
-            weighed.sort(key=lambda item: item[:2])
-            for turn, (_, weight, host) in enumerate(weighed[:turns]):
-                ranked.append((turn, weight, host))
+            candidates.sort(key=lambda item: item[:2])
+            for turn, (_, hashed, host) in enumerate(candidates[:rounds]):
+                ranked.append((turn, hashed, host))
         ranked.sort(key=lambda item: item[:2])
         return tuple(host for _, _, host in ranked[:count])
 
-    def _turns(self, count: int) -> int:
-        """Return how many holders of one failure domain there are at the most."""
-        turns = 0
-        while sum(min(turns, len(members)) for members in self._domains) < min(
+    def _rounds(self, count: int) -> int:
+        """Return the most holders that one failure domain provides."""
+        rounds = 0
+        while sum(min(rounds, len(members)) for members in self._domains) < min(
             count, self._size
         ):
-            turns += 1
-        return turns
+            rounds += 1
+        return rounds
 
 
 def _largest(members: list[HostRow], count: int) -> list[HostRow]:
-    """Return those of which so many are chosen; hosts as large as the last are in.
+    """Return the `count` largest hosts, and all that are as large as the last of them.
 
-    Only these are weighed: a plan is made for each service.
+    `members` is sorted by capacity. Only the hosts returned are hashed and sorted: a
+    plan is made for each service.
     """
     if count >= len(members):
         return members
-    least = members[count - 1].capacity
+    smallest = members[count - 1].capacity
     end = count
-    while end < len(members) and members[end].capacity == least:
+    while end < len(members) and members[end].capacity == smallest:
         end += 1
     return members[:end]
 
 
 def make_plan(service: str, limit: int, fleet: Fleet, statements: int) -> Plan:
-    """Divide a service's connections among hosts.
+    """Divide the connections to a service's endpoints among the hosts.
 
-    `limit` is what each endpoint takes, `statements` what a full one should have at
-    once.
+    `limit` is the number of connections that each endpoint accepts, `statements` the
+    number of statements that all hosts together may send to an endpoint at once.
     """
     usable = int(limit * (1.0 - RESERVED_SHARE))
     share = usable // max(1, fleet.size)
     if share >= SHARE_MIN and fleet.size <= statements:
         return Plan(direct=True, share=share)
-    count = min(usable // SHARE_OF_HOLDER, statements // STATEMENTS_OF_HOLDER)
-    holders = fleet.choose(service, max(1, count))
+    count = min(usable // HOLDER_SHARE, statements // STATEMENTS_PER_HOLDER)
+    holders = fleet.choose_holders(service, max(1, count))
     share = max(1, usable // len(holders))
-    left_over = max(0, usable - share * len(holders))
-    favoured = frozenset(host.name for host in holders[:left_over])
-    return Plan(False, share, holders, favoured)
+    remainder = max(0, usable - share * len(holders))
+    holders_with_extra = frozenset(host.name for host in holders[:remainder])
+    return Plan(False, share, holders, holders_with_extra)
 
 
-def part_of_customer(share: int) -> int:
-    """Return how many of a host's connections to an endpoint one customer may use."""
-    return max(1, share - LEFT_TO_OTHERS)
+def customer_share(share: int) -> int:
+    """Return how many of a host's `share` connections one customer may use."""
+    return max(1, share - RESERVED_FOR_OTHER_CUSTOMERS)
--- a/mallowpass/core/proxy/registry.py
+++ b/mallowpass/core/proxy/registry.py
@@ -1,4 +1,4 @@
-"""Which systems a host that fronts databases has, in the order they start."""
+"""List the systems of a proxy host, in the order in which they start."""
 
 from __future__ import annotations
 
--- a/mallowpass/core/proxy/sessionstate.py
+++ b/mallowpass/core/proxy/sessionstate.py
@@ -1,4 +1,4 @@
-"""The state of a session on a connection: its values and prepared statements."""
+"""Transfer the state of a session to a connection: values and prepared statements."""
 
 from __future__ import annotations
 
@@ -15,12 +15,15 @@
     values: dict[str, str],
     prepared: Iterable[PreparedStatement],
 ) -> list[EndpointCall]:
-    """Return the calls that bring a connection to a session's state."""
+    """Return the calls that set a connection to a session's state.
+
+    `connection` is updated as if they had succeeded. They must be sent on it next.
+    """
     calls = []
     extra = connection.values.keys() - values.keys()
     if extra:
-        # There is no way to unset one value: left over, it would be seen by a
-        # session that never set it.
+        # A single value can't be unset, and a session must not see values that it
+        # did not set.
         calls.append(EndpointCall(Reset()))
         connection.values = {}
         connection.prepared = set()
--- a/mallowpass/core/proxy/shares.py
+++ b/mallowpass/core/proxy/shares.py
@@ -1,10 +1,15 @@
-"""How many connections this host may hold to an endpoint, and by way of whom others."""
+"""Limit the connections of this host to each endpoint, and choose their paths.
+
+A connection goes to the endpoint directly, or through a holder, which forwards its
+statements. It is borrowed if it goes through another host although this host is a
+holder itself.
+"""
 
 from __future__ import annotations
 
 from mallowpass.core.node import Node
 from mallowpass.core.proxy.holders import Holders
-from mallowpass.core.proxy.policy.sharing import part_of_customer
+from mallowpass.core.proxy.policy.sharing import customer_share
 from mallowpass.core.proxy.tables import (
     ConnectionRow,
     ConnectionState,
@@ -15,25 +20,27 @@
 
 __all__ = ["Shares"]
 
-# Connections by way of one holder to one endpoint: they cost a socket at each end, and
-# the holder has fewer to the endpoint itself.
-LINKS_MAX = 6
-# Connections to one endpoint by way of hosts that hold theirs as this one does: in all,
-# and by way of one of them. A small fleet holds few each, and about half of its hosts
-# are of the endpoint's region or of this host's.
-LENT_MAX = 8
-# Connections to one endpoint of a host that is cut off from the holders: others may be
-# as well, and the endpoint has few that the holders leave free.
+# Connections through holders to one endpoint, for a host that is not a holder: each
+# takes a socket at both ends, and the holder has fewer to the endpoint itself.
+FORWARDED_MAX = 6
+# Borrowed connections to one endpoint, in total and through one host. In a small fleet
+# each host has few connections, and about half of the hosts are in the endpoint's
+# region or in the borrower's.
+BORROWED_MAX = 8
+BORROWED_PER_HOST_MAX = 2
+# Direct connections to one endpoint of a host that is cut off from the holders: other
+# hosts may be cut off as well, and the holders leave few connections of the endpoint's
+# limit free.
 DIRECT_MAX = 1
-LENT_BY_HOST = 2
-# An endpoint keeps the connections of hosts that lost power for seconds. Where all
-# hosts did, their successors find room for a part of their shares; if the first took
-# the whole one, others would get no connection at all.
-FIRST_TIME = 0.5  # seconds after a start, with half the share
+# Seconds after its start in which a host uses half of its share. An endpoint keeps the
+# connections of hosts that lost power for seconds. If all hosts lost power, there is
+# room for a part of all shares only: if the first hosts to start used their whole
+# shares, others would get no connection at all.
+FIRST_TIME = 0.5
 
 
 class Shares(ProxySystem):
-    """Keep this host to its part of the connections that all hosts may have."""
+    """Keep this host within its share of the connections that an endpoint accepts."""
 
     __slots__ = ("_holders", "_started_at")
 
@@ -43,23 +50,29 @@
         self._holders: Holders
 
     def start(self) -> None:
-        """Find the system that is asked."""
+        """Look up the system that plans the shares."""
         self._holders = self._node.system(Holders)
 
-    def may_open(self, endpoint: EndpointRow, beyond_share: bool) -> bool:
-        """Tell whether this host may open one more connection on its usual way."""
+    def can_open(self, endpoint: EndpointRow, beyond_share: bool) -> bool:
+        """Tell whether this host may open one more connection, not borrowed."""
         if self.now < endpoint.refused_until:
             return False
-        if self._holders.is_cut_off(endpoint) and self._direct(endpoint) >= DIRECT_MAX:
+        if (
+            self._holders.is_cut_off(endpoint)
+            and self._direct_count(endpoint) >= DIRECT_MAX
+        ):
             return False
-        return beyond_share or self._held(endpoint) < self._share(endpoint)
+        return beyond_share or self._count(endpoint) < self._share(endpoint)
+
+    def is_exhausted(self, endpoint: EndpointRow) -> bool:
+        """Tell whether this host has all connections of its share."""
+        return self._count(endpoint) >= self._share(endpoint)
 
-    def is_taken_up(self, endpoint: EndpointRow) -> bool:
-        """Tell whether this host has all the connections that are its part."""
-        return self._held(endpoint) >= self._share(endpoint)
+    def is_customer_at_limit(self, endpoint: EndpointRow, customer: str | None) -> bool:
+        """Tell whether a customer uses as many of this host's connections as allowed.
 
-    def has_its_part(self, endpoint: EndpointRow, customer: str | None) -> bool:
-        """Tell whether a customer uses all of this host's connections that it may."""
+        None stands for this host's own statements, which have no limit.
+        """
         if customer is None:
             return False
         busy = sum(
@@ -68,79 +81,80 @@
             if connection.customer == customer
             and connection.state is not ConnectionState.IDLE
         )
-        return busy >= part_of_customer(self._share(endpoint))
+        return busy >= customer_share(self._share(endpoint))
 
     def is_surplus(self, connection: ConnectionRow) -> bool:
-        """Tell whether other hosts count on this connection not being there."""
+        """Tell whether a connection exceeds what the plan of all hosts assigns."""
         endpoint = connection.endpoint
         service = endpoint.entry.service
         if connection.holder:
             return not self._holders.is_holder(service, connection.holder)
         if not self._holders.holds(service):
-            # Kept as long as no holder serves in its place.
+            # A direct connection is kept until one through a holder has replaced it.
             return not self._holders.is_cut_off(endpoint) and any(
                 other.holder and other.state is not ConnectionState.OPENING
                 for other in endpoint.connections.values()
             )
-        return self._held(endpoint) > self._holders.share(service)
+        return self._count(endpoint) > self._holders.share(service)
 
-    def is_spare(self, endpoint: EndpointRow) -> bool:
-        """Tell whether this host has more than half of its share of an endpoint."""
+    def is_above_half(self, endpoint: EndpointRow) -> bool:
+        """Tell whether this host has more than half of its share of connections."""
         service = endpoint.entry.service
-        return self._held(endpoint) > max(1, self._holders.share(service) // 2)
+        return self._count(endpoint) > max(1, self._holders.share(service) // 2)
 
-    def way(self, endpoint: EndpointRow) -> HostRow | None:
-        """Return the host by way of which an endpoint is reached; None: directly."""
+    def path(self, endpoint: EndpointRow) -> HostRow | None:
+        """Return the holder that forwards to an endpoint, None if it is direct."""
         holders = self._holders
         if holders.holds(endpoint.entry.service) or holders.is_cut_off(endpoint):
             return None
-        return holders.route(endpoint)
+        return holders.nearest_holder(endpoint)
 
-    def goes_without_holders(self, endpoint: EndpointRow) -> bool:
-        """Tell whether this host reaches an endpoint itself that others hold."""
-        if self._direct(endpoint) == 0:
+    def bypasses_holders(self, endpoint: EndpointRow) -> bool:
+        """Tell whether this host has a direct connection though it is no holder."""
+        if self._direct_count(endpoint) == 0:
             return False
         return not self._holders.holds(endpoint.entry.service)
 
     @staticmethod
-    def _direct(endpoint: EndpointRow) -> int:
+    def _direct_count(endpoint: EndpointRow) -> int:
         connections = endpoint.connections.values()
         return sum(1 for connection in connections if not connection.holder)
 
     def lender(self, endpoint: EndpointRow) -> HostRow | None:
-        """Return the host that should serve one more connection, if any may.
+        """Return the host through which to borrow a connection, None if there is none.
 
-        Among few holders it is for those that the endpoint turns away: each has as
-        many connections as the others, and as many that come to it.
+        Where only some hosts are holders, a holder borrows only while the endpoint
+        refuses its connections: all holders have the same share, and the same number of
+        hosts that forward to them.
         """
         service = endpoint.entry.service
         if not self._holders.holds(service):
             return None
-        turned_away = self.now < endpoint.refused_until
-        if not turned_away and not self._holders.all_hold(service):
+        is_refused = self.now < endpoint.refused_until
+        if not is_refused and not self._holders.are_all_holders(service):
             return None
-        lent = [c.holder for c in endpoint.connections.values() if c.holder]
+        borrowed = [c.holder for c in endpoint.connections.values() if c.holder]
         lenders = [
             host
             for host in self._holders.lenders(endpoint)
-            if lent.count(host.name) < LENT_BY_HOST
+            if borrowed.count(host.name) < BORROWED_PER_HOST_MAX
         ]
-        if len(lent) >= LENT_MAX or not lenders:
+        if len(borrowed) >= BORROWED_MAX or not lenders:
             return None
         self._node.random.shuffle(lenders)
-        return min(lenders, key=lambda host: lent.count(host.name))
+        return min(lenders, key=lambda host: borrowed.count(host.name))
 
     def _share(self, endpoint: EndpointRow) -> int:
         service = endpoint.entry.service
         if not self._holders.holds(service):
-            return LINKS_MAX
+            return FORWARDED_MAX
         share = self._holders.share(service)
         if self.now < self._started_at + FIRST_TIME:
             return max(1, share // 2)
         return share
 
-    def _held(self, endpoint: EndpointRow) -> int:
-        """Return how many connections count towards this host's share."""
+    def _count(self, endpoint: EndpointRow) -> int:
+        """Return the number of connections that count towards this host's share."""
         connections = endpoint.connections.values()
         if not self._holders.holds(endpoint.entry.service):
             return len(connections)
--- a/tests/core/proxy/policy/test_sharing.py
+++ b/tests/core/proxy/policy/test_sharing.py
@@ -1,4 +1,4 @@
-"""Plans of connections: every host makes the same one, and none exceeds the limit."""
+"""Connection plans: all hosts make the same one, and none exceeds the limit."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 def test_no_plan_exceeds_the_limit(size: int, limit: int):
     plan = make_plan("ledger", limit, Fleet(fleet(size)), statements=8)
     holders = size if plan.direct else len(plan.holders)
-    assert holders * plan.share + len(plan.favoured) <= limit
+    assert holders * plan.share + len(plan.holders_with_extra) <= limit
 
 
-def test_what_is_left_over_is_given_to_some_holders():
-    """Statements wait for connections while three of an endpoint's stay unused.
+def test_remainder_of_the_division_is_given_to_some_holders():
+    """Statements waited for connections while 3 of an endpoint's 23 were unused.
 
-    Four holders of an endpoint that takes 26 had five each: 23 may be used, and the
-    rest of the division was dropped.
+    An endpoint accepts 26 connections, 23 of which may be assigned. Each of 4 holders
+    got 5, and the remainder of the division was dropped.
     """
     plan = make_plan("ledger", 26, Fleet(fleet(86)), statements=8)
     assert len(plan.holders) == 4
-    assert plan.share * 4 + len(plan.favoured) == 23
+    assert plan.share * 4 + len(plan.holders_with_extra) == 23
 
 
 def test_every_host_makes_the_same_plan():
@@ -48,19 +48,19 @@
         assert make_plan("ledger", 26, Fleet(hosts), statements=8) == plan
 
 
-def test_holders_are_of_all_failure_domains():
+def test_holders_are_in_all_failure_domains():
     plan = make_plan("ledger", 26, Fleet(fleet(86)), statements=8)
     assert {host.domain for host in plan.holders} == set(DOMAINS)
 
 
-def test_small_fleets_share_equally():
+def test_small_fleet_divides_connections_equally():
     plan = make_plan("ledger", 16, Fleet(fleet(7)), statements=8)
     assert plan.direct
     assert plan.share == 2
 
 
 def _ranked(hosts: list[HostRow], service: str, count: int) -> list[str]:
-    """Choose holders in the plainest way: each host is ranked in its domain."""
+    """Choose holders without the optimization: rank every host of each domain."""
     ranked = []
     for domain in {host.domain for host in hosts}:
         members = [host for host in hosts if host.domain == domain]
@@ -72,13 +72,13 @@
 
 @pytest.mark.parametrize("size", [1, 4, 20, 195, 300])
 @pytest.mark.parametrize("count", [1, 3, 6, 8, 40])
-def test_the_largest_of_each_failure_domain_are_chosen_by_turns(size: int, count: int):
-    """Few hosts are weighed for each service, and the choice is as if all were."""
+def test_largest_hosts_of_each_failure_domain_are_chosen(size: int, count: int):
+    """The choice among the largest hosts equals the choice among all hosts."""
     rng = random.Random(size)
     hosts = [
         replace(host, domain=rng.choice("abcdef"), capacity=rng.choice((0.5, 0.5, 2.0)))
         for host in fleet(size)
     ]
     for service in ("ledger", "claims", "desk"):
-        chosen = [host.name for host in Fleet(hosts).choose(service, count)]
+        chosen = [host.name for host in Fleet(hosts).choose_holders(service, count)]
         assert chosen == _ranked(hosts, service, count)
--- a/tests/core/proxy/test_draining.py
+++ b/tests/core/proxy/test_draining.py
@@ -1,4 +1,4 @@
-"""Starting and stopping a host."""
+"""Readiness of a host, and draining it."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
     assert not world.hosts[0].ready
 
 
-def test_stopping_host_serves_callers_that_still_come(world):
+def test_stopping_host_serves_callers_that_still_connect(world):
     world.hosts[0].stop()
     world.run(1.0)
     caller = world.caller(0, "own")
     assert caller.run(Write("a 1")).code is Code.DONE
 
 
-def test_idle_session_is_closed_once_callers_go_elsewhere(world):
+def test_idle_session_is_closed_once_the_host_is_out_of_the_balancer(world):
     caller = world.caller(0, "own")
     caller.run(Read("a"))
     world.hosts[0].stop()
@@ -37,10 +37,10 @@
 
 
 def test_session_is_not_closed_between_a_set_and_its_statement(world):
-    """Symptom: callers lose operations during a restart, with no answer.
+    """Callers lost operations during a restart, without an answer.
 
-    Sequence: a host stops; a caller sets a value, and is about to send the statement
-    that the value is for. Cause: the session counts as idle, and is closed.
+    A caller of a stopping host sets a value, and is about to send the statement that
+    needs the value. The session counted as idle in between, and was closed.
     """
     caller = world.caller(0, "own")
     world.hosts[0].stop()
@@ -68,17 +68,17 @@
     assert late.run(Commit()).code is Code.ABORTED
 
 
-def test_host_that_stops_leaves_its_entry(world):
+def test_stopping_host_deletes_its_entry(world):
     world.hosts[0].stop()
     world.run(3.0)
     assert set(world.hosts[1].tables.hosts) == {"host-1", "host-2"}
 
 
 def test_busy_session_is_closed_between_two_operations(world):
-    """Symptom: a request is cut off by a host that stops.
+    """A stopping host cut off a statement at the end of the grace period.
 
-    Sequence: a session sends one statement after the other without a pause, until the
-    grace period is over. Cause: only sessions that are quiet are closed.
+    A session sends one statement after the other without a pause. Only idle sessions
+    were closed during the drain.
     """
     caller = world.caller(0, "own")
     world.hosts[0].stop(6.0)
--- a/tests/core/proxy/test_idle_connections.py
+++ b/tests/core/proxy/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Connections that stand idle."""
+"""Idle connections, and how hosts look for them."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 SERVICES = 200
 MEMBERS = 3
 LIMIT = 22  # connections of each endpoint
-LOOK_TIME = 1.0  # seconds that are watched
-LOOKS_MAX = 8  # in that time
+WATCHED_TIME = 1.0  # seconds
+CHECKS_MAX = 8  # of each connected endpoint, by each host in that time
 
 
-def _enter_services(world: ProxyWorld) -> None:
-    """Enter endpoints of services that no caller of these hosts asks for."""
+def _register_services(world: ProxyWorld) -> None:
+    """Register endpoints of services that no caller uses."""
     names = [f"service-{number}" for number in range(SERVICES)]
     services = {name: ServiceLimits(name, LIMIT, 1) for name in (SERVICE, *names)}
     world.store.put(CONFIGURATION_KEY, configuration(2, services=services))
@@ -43,25 +43,25 @@
         world.store.put(RowKey(Table.ENDPOINTS, "", name), entry)
 
 
-def test_endpoints_without_connections_are_not_looked_at(monkeypatch):
-    """Symptom: hosts of a fleet with many services are busy while nobody asks them.
+def test_endpoints_without_connections_are_not_checked(monkeypatch):
+    """Hosts of a fleet with many services were busy without any callers.
 
-    Sequence: a host knows hundreds of endpoints, and is connected to three. Cause: it
-    looked for idle connections at each endpoint that it knew, several times a second.
+    A host knows hundreds of endpoints and is connected to three of them. It looked for
+    idle connections at every endpoint that it knew, several times a second.
     """
     world = ProxyWorld(hosts=3)
-    _enter_services(world)
+    _register_services(world)
     world.run(2.0)
     assert len(world.hosts[0].tables.endpoints) > SERVICES * MEMBERS
     assert world.caller(0).run(Write("a 1")).code is Code.DONE
-    looked_at = []
-    asked = Shares.goes_without_holders
+    checked = []
+    original = Shares.bypasses_holders
 
     def count(shares, endpoint):
-        looked_at.append(endpoint.name)
-        return asked(shares, endpoint)
+        checked.append(endpoint.name)
+        return original(shares, endpoint)
 
-    monkeypatch.setattr(Shares, "goes_without_holders", count)
-    world.run(LOOK_TIME)
-    assert looked_at
-    assert len(looked_at) <= LOOKS_MAX * MEMBERS * len(world.hosts)
+    monkeypatch.setattr(Shares, "bypasses_holders", count)
+    world.run(WATCHED_TIME)
+    assert checked
+    assert len(checked) <= CHECKS_MAX * MEMBERS * len(world.hosts)
--- a/tests/core/proxy/test_load.py
+++ b/tests/core/proxy/test_load.py
@@ -1,4 +1,4 @@
-"""What waits for a full endpoint waits at the hosts, the more urgent first."""
+"""Statements for an overloaded endpoint wait at the hosts, in order of priority."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def world() -> ProxyWorld:
-    """Return a primary of three slots that nine hosts have 72 connections to."""
+    """Return a primary of 3 slots to which 9 hosts have 72 connections."""
     world = ProxyWorld(hosts=9)
     routes = {
         "strict": route("strict", Consistency.PRIMARY),
@@ -38,7 +38,7 @@
 
 
 def overload(world: ProxyWorld) -> None:
-    """Send 150 patient reads a second to a primary that runs 100."""
+    """Send 150 low-priority reads a second to a primary that can run 100."""
     callers = [world.caller(i % len(world.hosts), "patient") for i in range(360)]
 
     def send(number: int) -> None:
@@ -52,12 +52,13 @@
     return world.hosts[0].tables.endpoints["db-casa"]
 
 
-def test_urgent_statements_do_not_wait_in_the_queue_of_a_full_endpoint(world):
-    # Symptom: with a primary that is full, whatever is most urgent is late too, and
-    # so is each statement of a transaction that is open.
-    # Sequence: nine hosts send all they have on 72 connections; the endpoint queues 69
-    # statements for its three slots, 0.7 s of work, and serves them as they came.
-    # Cause: priorities hold in the queues of hosts, and these were empty.
+def test_urgent_statements_do_not_queue_at_an_overloaded_endpoint(world):
+    """With an overloaded primary, urgent statements and transactions were late too.
+
+    9 hosts sent statements on 72 connections. The endpoint queued 69 of them for its 3
+    slots, 0.7 s of work, in order of arrival. Priorities apply in the queues of the
+    hosts only, which were empty.
+    """
     overload(world)
     world.run(4.0)
     urgent = world.caller(0, "strict")
@@ -68,7 +69,7 @@
     assert urgent.run(Read("a")).code is Code.DONE
 
 
-def test_an_endpoint_that_is_full_is_kept_busy(world):
+def test_overloaded_endpoint_is_kept_busy(world):
     overload(world)
     world.run(4.0)
     before = len(world.group.replicas["db-casa"].log), world.timers.now
@@ -83,7 +84,7 @@
     assert done > 0.95 * 2.0 * 100
 
 
-def test_an_endpoint_without_a_queue_takes_all_that_comes(world):
+def test_endpoint_without_a_queue_is_not_limited(world):
     load = world.hosts[0].node.system(Load)
     row = primary_row(world)
     for latency in (0.02, 0.06, 0.03, 0.09, 0.05) * 10:
@@ -91,7 +92,7 @@
     assert load.has_room(row)
 
 
-def test_one_quick_statement_does_not_make_an_endpoint_look_full_for_ever(world):
+def test_one_quick_statement_does_not_mark_an_endpoint_as_full_for_ever(world):
     load = world.hosts[0].node.system(Load)
     row = primary_row(world)
     load.record_latency(row, 0.001)
@@ -100,7 +101,7 @@
     assert row.latency - row.least_latency < 0.1
 
 
-def test_whatever_waits_for_a_full_endpoint_says_for_which(world):
+def test_statement_waiting_for_a_full_endpoint_names_the_endpoint(world):
     overload(world)
     world.run(4.0)
     for host in world.hosts:
--- a/tests/core/proxy/test_pauses.py
+++ b/tests/core/proxy/test_pauses.py
@@ -1,4 +1,4 @@
-"""A host that was paused does not run writes that waited for it meanwhile."""
+"""After a pause of its process, a host does not run writes that waited meanwhile."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def pause(world: ProxyWorld, index: int, duration: float) -> None:
-    """Pause a host: it runs nothing, and reads nothing."""
+    """Pause a host: it neither runs code nor reads input for `duration` seconds."""
     host = world.hosts[index]
     host.frozen = True
     world.run(duration)
@@ -25,15 +25,15 @@
 
 
 def first_code(caller: Caller, *statements: Statement) -> Code:
-    """Return the code of the last answer to statements sent one after the other."""
+    """Run statements one after the other, and return the code of the last answer."""
     return [caller.run(statement).code for statement in statements][-1]
 
 
-def test_a_write_that_waited_for_a_paused_host_does_not_undo_a_newer_one():
+def test_write_that_waited_during_a_pause_does_not_overwrite_a_newer_one():
     """A session read a value that was older than its own newest write.
 
-    An earlier write of the same caller had waited in a host that was paused, and ran
-    after the caller had given up and written by way of another host.
+    An earlier write of the same caller waited in a paused host. It ran after the caller
+    had timed out and written a newer value through another host.
     """
     world = ProxyWorld()
     world.run(1.0)
@@ -45,8 +45,8 @@
     assert newer.run(Read("k")).rows == (b"137",)
 
 
-def test_a_transaction_that_waited_for_a_paused_host_is_rolled_back():
-    """The same fault, by the COMMIT of a transaction that had written."""
+def test_transaction_that_waited_during_a_pause_is_rolled_back():
+    """A late COMMIT can overwrite a newer value as well as a late write."""
     world = ProxyWorld()
     world.run(1.0)
     early = world.caller(0, "own")
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize(("duration", "later"), [(0.5, 0.0), (3.0, 0.3)])
 def test_writes_that_can_not_have_waited_for_long_run(duration, later):
-    """Callers of a host that was paused are refused no longer than they must be."""
+    """Writes are run after a short pause, and soon after the end of a long one."""
     world = ProxyWorld()
     world.run(1.0)
     caller = world.caller(0, "own")
@@ -70,7 +70,7 @@
 
 
 def test_reads_are_served_after_a_pause():
-    """A read that waited changes nothing, and its caller may still want it."""
+    """A read that waited changes nothing, and its caller may still be waiting."""
     world = ProxyWorld()
     world.run(1.0)
     caller = world.caller(0, "own")
@@ -78,15 +78,15 @@
     assert caller.run(Read("k")).code is Code.DONE
 
 
-def test_a_holder_that_was_paused_refuses_writes_of_other_hosts():
-    """The same fault, by a write that another host had passed on."""
+def test_holder_refuses_forwarded_writes_after_a_pause():
+    """A forwarded write that waited in a paused holder can overwrite a newer one."""
     world = ProxyWorld(hosts=24)
     world.run(4.0)
-    guest = next(host for host in world.hosts if not host.connections)
-    caller = world.caller(world.hosts.index(guest), "own")
+    client = next(host for host in world.hosts if not host.connections)
+    caller = world.caller(world.hosts.index(client), "own")
     assert caller.run(Write("k 1")).code is Code.DONE
-    ways = {link.holder.name for link in world.links.values() if link.host is guest}
-    holders = [i for i, host in enumerate(world.hosts) if host.name in ways]
+    used = {link.holder.name for link in world.links.values() if link.host is client}
+    holders = [i for i, host in enumerate(world.hosts) if host.name in used]
     for index in holders:
         world.hosts[index].frozen = True
     world.run(1.2)
