--- a/mallowpass/core/proxy/__init__.py
+++ b/mallowpass/core/proxy/__init__.py
@@ -1,19 +1,19 @@
-"""Front replicated databases for stateful sessions: the decisions of one host.
+"""Proxy replicated databases for stateful sessions: the decisions of one host.
 
-A session is a caller's connection, with values and prepared statements of its own.
-The parts, from the bottom up:
+A session is a caller's connection, with its own values and prepared statements. The
+modules, from the bottom up:
 
-- `statements`, `configuration`, `storage`, `events`, `effects`, `signals`: what comes
-  in, goes out, and is told within;
+- `statements`, `configuration`, `storage`, `events`, `effects`, `signals`: the data
+  that enters and leaves a host, and that its systems exchange;
 - `tables`: the rows that the systems own;
-- `store`, `settings`, `members`, `hosts`: what the store says of routes, endpoints and
-  other hosts;
-- `holders`, `shares`, `connections`, `links`, `control`: reaching endpoints, directly
-  or by way of another host;
-- `floors`, `routing`: where a statement may run;
-- `requests`, `transactions`, `sessions`: running statements for callers;
-- `suspicion`, `relief`, `claims`, `promotion`, `resumption`, `discovery`: when a
-  primary is to be replaced, doing it, having the others follow, and finding it;
-- `draining`: starting, stopping, and when a host counts as ready;
+- `store`, `currentconfiguration`, `members`, `hosts`: the configuration, endpoints and
+  other hosts according to the store;
+- `holders`, `shares`, `connections`, `links`, `control`: connections to endpoints,
+  direct or forwarded by another host;
+- `floors`, `routing`: the endpoints that may run a statement;
+- `requests`, `transactions`, `sessions`: the execution of callers' statements;
+- `suspicion`, `relief`, `claims`, `promotion`, `resumption`, `discovery`: failure
+  detection, replacing a primary, and finding the current one;
+- `draining`: start, shutdown and readiness;
 - `registry`: all systems, in the order in which they start.
 """
--- a/mallowpass/core/proxy/connections.py
+++ b/mallowpass/core/proxy/connections.py
@@ -1,7 +1,9 @@
-"""Connections to endpoints: opened by demand within this host's share, and reused.
+"""The connection pool: connections to endpoints, opened on demand and reused.
 
-A connection carries the state of the session that used it last. The state of the
-next session is sent ahead of its statement, in the same write.
+The number of connections is limited by this host's share. A connection goes to the
+endpoint directly, or is forwarded by a holder. It keeps the state of the session that
+used it last; the state of the next session is sent ahead of that session's statement,
+in the same write.
 """
 
 from __future__ import annotations
@@ -47,29 +49,31 @@
 
 __all__ = ["RESPONSE_TIMEOUT", "Connections"]
 
-# A connection that takes this long is not worth waiting for: a round trip between
-# regions and the handshake of an endpoint take a tenth of it.
+# Times in seconds.
+# Ten times what a round trip between regions and the handshake of an endpoint take.
 CONNECT_TIMEOUT = 0.45
-BACKOFF_MIN = 0.05  # seconds between attempts to reach an endpoint
+BACKOFF_MIN = 0.05  # between attempts to connect to an endpoint
 BACKOFF_MAX = 1.0
-FULL_BACKOFF = 0.25  # seconds after which a full endpoint is asked again
-# Connections that one host may open to one endpoint at once: each takes a slot there
-# for as long as a statement, so a storm of them stops the work it was meant to do.
+FULL_BACKOFF = 0.25  # after an endpoint has refused one connection as too many
+# Connections that this host may open to an endpoint at once. Each handshake occupies a
+# slot of the endpoint for as long as a statement does: opening many at once would delay
+# the statements that they are opened for.
 OPENING_MAX = 2
-# The same where each serves one customer only; one customer waits for one at a time.
+# The same for connections that serve one customer each. At most one of them is opened
+# for each customer.
 OPENING_FOR_CUSTOMERS_MAX = 4
-# A call that is unanswered for so long, with nothing else heard of the endpoint, has a
-# new connection tried. A full queue takes less.
-RESPONSE_TIMEOUT = 0.25  # seconds
+# Another connection is tried if an endpoint has sent no reply for this time with calls
+# in flight. Statements in a full queue wait for less.
+RESPONSE_TIMEOUT = 0.25
 
 
 class Connections(ProxySystem):
-    """Own the connections of this host."""
+    """Maintain the connections of this host."""
 
     __slots__ = ("_durability", "_holders", "_shares")
 
     def start(self) -> None:
-        """Subscribe to what happens to connections."""
+        """Subscribe to the events of connections and endpoints."""
         node = self._node
         self._durability = node.system(Durability)
         self._holders = node.system(Holders)
@@ -81,7 +85,7 @@
         node.subscribe(EndpointForgotten, self._on_forgotten)
         node.subscribe(EndpointRestarted, self._on_restarted)
 
-    # -- Taking and giving back ----------------------------------------------
+    # -- Acquiring and releasing ---------------------------------------------
 
     def acquire(
         self,
@@ -90,10 +94,11 @@
         customer: str | None = None,
         own_only: bool = False,
     ) -> ConnectionRow | None:
-        """Return an idle connection, best one that has these values of a session.
+        """Return an idle connection that can serve `customer`, None if there is none.
 
-        It serves `customer`, None: whichever. `own_only` leaves out those by way of
-        other hosts.
+        A direct connection is preferred to a forwarded one, then one that has the
+        session's `values` set. `own_only` excludes forwarded connections. `customer` is
+        None for this host's own statements, which any connection serves.
         """
         if self._shares.is_customer_at_limit(endpoint, customer):
             return None
@@ -107,7 +112,8 @@
         ]
         if not idle:
             return None
-        # What has to be set goes along with the statement; another host takes time.
+        # Values are set in the same write as the statement, whereas forwarding adds
+        # latency.
         return max(idle, key=lambda c: (not c.holder, c.values == values))
 
     def grow(
@@ -117,13 +123,14 @@
         beyond_share: bool = False,
         borrow: bool = False,
     ) -> bool:
-        """Open one more connection if that is allowed; tell whether one is opening.
+        """Open one more connection if allowed; return whether one is being opened.
 
-        It is to serve `customer`, None: this host's own statements.
+        The connection serves `customer`, None: this host's own statements.
+        `beyond_share` ignores this host's share.
 
-        With `borrow`, one by way of another host is opened where this host may open
-        none itself. All callers of a region may come to one host, most of all when
-        many start again; the others' connections are idle then.
+        `borrow` allows a connection through another host if this host may not open one
+        of its own. All callers of a region may be connected to a single host, mostly
+        after many hosts have started, while connections of the other hosts are idle.
         """
         if not self.tables.is_current(endpoint):
             return False
@@ -132,8 +139,8 @@
             for connection in endpoint.connections.values()
             if connection.state is ConnectionState.OPENING
         ]
-        most = OPENING_MAX if customer is None else OPENING_FOR_CUSTOMERS_MAX
-        if len(opening) >= most or any(_is_for(c, customer) for c in opening):
+        limit = OPENING_MAX if customer is None else OPENING_FOR_CUSTOMERS_MAX
+        if len(opening) >= limit or any(_is_for(c, customer) for c in opening):
             return True
         if not self._holders.are_hosts_known:
             return bool(opening)
@@ -150,7 +157,7 @@
         return bool(opening)
 
     def acquire_via(self, endpoint: EndpointRow, host: HostRow) -> ConnectionRow | None:
-        """Return an idle connection by way of a host that is opened just for that."""
+        """Return an idle single-use connection through a host; open one if needed."""
         for connection in endpoint.connections.values():
             if connection.reserved and connection.holder == host.name:
                 is_idle = connection.state is ConnectionState.IDLE
@@ -159,14 +166,14 @@
         return None
 
     def retry(self, endpoint: EndpointRow) -> None:
-        """Try to reach an endpoint at once that could not be reached before."""
+        """Connect to an endpoint without waiting for the end of its backoff."""
         endpoint.refused_until = self.now
         self.grow(endpoint, beyond_share=True)
 
     def _make_room(self, endpoint: EndpointRow, customer: str) -> None:
-        """Close an idle connection of another customer if the share is taken up.
+        """Close an idle connection of another customer if the share is exhausted.
 
-        Not while the endpoint turns hosts away: none could be opened in its place.
+        During a backoff no connection could be opened in its place, and none is closed.
         """
         if self.now < endpoint.refused_until or not self._shares.is_exhausted(endpoint):
             return
@@ -177,34 +184,34 @@
             and not connection.serves(customer)
         ]
         if idle:
-            least = min(idle, key=lambda connection: connection.last_used)
-            self.close(least, "another customer needs its place")
+            oldest = min(idle, key=lambda connection: connection.last_used)
+            self.close(oldest, "closed to make room for another customer")
 
     def release(self, connection: ConnectionRow) -> None:
-        """Make a connection free for others; close it if its state is unknown."""
+        """Return a connection to the pool; close it if its session state is unknown."""
         if connection.number not in self.tables.connections:
             return
         connection.on_lost = None
         if connection.broken:
-            self.close(connection, "its state is unknown")
+            self.close(connection, "its session state is unknown")
             return
         if not self.tables.is_current(connection.endpoint):
-            self.close(connection, "the endpoint is gone")
+            self.close(connection, "the endpoint was removed or has restarted")
             return
         if self._shares.is_surplus(connection):
-            self.close(connection, "the shares have changed")
+            self.close(connection, "it exceeds this host's share")
             return
         connection.state = ConnectionState.IDLE
         connection.last_used = self.now
         self._node.publish(ConnectionFreed(connection.endpoint))
 
     def close(self, connection: ConnectionRow, why: str) -> None:
-        """Close a connection; calls in flight on it have no answer."""
+        """Close a connection; calls in flight on it get no reply."""
         if self._remove(connection.number) is None:
             return
         self._node.emit(CloseConnection(connection.number))
         self._node.count("connections_closed", endpoint=connection.endpoint.name)
-        self._abandon(connection, why)
+        self._notify_lost(connection, why)
 
     # -- Sending -------------------------------------------------------------
 
@@ -214,7 +221,7 @@
         calls: list[EndpointCall],
         on_replies: Callable[[ConnectionRow, list[EndpointReply]], None],
     ) -> None:
-        """Send calls in one write; `on_replies` gets the replies to all of them."""
+        """Send calls in one write; `on_replies` is called with all replies to them."""
         if connection.state is ConnectionState.IDLE:
             connection.state = ConnectionState.BUSY
         connection.pending.append(Batch(len(calls), on_replies, self.now))
@@ -222,7 +229,7 @@
         self._node.publish(CallsSent(connection))
 
     def roll_back(self, connection: ConnectionRow) -> None:
-        """Roll a connection's transaction back, then make it free."""
+        """Roll back the transaction on a connection, then release the connection."""
         if connection.number not in self.tables.connections:
             return
         connection.on_lost = None
@@ -235,20 +242,20 @@
             connection.broken = True
         self.release(connection)
 
-    # -- What happens to connections -----------------------------------------
+    # -- Events --------------------------------------------------------------
 
     def _open(
         self,
         endpoint: EndpointRow,
-        way: HostRow | None,
+        via: HostRow | None,
         customer: str | None,
         reserved: bool = False,
     ) -> None:
         number = self._node.number()
         entry = endpoint.entry
         address, holder = entry.address, ""
-        if way is not None:
-            address, holder, customer = way.address, way.name, None
+        if via is not None:
+            address, holder, customer = via.address, via.name, None
         connection = ConnectionRow(
             number,
             endpoint,
@@ -273,18 +280,18 @@
         endpoint = connection.endpoint
         if connection.holder:
             self._holders.mark_answered(connection.holder)
-        if self._is_endpoints_answer(connection):
+        if self._is_evidence(connection):
             endpoint.failures = 0
             endpoint.heard_at = self.now
-        self._learn_floor(endpoint, event.floor, connection.opened_at)
+        self._publish_floor(endpoint, event.floor, connection.opened_at)
         self.release(connection)
 
-    def _is_endpoints_answer(self, connection: ConnectionRow) -> bool:
-        """Tell whether an answer on a connection shows that its endpoint answers.
+    def _is_evidence(self, connection: ConnectionRow) -> bool:
+        """Tell whether an answer on a connection shows that its endpoint is alive.
 
-        Another host that passes statements on may not have noticed that it can't reach
-        the endpoint. Hosts that connect to it themselves would each take the other's
-        answer for the endpoint's.
+        A forwarding host may not have noticed yet that it can't reach the endpoint. For
+        a holder, answers on borrowed connections do not count: two holders that lost
+        the endpoint would each treat the other's answer as the endpoint's.
         """
         if not connection.holder:
             return True
@@ -305,9 +312,9 @@
             open=len(endpoint.connections),
         )
         if connection.holder:
-            is_answer = not self._is_silent(connection, event)
+            is_answer = not self._is_timed_out(connection, event)
             self._node.publish(WayRefused(endpoint, connection.holder, is_answer))
-            if self._pass_over(connection, event):
+            if self._avoid_holder(connection, event):
                 return
         if event.code is Code.TOO_MANY_CONNECTIONS:
             pause = FULL_BACKOFF * self._node.random.uniform(1.0, 2.0)
@@ -316,41 +323,45 @@
             pause = self._node.backoff(endpoint.failures, BACKOFF_MIN, BACKOFF_MAX)
         endpoint.refused_until = self.now + pause
         if event.code is Code.TOO_MANY_CONNECTIONS:
-            # What waits here goes by way of a host that has connections. After the
-            # pause it would have been refused.
+            # Waiting statements can use a borrowed connection now. After the pause they
+            # would have been refused.
             self._node.publish(ConnectionFreed(endpoint))
-        gone = event.unreachable or event.code is Code.WRONG_ENDPOINT
-        # What a holder fails to reach is no evidence of the endpoint's end.
-        if gone and not connection.holder:
+        is_failure = event.unreachable or event.code is Code.WRONG_ENDPOINT
+        # That a holder can't reach an endpoint does not show that the endpoint failed.
+        if is_failure and not connection.holder:
             unreachable = EndpointUnreachable(
                 endpoint, event.message, connection.opened_at
             )
             self._node.publish(unreachable)
         self.timers.after(pause, self._node.publish, ConnectionFreed(endpoint))
 
-    def _is_silent(self, connection: ConnectionRow, event: ConnectionRefused) -> bool:
-        """Tell whether an attempt to connect got no answer at all in time."""
-        took = self.now - connection.opened_at
-        return event.unreachable and took >= CONNECT_TIMEOUT
+    def _is_timed_out(
+        self, connection: ConnectionRow, event: ConnectionRefused
+    ) -> bool:
+        """Tell whether an attempt to connect got no answer in time."""
+        elapsed = self.now - connection.opened_at
+        return event.unreachable and elapsed >= CONNECT_TIMEOUT
 
-    def _pass_over(self, connection: ConnectionRow, event: ConnectionRefused) -> bool:
-        """Pass over a holder that refused; tell whether another way is left.
+    def _avoid_holder(
+        self, connection: ConnectionRow, event: ConnectionRefused
+    ) -> bool:
+        """Stop using a holder that refused; return whether there is another path.
 
-        It is gone, short of connections, or can't reach the endpoint: the next one may
-        well have what this one lacks.
+        The holder crashed, has too few connections, or can't reach the endpoint. The
+        next holder may be able to serve.
         """
         endpoint = connection.endpoint
         if event.code is Code.UNREACHABLE:
             self._holders.mark_unreachable(connection.holder, endpoint)
         else:
-            silent = self._is_silent(connection, event)
-            self._holders.mark_failed(connection.holder, silent)
+            timed_out = self._is_timed_out(connection, event)
+            self._holders.mark_failed(connection.holder, timed_out)
         if self._holders.holds(endpoint.entry.service):
             return True
-        left = self._holders.has_usable_holder(endpoint) or self._holders.is_cut_off(
+        has_path = self._holders.has_usable_holder(
             endpoint
-        )
-        if not left:
+        ) or self._holders.is_cut_off(endpoint)
+        if not has_path:
             return False
         self._node.publish(ConnectionFreed(endpoint))
         return True
@@ -368,10 +379,10 @@
             in_flight=len(connection.pending),
             message=event.message,
         )
-        self._abandon(connection, event.message)
+        self._notify_lost(connection, event.message)
         if not endpoint.is_leaving:
-            # Whoever crashed refuses at once: one learns that it is gone from the
-            # next attempt, not from a caller's statement some time later.
+            # If the endpoint has crashed, the attempt is refused at once, which shows
+            # the crash before the next statement does.
             self.grow(endpoint, connection.customer)
 
     def _remove(self, number: int) -> ConnectionRow | None:
@@ -380,7 +391,8 @@
             connection.endpoint.connections.pop(number, None)
         return connection
 
-    def _abandon(self, connection: ConnectionRow, why: str) -> None:
+    def _notify_lost(self, connection: ConnectionRow, why: str) -> None:
+        """Drop the calls in flight on a connection, and notify the user of it."""
         on_lost, connection.on_lost = connection.on_lost, None
         connection.pending.clear()
         if on_lost is not None:
@@ -391,27 +403,30 @@
         if connection is None:
             return
         if not connection.pending:
-            self.close(connection, "an answer to nothing")
+            self.close(connection, "a reply came without a call in flight")
             return
         batch = connection.pending[0]
         reply = event.reply
         if reply.code is Code.UNREACHABLE:
-            reply = self._take_unreachable(connection, reply)
-        self._note(connection, reply, batch.sent_at)
+            reply = self._handle_unreachable(connection, reply)
+        self._record_reply(connection, reply, batch.sent_at)
         batch.replies.append(reply)
         if len(batch.replies) == batch.size:
             connection.pending.popleft()
             batch.on_replies(connection, batch.replies)
             if connection.state is ConnectionState.PINNED:
-                # It stays with its transaction, and its endpoint has less to do.
+                # The connection stays pinned to its transaction, but the endpoint has
+                # room for another statement.
                 self._node.publish(ConnectionFreed(connection.endpoint))
 
-    def _take_unreachable(
+    def _handle_unreachable(
         self, connection: ConnectionRow, reply: EndpointReply
     ) -> EndpointReply:
-        """Have an endpoint reached by another holder than the one that could not.
+        """Stop using a holder that can't reach the endpoint, and its connections.
 
-        An endpoint can't say so of itself: whatever its word means, it is no promise.
+        From a holder, the code guarantees that the call did not run. An endpoint can't
+        be unreachable for itself: on a direct connection the code guarantees nothing,
+        and is replaced by OTHER.
         """
         if not connection.holder:
             return replace(reply, code=Code.OTHER)
@@ -426,53 +441,57 @@
         return reply
 
     def can_reach(self, endpoint: EndpointRow) -> bool:
-        """Tell whether an endpoint answers this host, as far as is known.
+        """Tell whether this host can reach an endpoint, as far as it knows.
 
-        One that is cut off keeps connections on which nothing comes.
+        That connections are open shows nothing: a host that is cut off from an endpoint
+        keeps them, but gets no replies.
         """
         return not endpoint.failures or endpoint.heard_at > self.now - RESPONSE_TIMEOUT
 
-    def _note(
+    def _record_reply(
         self, connection: ConnectionRow, reply: EndpointReply, sent_at: float
     ) -> None:
+        """Record what a reply shows about its endpoint."""
         endpoint = connection.endpoint
-        # A host on the way that refuses for the endpoint knows no position.
-        if reply.position is not None or self._is_endpoints_answer(connection):
+        # A reply with a position is the endpoint's own: a holder that refuses a call
+        # sends none.
+        if reply.position is not None or self._is_evidence(connection):
             endpoint.heard_at = self.now
         if reply.position is not None:
             endpoint.position = reply.position
             group = self.tables.group(endpoint.entry.service)
             group.term = max(group.term, reply.position.term)
             self._durability.note_position(endpoint, reply.position, sent_at)
-        self._learn_floor(endpoint, reply.floor, sent_at)
+        self._publish_floor(endpoint, reply.floor, sent_at)
 
-    def _learn_floor(
+    def _publish_floor(
         self, endpoint: EndpointRow, floor: FloorHint | None, sent_at: float
     ) -> None:
-        """Pass on what a host on the way adds to an answer."""
+        """Publish the sample that a holder added to an answer."""
         if floor is None:
             return
         group = self.tables.group(endpoint.entry.service)
-        # What it answers arrived there after it was sent here, whatever time that took.
+        # The age was measured when the call arrived at the holder, which is after
+        # `sent_at`: the sample is at least as new as the time computed here.
         asked_at = sent_at - floor.age
         self._node.publish(FloorLearnt(group, floor.position, asked_at))
 
     def _on_restarted(self, signal: EndpointRestarted) -> None:
-        """Close all connections to an endpoint's earlier start, also busy ones.
+        """Close all connections to an endpoint's previous start, busy ones included.
 
-        One that ended without a sign, as its machine did, resets none of them. What was
-        sent on them would wait for answers that can't come, and their values and
-        prepared statements would be looked for at the new start.
+        An endpoint whose machine failed does not reset them. Calls sent on them would
+        wait for replies that never come, and sessions would assume that their values
+        and prepared statements exist at the restarted endpoint.
         """
         for connection in list(signal.before.connections.values()):
-            self.close(connection, "the endpoint started again")
+            self.close(connection, "the endpoint restarted")
 
     def _on_forgotten(self, signal: EndpointForgotten) -> None:
         for connection in list(signal.endpoint.connections.values()):
             if connection.state is ConnectionState.IDLE:
-                self.close(connection, "the endpoint is gone")
+                self.close(connection, "the endpoint was removed")
 
 
 def _is_for(opening: ConnectionRow, customer: str | None) -> bool:
-    """Tell whether a customer's statement should wait for a connection that opens."""
+    """Tell whether a connection that is being opened is for a certain customer."""
     return customer is not None and opening.customer == customer
--- a/mallowpass/core/proxy/links.py
+++ b/mallowpass/core/proxy/links.py
@@ -1,9 +1,10 @@
-"""Serving other hosts' statements over the connections that this host holds.
+"""Forward the statements of other hosts over the connections of this host.
 
-To another host a link looks like a connection to the endpoint. Its values and prepared
-statements are kept here; a connection is bound to it while calls are in flight or a
-transaction is open, and serves others in between. Replies are passed on as they are:
-what they prove, they prove to the host that asked.
+A link is the holder's end of a forwarded connection. To the other host it behaves like
+a connection to the endpoint. The holder keeps the link's values and prepared
+statements, and pins one of its connections to the link while calls are in flight or a
+transaction is open. Replies are forwarded unchanged: the other host draws its own
+conclusions about the endpoint from them.
 """
 
 from __future__ import annotations
@@ -64,15 +65,16 @@
 
 __all__ = ["Links"]
 
-# Calls that wait longer for a connection are refused: they did not run, and the host
-# that sent them has time left to try elsewhere, or to tell its caller.
-WAIT_MAX = 0.2  # seconds
+# Seconds after which calls that wait for a connection are refused. They did not run,
+# and the host that forwarded them has time left to try another holder, or to answer its
+# caller.
+WAIT_TIMEOUT = 0.2
 
-OUT_OF_REACH = "the endpoint can't be reached"
+ENDPOINT_UNREACHABLE = "the endpoint can't be reached"
 
 
 class Links(ProxySystem):
-    """Own the links of other hosts."""
+    """Serve the links of other hosts."""
 
     __slots__ = (
         "_connections",
@@ -85,7 +87,7 @@
     )
 
     def start(self) -> None:
-        """Subscribe to what other hosts do, and to free connections."""
+        """Subscribe to the events of links, connections and endpoints."""
         node = self._node
         self._connections = node.system(Connections)
         self._floors = node.system(Floors)
@@ -93,7 +95,7 @@
         self._load = node.system(Load)
         self._pauses = node.system(Pauses)
         self._stalls = node.system(Stalls)
-        self._waiting: list[LinkRow] = []  # the most urgent first
+        self._waiting: list[LinkRow] = []  # by priority, then by time
         node.subscribe(LinkOpened, self._on_opened)
         node.subscribe(LinkCalled, self._on_called)
         node.subscribe(LinkClosed, self._on_closed)
@@ -107,12 +109,12 @@
     def _on_opened(self, event: LinkOpened) -> None:
         endpoint = self.tables.endpoints.get(event.endpoint)
         if endpoint is None or endpoint.entry.service != event.service:
-            message = f"no endpoint {event.endpoint!r} is known here"
+            message = f"this host knows no endpoint {event.endpoint!r}"
             self._node.emit(RefuseLink(event.link, Code.WRONG_ENDPOINT, message))
         elif not self._holders.holds(event.service):
-            # Else two hosts that see the fleet differently would pass calls on to
-            # each other.
-            message = f"this host does not hold {event.service!r}"
+            # Two hosts with different views of the fleet could otherwise forward calls
+            # to each other.
+            message = f"this host is not a holder of service {event.service!r}"
             self._node.emit(RefuseLink(event.link, Code.BUSY, message))
         elif not self._connections.can_reach(endpoint):
             message = f"{self._node.identity.name} can't reach {event.endpoint!r}"
@@ -138,29 +140,29 @@
     def _on_forgotten(self, signal: EndpointForgotten) -> None:
         for link in list(self.tables.links.values()):
             if link.endpoint is signal.endpoint and not link.in_flight:
-                self._dismiss(link, "the endpoint is gone")
+                self._refuse_and_close(link, "the endpoint was removed")
 
     def _on_restarted(self, signal: EndpointRestarted) -> None:
-        """End all links to an endpoint's earlier start.
+        """Close all links to an endpoint's previous start.
 
-        Those with calls in flight have ended with their connections.
+        Links with calls in flight were closed together with their connections.
         """
         for link in list(self.tables.links.values()):
             if link.endpoint is signal.before:
-                self._dismiss(link, "the endpoint started again")
+                self._refuse_and_close(link, "the endpoint restarted")
 
-    def _dismiss(self, link: LinkRow, why: str) -> None:
-        """Close a link after refusing what waits on it.
+    def _refuse_and_close(self, link: LinkRow, why: str) -> None:
+        """Refuse the waiting calls of a link, then close the link.
 
-        The host at the other end takes calls without an answer for sent: it would tell
-        callers that writes are in doubt which no endpoint was given.
+        The other host treats calls without a reply as sent to the endpoint. Without a
+        refusal it would answer that the outcome of waiting writes is in doubt.
         """
         if link.waiting:
             self._refuse(link, Code.BUSY, why)
-        self._end(link)
+        self._close(link)
 
-    def _end(self, link: LinkRow) -> None:
-        """Close a link from here: whatever it has in flight has no answer."""
+    def _close(self, link: LinkRow) -> None:
+        """Close a link from this end; calls in flight on it get no reply."""
         self._node.emit(CloseLink(link.number))
         self._on_closed(LinkClosed(link.number))
 
@@ -168,7 +170,7 @@
         """Close all links that have nothing in flight and no transaction open."""
         for link in list(self.tables.links.values()):
             if link.connection is None and not link.waiting:
-                self._end(link)
+                self._close(link)
 
     # -- Calls ---------------------------------------------------------------
 
@@ -180,9 +182,10 @@
         priorities = [c.priority for c in event.calls if c.priority is not None]
         link.priority = min(priorities, default=0)
         for call in event.calls:
-            # The endpoint would take the words for both for a statement.
+            # The endpoint does not know these fields, and would parse them as a
+            # statement.
             plain = replace(call, priority=None, on_behalf_of=None)
-            self._take(call.statement, plain, link)
+            self._accept(call.statement, plain, link)
         if not link.waiting:
             return
         if self._is_outdated(link):
@@ -195,51 +198,52 @@
         if named:
             link.on_behalf_of = named[0]
         elif link not in self._waiting:
-            # Else these belong to what waits: they were cut off from it on the way.
+            # If the link is waiting, these calls are the rest of a batch that arrived
+            # in several parts, and the customer named in its first part applies.
             link.on_behalf_of = None
         if any(map(self._is_unknown, named)):
             self._refuse(link, Code.UNAUTHENTICATED, "no such customer")
         elif link not in self._waiting:
-            if self._holds_back(link):
+            if self._should_refuse_write(link):
                 self._refuse(link, Code.BUSY, WRITES_STALL)
                 return
-            if not _is_reached(link.endpoint) and self._is_replaced(link):
-                self._refuse(link, Code.NOT_PRIMARY, "another one leads")
+            if not _is_connected(link.endpoint) and self._is_replaced(link):
+                self._refuse(link, Code.NOT_PRIMARY, "another endpoint is primary")
                 return
             if not self._connections.can_reach(link.endpoint):
-                self._refuse(link, Code.UNREACHABLE, OUT_OF_REACH)
+                self._refuse(link, Code.UNREACHABLE, ENDPOINT_UNREACHABLE)
                 return
             link.waits_since = self.now
             self._waiting.append(link)
             self._waiting.sort(key=lambda link: (link.priority, link.waits_since))
-            self.timers.after(WAIT_MAX, self._check_wait, link, self.now)
+            self.timers.after(WAIT_TIMEOUT, self._check_wait, link, self.now)
             self._try(link)
 
     def _is_outdated(self, link: LinkRow) -> bool:
-        """Tell whether writes that were read after a pause may be too old to run."""
-        waited = self._pauses.max_input_delay
+        """Tell whether waiting writes may have outlived their timeout in a pause."""
+        delay = self._pauses.max_input_delay
         timeout = self._stalls.statement_timeout(link.endpoint.entry.service)
-        if waited < timeout:
+        if delay < timeout:
             return False
         return any(_is_write(link, call.statement) for call in link.waiting)
 
     def _refuse_outdated(self, link: LinkRow) -> None:
         if link.connection is None:
-            why = f"it was paused for {self._pauses.max_input_delay:.1f} s"
+            why = f"this host was paused for {self._pauses.max_input_delay:.1f} s"
             self._refuse(link, Code.BUSY, why)
         else:
-            self._end(link)  # which rolls its transaction back
+            self._close(link)  # this rolls the transaction back
 
     def _is_unknown(self, on_behalf_of: OnBehalfOf) -> bool:
-        """Tell whether a newer configuration than a host went by lacks a customer."""
+        """Tell whether a configuration newer than the other host's lacks a customer."""
         configuration = self.tables.configuration
         if configuration is None or configuration.version <= on_behalf_of.version:
             return False
         name = on_behalf_of.customer
         return name not in configuration.customers and name != ANONYMOUS
 
-    def _holds_back(self, link: LinkRow) -> bool:
-        """Tell whether a write that waits would hang at a primary that stalls."""
+    def _should_refuse_write(self, link: LinkRow) -> bool:
+        """Tell whether a waiting write would hang at a primary whose writes stall."""
         if not any(_is_write(link, call.statement) for call in link.waiting):
             return False
         return self._stalls.holds_back_write(self._group(link))
@@ -248,47 +252,48 @@
         return self.tables.group(link.endpoint.entry.service)
 
     @singledispatchmethod
-    def _take(self, statement: Statement, call: EndpointCall, link: LinkRow) -> None:
+    def _accept(self, statement: Statement, call: EndpointCall, link: LinkRow) -> None:
+        """Queue a call; those that set session state are answered at once."""
         link.waiting.append(call)
 
-    @_take.register
+    @_accept.register
     def _(self, statement: SetValue, call: EndpointCall, link: LinkRow) -> None:
         link.values[statement.name] = statement.value
         self._answer_done(link)
 
-    @_take.register
+    @_accept.register
     def _(self, statement: Prepare, call: EndpointCall, link: LinkRow) -> None:
         prepared = PreparedStatement(statement.access, statement.shape)
         link.prepared[statement.name] = prepared
         self._answer_done(link)
 
-    @_take.register
+    @_accept.register
     def _(self, statement: Reset, call: EndpointCall, link: LinkRow) -> None:
         link.values.clear()
         link.prepared.clear()
         self._answer_done(link)
 
     def _answer_done(self, link: LinkRow) -> None:
-        # Hosts send these ahead of a statement, when no call is in flight: the order
-        # of answers is that of calls.
+        # Hosts send such calls ahead of a statement, with no call in flight: replies
+        # stay in the order of calls.
         state = SessionState.IDLE
         if link.connection is not None:
             state = SessionState.IN_TRANSACTION
         self._node.emit(AnswerLink(link.number, EndpointReply(Code.DONE, state=state)))
 
     def _on_freed(self, signal: ConnectionFreed) -> None:
-        without: set[str | None] = set()  # customers for whom there is no connection
+        blocked: set[str | None] = set()  # customers without an available connection
         for link in list(self._waiting):
-            if link.endpoint is not signal.endpoint or link.customer in without:
+            if link.endpoint is not signal.endpoint or link.customer in blocked:
                 continue
             if not self._try(link):
-                without.add(link.customer)
+                blocked.add(link.customer)
 
     def _try(self, link: LinkRow) -> bool:
-        """Give a link a connection; tell whether there was one."""
+        """Send a link's waiting calls if a connection is available; return success."""
         if not self._load.has_room(link.endpoint):
             return False
-        # What a holder asks for is not passed on to a third host: two that are short of
+        # Calls of a holder are not forwarded to a third host: two holders without
         # connections would wait for each other.
         connection = self._connections.acquire(
             link.endpoint, link.values, link.customer, own_only=link.of_holder
@@ -309,17 +314,17 @@
             return
         self._waiting.remove(link)
         if self._is_replaced(link):
-            self._refuse(link, Code.NOT_PRIMARY, "another one leads")
+            self._refuse(link, Code.NOT_PRIMARY, "another endpoint is primary")
         elif not self._connections.can_reach(link.endpoint):
-            self._refuse(link, Code.UNREACHABLE, OUT_OF_REACH)
+            self._refuse(link, Code.UNREACHABLE, ENDPOINT_UNREACHABLE)
         else:
             self._refuse(link, Code.BUSY, "no connection is free")
 
     def _on_unreachable(self, signal: EndpointUnreachable) -> None:
-        """Refuse what waits for an endpoint that this host can't reach.
+        """Refuse the calls that wait for an endpoint that this host can't reach.
 
-        Told that this host is full, or nothing, whoever asked would wait for what can't
-        come. Another holder may well reach it.
+        The code lets the other host try another holder, which may reach the endpoint.
+        After a refusal for want of connections it would come back to this host.
         """
         endpoint = signal.endpoint
         if self._connections.can_reach(endpoint):
@@ -327,13 +332,13 @@
         for link in list(self._waiting):
             if link.endpoint is endpoint and not self._is_replaced(link):
                 self._waiting.remove(link)
-                self._refuse(link, Code.UNREACHABLE, OUT_OF_REACH)
+                self._refuse(link, Code.UNREACHABLE, ENDPOINT_UNREACHABLE)
 
     def _is_replaced(self, link: LinkRow) -> bool:
         """Tell whether calls wait for a primary that was replaced.
 
-        A host that can't read the store learns that from the old primary's refusals;
-        one that is dark refuses nothing.
+        A host that can't read the store learns of a new primary from the refusals of
+        the old one. If the old one does not respond, only the holder can say so.
         """
         group = self._group(link)
         if group.primary in ("", link.endpoint.name):
@@ -341,15 +346,15 @@
         return any(_proves_primary(link, call.statement) for call in link.waiting)
 
     def _refuse(self, link: LinkRow, code: Code, message: str) -> None:
-        """Refuse calls that wait: they did not run."""
+        """Refuse the waiting calls of a link, which did not run."""
         self._node.count("links_refused", endpoint=link.endpoint.name, code=code.value)
         group = self._group(link)
         if code is Code.BUSY and link.endpoint.name == group.primary:
             group.turned_away_at = self.now
-        # Without a floor the host would send its reads to the primary once more, which
-        # is what most calls wait for after a start of all hosts.
-        said = f"{self._node.identity.name}: {message}"
-        reply = self._with_floor(link, EndpointReply(code, message=said))
+        # A host without a floor sends its reads to the primary, where most calls wait
+        # after all hosts have started. With the floor it can send them to replicas.
+        text = f"{self._node.identity.name}: {message}"
+        reply = self._with_floor(link, EndpointReply(code, message=text))
         while link.waiting:
             link.waiting.popleft()
             self._node.emit(AnswerLink(link.number, reply))
@@ -358,29 +363,29 @@
         calls = list(link.waiting)
         link.waiting.clear()
         if connection.holder:
-            # The host that it goes by has to know in whose name they run.
+            # The host that forwards them has to know for which customer they run.
             calls = [replace(call, on_behalf_of=link.on_behalf_of) for call in calls]
         names = {c.statement.name for c in calls if isinstance(c.statement, Execute)}
         prepared = [link.prepared[name] for name in names if name in link.prepared]
-        set_up = make_setup_calls(connection, link.values, prepared)
+        setup = make_setup_calls(connection, link.values, prepared)
         link.in_flight += len(calls)
-        skipped = len(set_up)
+        setup_count = len(setup)
         sent_at = self.now
 
         def on_replies(connection: ConnectionRow, replies: list[EndpointReply]) -> None:
-            self._sample(link, calls, replies[skipped:], sent_at)
-            self._on_replies(link, connection, replies, skipped)
+            self._record_replies(link, calls, replies[setup_count:], sent_at)
+            self._on_replies(link, connection, replies, setup_count)
 
-        self._connections.send(connection, set_up + calls, on_replies)
+        self._connections.send(connection, setup + calls, on_replies)
         if any(_is_write(link, call.statement) for call in calls):
             overdue = self._stalls.overdue_time(link.endpoint.entry.service)
             self.timers.after(overdue, self._check_write, connection, sent_at)
 
     def _check_write(self, connection: ConnectionRow, sent_at: float) -> None:
-        """Have it known that a write of another host got no answer in time.
+        """Publish that a write of another host got no reply in time.
 
-        The hosts that hold a service judge its primary, and their own callers' writes
-        are few.
+        The holders of a service decide whether its primary has failed, and writes of
+        their own callers are few.
         """
         if connection.number not in self.tables.connections or not connection.pending:
             return
@@ -389,14 +394,14 @@
 
     # -- Replies -------------------------------------------------------------
 
-    def _sample(
+    def _record_replies(
         self,
         link: LinkRow,
         calls: list[EndpointCall],
         replies: list[EndpointReply],
         sent_at: float,
     ) -> None:
-        """Record what other hosts' statements tell of an endpoint."""
+        """Record what replies to other hosts show about an endpoint."""
         group = self._group(link)
         if any(
             reply.code is Code.DONE and call.statement.takes_slot
@@ -405,21 +410,22 @@
             self._load.record_latency(link.endpoint, self.now - sent_at)
         for call, reply in zip(calls, replies, strict=True):
             if call.minimum is not None:
-                self._note_floor(link.endpoint, reply)
+                self._record_freshness(link.endpoint, reply)
             if reply.code is not Code.DONE or reply.position is None:
                 continue
             if not _proves_primary(link, call.statement):
                 continue
-            if reply.state is SessionState.IDLE:  # a write that stood alone
+            if reply.state is SessionState.IDLE:  # a write outside a transaction
                 self._node.publish(WriteAcknowledged(group))
                 self._floors.acknowledged(link.endpoint, reply.position, sent_at)
             else:
                 self._floors.sample(group, reply.position, sent_at)
 
-    def _note_floor(self, endpoint: EndpointRow, reply: EndpointReply) -> None:
-        """Learn whether an endpoint is behind from what it answers other hosts.
+    def _record_freshness(self, endpoint: EndpointRow, reply: EndpointReply) -> None:
+        """Record whether an endpoint had reached the floor of another host's call.
 
-        A holder has few callers of its own, and is the one that has it relieved.
+        A holder has few callers of its own, and it is holders that have an overloaded
+        primary replaced when all its replicas are behind.
         """
         if reply.code is Code.BEHIND:
             self._floors.lacked(endpoint)
@@ -427,20 +433,21 @@
             self._floors.reached(endpoint)
 
     def _with_floor(self, link: LinkRow, reply: EndpointReply) -> EndpointReply:
-        """Return a reply with the newest sample, for the host that asked.
+        """Return a reply with the newest sample of the primary's log position.
 
-        A host of a large fleet runs few statements of a service by itself. Without the
-        samples of its neighbours its floors would be missing, and its reads would go
+        A host of a large fleet runs few statements of a service. Without samples from
+        the statements of other hosts it would have no floor, and would send its reads
         to the primary.
         """
         floor = self._floor_hint(link.endpoint.entry.service, link.called_at)
         return reply if floor is None else replace(reply, floor=floor)
 
     def _floor_hint(self, service: str, at: float) -> FloorHint | None:
-        """Return the newest sample of a service, with its age at some time.
+        """Return the newest sample of a service with its age at a given time.
 
-        None also where nothing proves yet when its primary led alone: such a sample is
-        of no age, and its position a floor for nothing.
+        Return None if there is no sample, or if nothing proves yet that the primary was
+        the only one at some time: the age of the sample is infinite then, and its
+        position is no floor for any read.
         """
         samples = self.tables.group(service).samples
         if not samples or math.isinf(samples[-1].asked_at):
@@ -453,11 +460,12 @@
         link: LinkRow,
         connection: ConnectionRow,
         replies: list[EndpointReply],
-        skipped: int,
+        setup_count: int,
     ) -> None:
-        if any(reply.code is not Code.DONE for reply in replies[:skipped]):
+        """Forward replies, without those to the `setup_count` calls sent ahead."""
+        if any(reply.code is not Code.DONE for reply in replies[:setup_count]):
             connection.broken = True
-        answers = replies[skipped:]
+        answers = replies[setup_count:]
         link.in_flight -= len(answers)
         if not link.closed:
             answers[-1] = self._with_floor(link, answers[-1])
@@ -480,11 +488,11 @@
         link.in_flight = 0
         if not link.closed:
             self._node.log("info", "link_lost", endpoint=link.endpoint.name, why=why)
-            self._end(link)
+            self._close(link)
 
 
-def _is_reached(endpoint: EndpointRow) -> bool:
-    """Tell whether there is a connection to an endpoint, busy or not."""
+def _is_connected(endpoint: EndpointRow) -> bool:
+    """Tell whether there is an open connection to an endpoint, busy or not."""
     return any(
         connection.state is not ConnectionState.OPENING
         for connection in endpoint.connections.values()
@@ -492,7 +500,7 @@
 
 
 def _is_write(link: LinkRow, statement: Statement) -> bool:
-    """Tell whether a statement, or the transaction that it ends, may write."""
+    """Tell whether a statement, or the transaction that it commits, may write."""
     if isinstance(statement, Execute):
         prepared = link.prepared.get(statement.name)
         return prepared is not None and prepared.access is Access.WRITE
@@ -500,7 +508,7 @@
 
 
 def _proves_primary(link: LinkRow, statement: Statement) -> bool:
-    """Tell whether only a primary answers a statement with DONE."""
+    """Tell whether DONE in reply to a statement shows that the endpoint is primary."""
     if isinstance(statement, Begin):
         return not statement.read_only
     return _is_write(link, statement) and not isinstance(statement, Commit)
--- a/tests/core/proxy/test_connections.py
+++ b/tests/core/proxy/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections: within the limit of all hosts, and none that is silent is kept."""
+"""Connections: limits, borrowing, and those on which no replies come."""
 
 from __future__ import annotations
 
@@ -33,11 +33,11 @@
 
 
 def test_all_hosts_serve_after_all_lost_power():
-    """Symptom: after a loss of power some hosts serve nothing for three seconds.
+    """After a loss of power, some hosts served nothing for three seconds.
 
-    Sequence: all hosts hold their whole share, lose power, and start again; members
-    still count the lost connections. Cause: the hosts that come first take what room
-    is left, and the others are turned away.
+    All hosts have their whole share of connections, lose power and start again while
+    the endpoints still count the lost connections. The first hosts to start used all
+    the connections that were left, and the others were refused.
     """
     world = ProxyWorld(hosts=7)
     world.run(4.0)
@@ -59,8 +59,8 @@
     assert [caller.run(Read("a")).code for caller in callers] == [Code.DONE] * 7
 
 
-def test_read_on_a_silent_connection_is_served_elsewhere():
-    """Symptom: a read takes its whole timeout. Sequence: its answer is lost."""
+def test_read_without_a_reply_is_served_elsewhere():
+    """A read whose reply was lost took its whole timeout."""
     world = ProxyWorld()
     caller = world.caller(0, "bounded")
     world.caller(0, "own").run(Write("a 1"))
@@ -70,7 +70,7 @@
     assert world.timers.now - began < 0.5
 
 
-def test_silent_connection_is_closed():
+def test_connection_without_replies_is_closed():
     world = ProxyWorld()
     world.caller(0, "own").run(Write("a 1"))
     world.answers_to_lose = 1
@@ -82,8 +82,8 @@
     assert not any(connection.silent for connection in host.connections.values())
 
 
-def test_write_without_an_answer_is_not_sent_again():
-    """Symptom: a write takes effect twice. Sequence: its answer is lost."""
+def test_write_without_a_reply_is_not_sent_again():
+    """A write whose reply was lost took effect twice."""
     world = ProxyWorld()
     world.answers_to_lose = 1
     caller = world.caller(0, "own")
@@ -93,11 +93,11 @@
     assert len(sent) == 1
 
 
-def test_read_leaves_a_dark_primary_for_a_replica_that_has_its_floor():
-    """Symptom: a read times out though a replica could serve it.
+def test_read_moves_from_an_unresponsive_primary_to_a_replica_with_its_floor():
+    """A read timed out although a replica could have served it.
 
-    Sequence: the primary goes dark with the read in flight; the read is moved. Cause:
-    it is moved to the same primary, on another connection.
+    The primary stops responding with the read in flight. The read was moved to another
+    connection to the same primary.
     """
     world = ProxyWorld()
     caller = world.caller(0, "bounded")
@@ -109,7 +109,7 @@
 
 
 def _open_transactions(world: ProxyWorld, count: int) -> list[Caller]:
-    """Open transactions at one host; each keeps a connection to the primary."""
+    """Open transactions at one host; each pins a connection to the primary."""
     callers = [world.caller(0, "strict") for _ in range(count)]
     for caller in callers:
         caller.send(Begin())
@@ -118,13 +118,12 @@
     return callers
 
 
-def test_a_host_with_all_callers_uses_connections_of_its_neighbours():
-    """Symptom: after a loss of power one host refuses most statements for two seconds,
-    while the others' connections to the same endpoints are idle.
+def test_host_with_all_callers_borrows_connections_of_other_hosts():
+    """After a loss of power, one host refused most statements for two seconds.
 
-    Sequence: the balancer finds one host of a region ready first, and sends it all
-    callers of that region; each open transaction keeps one of its two connections.
-    Cause: a host uses its own connections only, however many the others have free.
+    The load balancer finds one host of a region ready first, and sends all callers of
+    the region to it. Open transactions pin its two connections to the primary. It could
+    not use the idle connections that other hosts had to the same endpoint.
     """
     world = ProxyWorld(hosts=7)
     callers = _open_transactions(world, 6)
@@ -138,7 +137,7 @@
     assert len(world.group.acknowledged) == 6
 
 
-def test_borrowed_connections_are_given_back():
+def test_borrowed_connections_are_closed_after_use():
     world = ProxyWorld(hosts=7)
     callers = _open_transactions(world, 6)
     assert world.links
@@ -148,13 +147,12 @@
     assert not world.links
 
 
-def test_successors_of_hosts_that_lost_power_find_room():
-    """Most statements of the first half second after a loss of power are late.
+def test_hosts_that_lost_power_can_connect_again():
+    """Most statements in the first half second after a loss of power were late.
 
-    Hosts had all of their connections from a moment of much work. They lost power, and
-    the endpoints counted the connections of the dead for three seconds more: two places
-    of sixteen were left for seven hosts that started again. The connections had been
-    idle for a second.
+    After a peak of load, hosts kept their whole shares of connections, idle for a
+    second. They lost power, and the endpoints counted the lost connections for three
+    more seconds: 2 of 16 connections were left for the 7 hosts that started again.
     """
     world = ProxyWorld(hosts=7, slots=2, max_connections=16)
     services = {SERVICE: ServiceLimits(SERVICE, 16, 1)}
@@ -168,13 +166,13 @@
     world.run(1.0)
     callers: list[Caller] = []
 
-    def read_much(host: Host) -> None:
+    def send_reads(host: Host) -> None:
         for number in range(6):
             caller = Caller(world, host, "strict")
             callers.append(caller)
             world.timers.after(0.015 + 0.01 * number, caller.send, Read("a"))
 
-    world.lose_power(down=1.0, linger=3.0, started=read_much)
+    world.lose_power(down=1.0, linger=3.0, started=send_reads)
     world.run(0.5)
     done = [c for c in callers if c.answers and c.answers[0].code is Code.DONE]
     assert len(done) / len(callers) > 0.9
--- a/tests/core/proxy/test_links.py
+++ b/tests/core/proxy/test_links.py
@@ -1,4 +1,4 @@
-"""Large fleets: few hosts hold the connections, the others go by way of them."""
+"""Large fleets: few hosts are holders, and the others forward statements to them."""
 
 from __future__ import annotations
 
@@ -41,7 +41,9 @@
 
 LIMIT = 22
 HOSTS = 24
-NO_RELAYS = 3.0  # seconds: each host learns of changes by itself
+# Seconds within which changes must be in force: so few that hosts use no relays, and
+# each watches the store itself.
+APPLY_TIME_WITHOUT_RELAYS = 3.0
 
 
 @pytest.fixture
@@ -51,22 +53,22 @@
     return world
 
 
-def _holds(host: Host) -> bool:
+def _is_holder(host: Host) -> bool:
     return bool(host.connections)
 
 
-def _other(world: ProxyWorld) -> int:
-    """Return the index of a host that holds nothing."""
-    return next(i for i, h in enumerate(world.hosts) if not _holds(h))
+def _non_holder(world: ProxyWorld) -> int:
+    """Return the index of a host that is not a holder."""
+    return next(i for i, h in enumerate(world.hosts) if not _is_holder(h))
 
 
-def test_few_hosts_hold_connections(world):
-    holders = [host for host in world.hosts if _holds(host)]
+def test_few_hosts_are_holders(world):
+    holders = [host for host in world.hosts if _is_holder(host)]
     assert 2 <= len(holders) <= 4
     assert len({host.domain for host in holders}) == 3
 
 
-def test_any_host_serves_sessions(world):
+def test_all_hosts_serve_sessions(world):
     for index in range(HOSTS):
         caller = world.caller(index, "own")
         assert caller.run(Write(f"a {index}")).code is Code.DONE
@@ -74,8 +76,8 @@
     assert max(len(r.connections) for r in world.group.replicas.values()) <= LIMIT
 
 
-def test_session_state_by_way_of_a_holder(world):
-    index = _other(world)
+def test_session_state_is_kept_through_a_holder(world):
+    index = _non_holder(world)
     first, second = world.caller(index, "own"), world.caller(index, "own")
     first.run(SetValue("role", "clerk"))
     first.run(Prepare("s", Access.WRITE, "q1"))
@@ -104,13 +106,13 @@
     assert done.count(Code.DONE) == len(callers)
 
 
-def test_write_on_its_way_by_a_holder_that_ends_is_in_doubt(world):
-    """Symptom: a write takes effect twice.
+def test_write_is_in_doubt_when_its_holder_crashes(world):
+    """A write took effect twice.
 
-    Sequence: the holder that has it ends before it answers. Cause: the host that sent
-    it takes it for not run, and sends it by way of another holder.
+    The holder of a forwarded write crashes before it replies. The host that forwarded
+    the write assumed that it did not run, and sent it through another holder.
     """
-    index = _other(world)
+    index = _non_holder(world)
     caller = world.caller(index, "own")
     assert caller.run(Write("a 1")).code is Code.DONE
     caller.send(Write("a 2"))
@@ -122,8 +124,8 @@
     assert caller.run(Read("a")).code is Code.DONE
 
 
-def test_hosts_go_by_another_holder_when_theirs_ends(world):
-    index = _other(world)
+def test_hosts_switch_to_another_holder_when_theirs_crashes(world):
+    index = _non_holder(world)
     caller = world.caller(index, "own")
     caller.run(Write("a 1"))
     (holder,) = {link.holder for link in world.links.values()}
@@ -132,9 +134,9 @@
     assert caller.run(Write("a 2")).code is Code.DONE
 
 
-def test_stopping_holder_finishes_what_it_has(world):
-    """Symptom: writes in doubt during a rolling restart. Sequence: a holder stops."""
-    index = _other(world)
+def test_stopping_holder_finishes_calls_in_flight(world):
+    """Writes were in doubt during a rolling restart, when a holder stopped."""
+    index = _non_holder(world)
     callers = [world.caller(index, "own") for _ in range(4)]
     for caller in callers:
         caller.run(Write("a 1"))
@@ -148,7 +150,7 @@
 
 
 def test_crashed_primary_is_replaced_by_holders(world):
-    index = _other(world)
+    index = _non_holder(world)
     caller = world.caller(index, "own")
     caller.run(Write("a 1"))
     world.crash("db-casa")
@@ -160,16 +162,15 @@
     assert world.group.lost == []
 
 
-def test_a_host_without_the_store_learns_of_a_new_primary_by_its_holder(world):
-    """Symptom: for seconds after a promotion, some hosts refuse whatever is for the
-    primary, after a wait of 0.2 s.
+def test_host_without_the_store_learns_of_a_new_primary_from_its_holder(world):
+    """For seconds after a promotion, some hosts refused statements for the primary.
 
-    Sequence: a host that holds nothing can't reach the store; the primary goes dark and
-    is replaced.
-    Cause: only entries and the old primary's own refusals told such a host; its holder
-    knew, and answered that no connection was free.
+    A host that is not a holder can't reach the store. The primary stops responding and
+    is replaced. The host could learn of the promotion only from entries in the store or
+    from the old primary; its holder knew of it, but answered after 0.2 s that no
+    connection was free.
     """
-    index = _other(world)
+    index = _non_holder(world)
     caller = world.caller(index, "strict")
     caller.run(Write("a 1"))
     world.hosts[index].cut_from.add("store")
@@ -183,29 +184,29 @@
 
 
 def test_first_start_takes_no_more_connections_than_there_are():
-    """Symptom: endpoints turn connections away when the fleet first starts.
+    """Endpoints refused connections when the fleet started for the first time.
 
-    Sequence: all hosts start at once; the first that look see few others. Cause: each
-    takes a share as if there were only these.
+    All hosts start at once, and the first ones see few entries of others. They computed
+    their shares as if there were no further hosts.
     """
     world = ProxyWorld(hosts=HOSTS, first_start=True)
     world.run(6.0)
     assert all(host.ready for host in world.hosts)
     assert not any(host.logged("connection_refused") for host in world.hosts)
-    caller = world.caller(_other(world), "own")
+    caller = world.caller(_non_holder(world), "own")
     assert caller.run(Write("a 1")).code is Code.DONE
 
 
-def test_floors_come_with_replies(world):
-    """Symptom: reads of a large fleet all go to the primaries.
+def test_replies_carry_floors(world):
+    """In a large fleet, all reads went to the primaries.
 
-    Sequence: a host runs few statements of a service, and none lately that proves
-    the primary's position. Cause: it has no floor, though its neighbours do.
+    A host runs few statements of a service, and none recently that proves the primary's
+    log position. It had no floor, although other hosts in its domain had one.
     """
-    index = _other(world)
+    index = _non_holder(world)
     domain = world.hosts[index].domain
     near = [i for i, h in enumerate(world.hosts) if h.domain == domain]
-    busy = [i for i in near if not _holds(world.hosts[i]) and i != index]
+    busy = [i for i in near if not _is_holder(world.hosts[i]) and i != index]
     reader = world.caller(index, "bounded")
     reader.run(Read("a"))
     for host in busy:
@@ -225,27 +226,29 @@
     assert sample.position >= max(older)
 
 
-def test_few_hosts_hold_connections_to_endpoints_of_few_slots():
-    # Symptom: with connections enough for all of 62 hosts, a full endpoint of 6 slots
-    # lets each statement wait for 0.3 s, the most urgent ones too.
-    # Sequence: each host sends one statement; the endpoint queues 56 of 62.
-    # Cause: no host can keep to a part of what the endpoint should have: the parts are
-    # less than one statement.
+def test_few_hosts_are_holders_of_endpoints_with_few_slots():
+    """At an overloaded endpoint, even the most urgent statements waited for 0.3 s.
+
+    62 hosts have enough connections to an endpoint with 6 slots. Each sends one
+    statement, and the endpoint queues 56 of them. Hosts could not limit their
+    statements, as each host's part of the limit was less than one statement.
+    """
     world = ProxyWorld(hosts=HOSTS, max_connections=100)
     services = {SERVICE: ServiceLimits(SERVICE, 100, 1)}
     world.store.put(CONFIGURATION_KEY, configuration(2, services=services))
     world.run(4.0)
-    holding = [host.node.system(Holders).holds(SERVICE) for host in world.hosts]
-    assert 2 <= sum(holding) <= 6
-    caller = world.caller(holding.index(False), "own")
+    are_holders = [host.node.system(Holders).holds(SERVICE) for host in world.hosts]
+    assert 2 <= sum(are_holders) <= 6
+    caller = world.caller(are_holders.index(False), "own")
     assert caller.run(Write("a 1")).code is Code.DONE
 
 
-def test_a_holder_serves_the_most_urgent_first(world):
-    # Symptom: on a service with more to do than slots, urgent statements were late and
-    # refused as often as all others.
-    # Sequence: calls of other hosts wait at a holder, first come, first served.
-    # Cause: calls did not say how urgent they were.
+def test_holder_serves_calls_by_priority(world):
+    """Under overload, urgent statements were late and refused as often as others.
+
+    Calls of other hosts wait at a holder. They did not carry their priority, so that
+    the holder served them in order of arrival.
+    """
     routes = {
         "urgent": route("urgent", Consistency.PRIMARY, priority=1),
         "patient": route("patient", Consistency.PRIMARY, priority=2),
@@ -253,9 +256,9 @@
     world.store.put(CONFIGURATION_KEY, configuration(2, routes=routes))
     world.group.times.work = 0.03
     world.run(0.1)
-    other = [i for i, host in enumerate(world.hosts) if not _holds(host)]
+    indices = [i for i, host in enumerate(world.hosts) if not _is_holder(host)]
     callers = {
-        name: [world.caller(other[i % len(other)], name) for i in range(40)]
+        name: [world.caller(indices[i % len(indices)], name) for i in range(40)]
         for name in routes
     }
 
@@ -276,15 +279,14 @@
 
 
 @pytest.mark.parametrize("later", [0.0, 0.1, 0.2, 0.3])
-def test_holders_that_are_turned_away_use_connections_of_the_others(world, later):
-    """Symptom: after a loss of power, one in four statements of a large fleet is
-    refused for two seconds, each after 0.2 s.
-
-    Sequence: endpoints keep the lost holders' connections for three seconds, and have
-    room for a few more; some holders get none to an endpoint.
-    Cause: whoever went by way of these waited for connections that could not come,
-    while other holders had some. Who was turned away for a statement that waited, and
-    not before, asked those holders only after a pause, when that had been refused.
+def test_holders_without_connections_borrow_from_other_holders(world, later):
+    """After a loss of power, a quarter of the statements was refused for two seconds.
+
+    Endpoints keep the lost connections of holders for three seconds and accept a few
+    more, so that some holders get no connection to an endpoint. Statements forwarded to
+    these holders waited 0.2 s for connections, while other holders had idle ones. A
+    holder whose connection was refused while a statement waited used other holders only
+    after its backoff, when the statement had been refused.
     """
     for replica in world.group.replicas.values():
         while len(replica.connections) < LIMIT - 2:
@@ -296,15 +298,14 @@
     assert codes == [Code.DONE] * HOSTS
 
 
-def test_floors_come_with_links(world):
-    """Symptom: for two seconds after a loss of power, one statement in three of a large
-    fleet is refused; all of them at primaries, and replicas have nothing to do.
+def test_accepted_links_carry_floors(world):
+    """After a loss of power, a third of the statements was refused for two seconds.
 
-    Sequence: no host has a floor when it starts, so that each sends its first reads to
-    the primary; what waits there is refused after 0.2 s.
-    Cause: floors came with the answers that these reads did not get.
+    A host has no floor when it starts, and sends its first reads to the primary, where
+    those that wait are refused after 0.2 s. Replicas were idle: floors came only with
+    the replies that these reads did not get.
     """
-    index = _other(world)
+    index = _non_holder(world)
     host = world.hosts[index]
     world.group.replicas["db-tanger"].lag = 0.0
     writer = world.caller(index, "own")
@@ -315,7 +316,7 @@
     for connection in list(host.tables.connections.values()):
         host.node.system(Connections).close(connection, "test")
     world.run(0.1)
-    world.group.times.work = 3.0  # whatever is sent to a member stays there
+    world.group.times.work = 3.0  # longer than the test waits for the read
     reader = world.caller(index, "bounded")
     reader.send(Read("a"))
     world.run(0.1)
@@ -324,14 +325,14 @@
 
 
 def test_first_reads_after_a_start_go_to_replicas(world):
-    """Symptom: for two seconds after a loss of power, one statement in three of a large
-    fleet is refused; all of them at primaries, and replicas have little to do.
+    """After a loss of power, a third of the statements was refused for two seconds.
 
-    Sequence: a host has opened a link to the primary, and none to a replica yet.
-    Cause: a read was sent wherever a connection was idle.
+    A host has opened a connection to the primary, and none to a replica yet. A read was
+    sent wherever a connection was idle, so that reads were refused at primaries while
+    replicas had little to do.
     """
     index = next(
-        i for i, h in enumerate(world.hosts) if not _holds(h) and h.domain != "casa"
+        i for i, h in enumerate(world.hosts) if not _is_holder(h) and h.domain != "casa"
     )
     host = world.hosts[index]
     world.caller(index, "own").run(Write("a 1"))
@@ -344,15 +345,15 @@
     assert reader.run(Read("a")).signature != "db-casa"
 
 
-def test_endpoint_that_starts_again_behind_a_holder():
-    """Symptom: a host is told that a write is in doubt which the holder never sent.
+def test_write_waiting_at_a_holder_is_not_in_doubt_when_the_endpoint_restarts():
+    """A caller was told that a write was in doubt which the holder had never sent.
 
-    Sequence: calls wait at a holder for a connection, and the endpoint starts again.
-    Cause: the link is closed with the calls still unanswered.
+    Calls wait at a holder for a connection when the endpoint restarts. The holder
+    closed the link without answering the calls.
     """
-    world = ProxyWorld(hosts=HOSTS, apply_time=NO_RELAYS)
+    world = ProxyWorld(hosts=HOSTS, apply_time=APPLY_TIME_WITHOUT_RELAYS)
     world.run(3.0)
-    caller = world.caller(_other(world), "strict")
+    caller = world.caller(_non_holder(world), "strict")
     assert caller.run(Write("a 1")).code is Code.DONE
     holder = next(h for h in world.hosts if any(h.tables.links.values()))
     before = holder.tables.endpoints["db-casa"]
@@ -374,16 +375,16 @@
     assert world.primary.value("a") == "2"
 
 
-def test_a_holder_without_a_proof_gives_no_floor():
-    """Callers are cut without an answer, in the first second after a start.
+def test_holder_without_a_proof_sends_no_floor():
+    """In the first second after a start, callers were disconnected without an answer.
 
-    Nothing proved yet that the primary led alone, so the newest sample of its log was
-    of no age. A holder added it to what it answered by a link; the age had no form on
-    the wire, and the exception ended the link, the connection and what ran on them.
+    Nothing proves yet that the primary is the only one, and the newest sample of its
+    log has an infinite age. A holder added the sample to a reply. The age can't be
+    encoded, and the exception ended the link, the connection and their statements.
     """
     world = ProxyWorld(hosts=HOSTS, fences=False, goes_on=True)
     world.run(4.0)
-    holder = next(host for host in world.hosts if _holds(host))
+    holder = next(host for host in world.hosts if _is_holder(host))
     group = holder.tables.groups[SERVICE]
     group.samples.clear()
     group.sole_at = -math.inf
@@ -397,8 +398,8 @@
     assert math.isfinite(hint.age)
 
 
-def test_samples_that_were_never_proven_do_not_pile_up():
-    """A primary that leads alone for nobody's eyes fills the samples of its group."""
+def test_unproven_samples_do_not_accumulate():
+    """Samples accumulated while nothing proved that the primary was the only one."""
     world = ProxyWorld(fences=False, goes_on=True)
     node = world.hosts[0].node
     group = world.hosts[0].tables.groups[SERVICE]
@@ -411,21 +412,21 @@
 
 
 @pytest.mark.parametrize("database", ["strict", "own", "bounded"])
-def test_a_holder_that_is_cut_from_an_endpoint_is_passed_over(world, database):
-    """Symptom: a sixth of a large fleet has its reads refused as for want of room,
-    while two endpoints of three have nothing to do.
+def test_holder_that_can_not_reach_an_endpoint_is_not_used_for_it(world, database):
+    """A sixth of a large fleet had its reads refused, though two of three endpoints
+    were idle.
 
-    Sequence: one holder is cut from the primary. Whoever goes by way of it waits there
-    for 0.2 s, is told that no connection is free, and is sent there again.
-    Cause: a holder that reaches nothing said the same as a full one.
+    One holder can't reach the primary. Calls forwarded to it waited for 0.2 s and were
+    refused, as no connection was free, and were sent there again: the holder gave the
+    same answer as one that is full.
     """
-    holder = next(host for host in world.hosts if _holds(host))
-    guests = [
+    holder = next(host for host in world.hosts if _is_holder(host))
+    clients = [
         index
         for index, host in enumerate(world.hosts)
-        if host.domain == holder.domain and not _holds(host)
+        if host.domain == holder.domain and not _is_holder(host)
     ]
-    callers = [world.caller(index, database) for index in guests]
+    callers = [world.caller(index, database) for index in clients]
     for caller in callers:
         assert caller.run(Write("a 1")).code is Code.DONE
     _cut_off(holder, world.primary.name)
@@ -436,10 +437,10 @@
         world.run(0.2)
 
 
-def test_a_write_runs_once_where_its_holder_reaches_nothing(world):
-    index = _other(world)
+def test_write_runs_once_when_its_holder_can_not_reach_the_primary(world):
+    index = _non_holder(world)
     domain = world.hosts[index].domain
-    near = [h for h in world.hosts if _holds(h) and h.domain == domain]
+    near = [h for h in world.hosts if _is_holder(h) and h.domain == domain]
     caller = world.caller(index, "own")
     assert caller.run(Write("a 1")).code is Code.DONE
     for holder in near:
@@ -451,8 +452,11 @@
     assert len(written) == len(set(written)) == 11
 
 
-def test_an_endpoint_that_says_unreachable_of_itself_promises_nothing():
-    """Only hosts use that word. Taken for a promise, a write would be sent again."""
+def test_unreachable_from_an_endpoint_does_not_mean_not_run():
+    """A write refused so by an endpoint itself would be sent again, and run twice.
+
+    Only holders send this code, which means that the endpoint did not get the call.
+    """
     world = ProxyWorld()
     world.run(4.0)
     caller = world.caller(0, "own")
@@ -464,80 +468,78 @@
         if c.endpoint.name == "db-casa"
     )
     reply = EndpointReply(Code.UNREACHABLE, message="?")
-    taken = node.system(Connections)._take_unreachable(connection, reply)
-    assert not taken.code.is_not_run
+    handled = node.system(Connections)._handle_unreachable(connection, reply)
+    assert not handled.code.is_not_run
 
 
-def test_a_host_that_is_cut_off_from_all_holders_goes_without_them(world):
-    """Symptom: hosts that are cut off from other hosts refuse most that they are asked.
+def test_host_that_is_cut_off_from_all_holders_connects_directly(world):
+    """Hosts that were cut off from other hosts refused most statements.
 
-    Sequence: a third of the hosts can't reach the others. Their callers reach them, and
-    they could reach the endpoints.
-    Cause: they knew no other way than by holders, and tried these one after the other.
+    A third of the hosts can't reach the others, but can reach their callers and the
+    endpoints. They tried one holder after the other, and never connected directly.
     """
-    index = _other(world)
+    index = _non_holder(world)
     host = world.hosts[index]
     caller = world.caller(index, "own")
     assert caller.run(Write("a 1")).code is Code.DONE
     _isolate(world, host)
     world.run(1.0)
-    caller.run(Write("a 2"))  # on its way by a link that is cut
-    caller.run(Write("a 3"))  # until two holders did not answer
+    caller.run(Write("a 2"))  # sent on a link that is cut
+    caller.run(Write("a 3"))  # waits until two holders have not answered
     codes = [caller.run(Write(f"a {n}"), 0.2).code for n in range(4, 30)]
     assert codes == [Code.DONE] * len(codes)
     assert max(len(r.connections) for r in world.group.replicas.values()) <= LIMIT
 
 
-def test_a_host_that_is_cut_off_no_more_goes_by_holders_again(world):
-    index = _other(world)
+def test_host_that_is_no_longer_cut_off_uses_holders_again(world):
+    index = _non_holder(world)
     host = world.hosts[index]
     caller = world.caller(index, "own")
     _isolate(world, host)
     for _ in range(5):
         caller.run(Write("a 1"))
         world.run(0.5)
-    assert _holds(host)
+    assert _is_holder(host)
     host.cut_from.clear()
     for _ in range(20):
         assert caller.run(Write("a 2"), 0.6).code is Code.DONE
         world.run(0.5)
-    assert not _holds(host)
+    assert not _is_holder(host)
 
 
-def test_one_holder_that_is_silent_does_not_have_its_guests_go_without(world):
-    index = _other(world)
+def test_host_does_not_connect_directly_when_a_single_holder_does_not_answer(world):
+    index = _non_holder(world)
     host = world.hosts[index]
-    near = [h for h in world.hosts if _holds(h) and h.domain == host.domain]
+    near = [h for h in world.hosts if _is_holder(h) and h.domain == host.domain]
     host.cut_from.update(holder.name for holder in near)
     caller = world.caller(index, "own")
     for _ in range(5):
         caller.run(Write("a 1"))
         world.run(0.5)
-    assert not _holds(host)
+    assert not _is_holder(host)
 
 
-def test_endpoints_that_enter_have_no_holders_chosen_anew(world, monkeypatch):
-    """Symptom: a fleet of 300 hosts in front of as many services does nothing else for
-    its first seconds.
+def test_holders_are_not_chosen_again_when_endpoints_register(world, monkeypatch):
+    """300 hosts with as many services were busy for their first seconds.
 
-    Sequence: hundreds of endpoints enter themselves, one after the other.
-    Cause: with each of them each host weighed all hosts again for all services.
+    Hundreds of endpoints register one after the other. With each of them, each host
+    chose the holders of all services again.
     """
-    made = []
+    calls = []
 
     def count(*arguments):
-        made.append(arguments)
+        calls.append(arguments)
         return make_plan(*arguments)
 
     monkeypatch.setattr(holders, "make_plan", count)
     world.enter(world.group.add("db-new"))
     world.run(0.5)
     assert all("db-new" in host.tables.endpoints for host in world.hosts)
-    assert made == []
+    assert calls == []
 
 
 def _isolate(world: ProxyWorld, host: Host) -> None:
-    """Cut a host from all others, without a sign."""
+    """Drop all traffic between a host and the others; connections are not reset."""
     host.cut_from.update(other.name for other in world.hosts if other is not host)
     for key, link in list(world.links.items()):
         if link.host is host:
@@ -545,7 +547,7 @@
 
 
 def _cut_off(host: Host, endpoint: str) -> None:
-    """Cut a host from an endpoint; its connections there end."""
+    """Cut a host off from an endpoint, and end its connections there."""
     host.cut_from.add(endpoint)
     for number, connection in list(host.connections.items()):
         if connection.member == endpoint:
