--- a/mallowpass/core/proxy/connections.py
+++ b/mallowpass/core/proxy/connections.py
@@ -50,11 +50,12 @@
 __all__ = ["RESPONSE_TIMEOUT", "Connections"]
 
 # Times in seconds.
-# Ten times what a round trip between regions and the handshake of an endpoint take.
+# An attempt to connect is given up after this time. A round trip between regions and
+# the handshake of an endpoint take a tenth of it.
 CONNECT_TIMEOUT = 0.45
 BACKOFF_MIN = 0.05  # between attempts to connect to an endpoint
 BACKOFF_MAX = 1.0
-FULL_BACKOFF = 0.25  # after an endpoint has refused one connection as too many
+FULL_BACKOFF = 0.25  # after an endpoint refused a connection because it has too many
 # Connections that this host may open to an endpoint at once. Each handshake occupies a
 # slot of the endpoint for as long as a statement does: opening many at once would delay
 # the statements that they are opened for.
@@ -242,7 +243,7 @@
             connection.broken = True
         self.release(connection)
 
-    # -- Events --------------------------------------------------------------
+    # -- Opening, replies and losses -----------------------------------------
 
     def _open(
         self,
@@ -280,13 +281,13 @@
         endpoint = connection.endpoint
         if connection.holder:
             self._holders.mark_answered(connection.holder)
-        if self._is_evidence(connection):
+        if self._shows_endpoint_alive(connection):
             endpoint.failures = 0
             endpoint.heard_at = self.now
         self._publish_floor(endpoint, event.floor, connection.opened_at)
         self.release(connection)
 
-    def _is_evidence(self, connection: ConnectionRow) -> bool:
+    def _shows_endpoint_alive(self, connection: ConnectionRow) -> bool:
         """Tell whether an answer on a connection shows that its endpoint is alive.
 
         A forwarding host may not have noticed yet that it can't reach the endpoint. For
@@ -422,8 +423,7 @@
     def _handle_unreachable(
         self, connection: ConnectionRow, reply: EndpointReply
     ) -> EndpointReply:
-        """Stop using a holder that can't reach the endpoint, and its connections.
-
+        """Stop using a holder that can't reach an endpoint, and its connections to it.
         From a holder, the code guarantees that the call did not run. An endpoint can't
         be unreachable for itself: on a direct connection the code guarantees nothing,
         and is replaced by OTHER.
@@ -455,7 +455,7 @@
         endpoint = connection.endpoint
         # A reply with a position is the endpoint's own: a holder that refuses a call
         # sends none.
-        if reply.position is not None or self._is_evidence(connection):
+        if reply.position is not None or self._shows_endpoint_alive(connection):
             endpoint.heard_at = self.now
         if reply.position is not None:
             endpoint.position = reply.position
--- a/mallowpass/core/proxy/holders.py
+++ b/mallowpass/core/proxy/holders.py
@@ -27,10 +27,10 @@
 
 __all__ = ["Holders"]
 
-# Seconds for which a holder that did not accept a connection is not used.
+# Seconds for which a holder is not used after it refused a connection or failed.
 FAILURE_BACKOFF = 2.0
-# A host connects to endpoints without holders when at least this many holders have not
-# answered within the last `UNANSWERED_TTL` seconds.
+# A holder that did not answer an attempt to connect is counted for this time, in
+# seconds. A host that counts at least `UNANSWERED_MIN` connects to endpoints directly.
 UNANSWERED_TTL = 5.0
 UNANSWERED_MIN = 2
 
@@ -45,7 +45,7 @@
 
 
 class Holders(ProxySystem):
-    """Answer which hosts are holders; each host computes it from the same entries."""
+    """Determine the holders of each service; all hosts use the same entries."""
 
     __slots__ = (
         "_failed",
--- a/mallowpass/core/proxy/links.py
+++ b/mallowpass/core/proxy/links.py
@@ -3,8 +3,8 @@
 A link is the holder's end of a forwarded connection. To the other host it behaves like
 a connection to the endpoint. The holder keeps the link's values and prepared
 statements, and pins one of its connections to the link while calls are in flight or a
-transaction is open. Replies are forwarded unchanged: the other host draws its own
-conclusions about the endpoint from them.
+transaction is open. Replies are forwarded unchanged but for an added sample of the
+primary's log position: the other host draws its own conclusions from them.
 """
 
 from __future__ import annotations
