--- a/mallowpass/core/proxy/attempts.py
+++ b/mallowpass/core/proxy/attempts.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from mallowpass.core.proxy.sessionstate import calls_to_set_up
+from mallowpass.core.proxy.sessionstate import make_setup_calls
 from mallowpass.core.proxy.signals import AttemptLost, AttemptOverdue
 from mallowpass.core.proxy.stalls import OVERDUE_SHARE
 from mallowpass.core.proxy.statements import (
@@ -32,7 +32,7 @@
     ) -> list[EndpointCall]:
         """Return the calls that bring a connection to the state of a session."""
         prepared = () if request.prepared is None else (request.prepared,)
-        return calls_to_set_up(connection, request.session.values, prepared)
+        return make_setup_calls(connection, request.session.values, prepared)
 
     def call(self, request: RequestRow, floor: LogPosition | None) -> EndpointCall:
         """Return the call of a statement itself, by its name on the connection."""
--- a/mallowpass/core/proxy/connections.py
+++ b/mallowpass/core/proxy/connections.py
@@ -45,7 +45,7 @@
     ProxySystem,
 )
 
-__all__ = ["QUIET_TIME", "Connections"]
+__all__ = ["RESPONSE_TIMEOUT", "Connections"]
 
 # A connection that takes this long is not worth waiting for: a round trip between
 # regions and the handshake of an endpoint take a tenth of it.
@@ -60,7 +60,7 @@
 OPENING_FOR_CUSTOMERS_MAX = 4
 # A call that is unanswered for so long, with nothing else heard of the endpoint, has a
 # new connection tried. A full queue takes less.
-QUIET_TIME = 0.25  # seconds
+RESPONSE_TIMEOUT = 0.25  # seconds
 
 
 class Connections(ProxySystem):
@@ -83,7 +83,7 @@
 
     # -- Taking and giving back ----------------------------------------------
 
-    def take(
+    def acquire(
         self,
         endpoint: EndpointRow,
         values: dict[str, str] | None,
@@ -149,7 +149,7 @@
             return True
         return bool(opening)
 
-    def take_by(self, endpoint: EndpointRow, host: HostRow) -> ConnectionRow | None:
+    def acquire_via(self, endpoint: EndpointRow, host: HostRow) -> ConnectionRow | None:
         """Return an idle connection by way of a host that is opened just for that."""
         for connection in endpoint.connections.values():
             if connection.is_single_use and connection.holder == host.name:
@@ -436,7 +436,7 @@
         """
         return (
             not endpoint.connect_failures
-            or endpoint.last_reply_at > self.now - QUIET_TIME
+            or endpoint.last_reply_at > self.now - RESPONSE_TIMEOUT
         )
 
     def _note(
--- a/mallowpass/core/proxy/control.py
+++ b/mallowpass/core/proxy/control.py
@@ -140,8 +140,8 @@
     def _take(self, question: ControlRequest) -> ConnectionRow | None:
         """Return an idle connection; have one opened if there is none."""
         if question.way is not None:
-            return self._connections.take_by(question.endpoint, question.way)
-        connection = self._connections.take(question.endpoint, None)
+            return self._connections.acquire_via(question.endpoint, question.way)
+        connection = self._connections.acquire(question.endpoint, None)
         if connection is None:
             self._connections.grow(question.endpoint, beyond_share=True)
         return connection
--- a/mallowpass/core/proxy/settings.py
+++ b/mallowpass/core/proxy/currentconfiguration.py
@@ -9,10 +9,10 @@
 from mallowpass.core.proxy.tables import ProxySystem
 from mallowpass.core.proxy.unreadable import UnreadableRows
 
-__all__ = ["Settings"]
+__all__ = ["CurrentConfiguration"]
 
 
-class Settings(ProxySystem):
+class CurrentConfiguration(ProxySystem):
     """Follow the configuration that operators accept."""
 
     __slots__ = ("_unreadable",)
--- a/mallowpass/core/proxy/silence.py
+++ b/mallowpass/core/proxy/deadconnections.py
@@ -6,18 +6,18 @@
 
 from __future__ import annotations
 
-from mallowpass.core.proxy.connections import QUIET_TIME, Connections
+from mallowpass.core.proxy.connections import RESPONSE_TIMEOUT, Connections
 from mallowpass.core.proxy.signals import CallsSent
 from mallowpass.core.proxy.tables import ConnectionRow, ProxySystem
 
-__all__ = ["Silence"]
+__all__ = ["DeadConnections"]
 
 # A connection silent for so long with calls in flight is closed: no statement may
 # run longer than its route's timeout, which is well below.
 SILENCE_MAX = 3.0
 
 
-class Silence(ProxySystem):
+class DeadConnections(ProxySystem):
     """Watch for answers to the calls that were sent."""
 
     __slots__ = ("_connections",)
@@ -29,7 +29,7 @@
 
     def _on_sent(self, signal: CallsSent) -> None:
         connection = signal.connection
-        self.timers.after(QUIET_TIME, self._check_quiet, connection, self.now)
+        self.timers.after(RESPONSE_TIMEOUT, self._check_quiet, connection, self.now)
         self.timers.after(SILENCE_MAX, self._check_silence, connection)
 
     def _check_quiet(self, connection: ConnectionRow, sent_at: float) -> None:
--- a/mallowpass/core/proxy/forwardedorders.py
+++ b/mallowpass/core/proxy/forwardedorders.py
@@ -39,13 +39,13 @@
     def forwarding_hosts(self, endpoint: EndpointRow) -> list[str]:
         """Return the other hosts that connect to an endpoint."""
         service = endpoint.entry.service
-        return sorted(host.name for host in self._holders.others(service))
+        return sorted(host.name for host in self._holders.other_holders(service))
 
     def send(
         self, endpoint: EndpointRow, order: Statement, handler: DetourHandler
     ) -> None:
         """Give an order by way of each other host that connects to an endpoint."""
-        for host in self._holders.others(endpoint.entry.service):
+        for host in self._holders.other_holders(endpoint.entry.service):
             self._send(endpoint, order, host, handler)
 
     def _send(
--- a/mallowpass/core/proxy/holders.py
+++ b/mallowpass/core/proxy/holders.py
@@ -97,7 +97,7 @@
         """Tell whether every host connects to a service's endpoints."""
         return self._plan(service).direct
 
-    def holding_hosts(self, service: str) -> int:
+    def holder_count(self, service: str) -> int:
         """Return how many hosts connect to a service's endpoints."""
         plan = self._plan(service)
         return len(self.tables.hosts) if plan.direct else len(plan.holders)
@@ -166,7 +166,7 @@
             and self._may_reach(host, endpoint)
         ]
 
-    def others(self, service: str) -> list[HostRow]:
+    def other_holders(self, service: str) -> list[HostRow]:
         """Return the other hosts that connect to a service's endpoints."""
         plan = self._plan(service)
         hosts = self.tables.hosts.values() if plan.direct else plan.holders
--- a/mallowpass/core/proxy/idling.py
+++ b/mallowpass/core/proxy/idleconnections.py
@@ -16,7 +16,7 @@
     ProxySystem,
 )
 
-__all__ = ["Idling"]
+__all__ = ["IdleConnections"]
 
 # A connection that was idle for so long is closed if there are others.
 IDLE_MAX = 2.0  # seconds
@@ -26,7 +26,7 @@
 LOOK = 0.15  # seconds between looks
 
 
-class Idling(ProxySystem):
+class IdleConnections(ProxySystem):
     """Close connections that stand idle."""
 
     __slots__ = ("_connections", "_holders", "_shares")
--- a/mallowpass/core/proxy/links.py
+++ b/mallowpass/core/proxy/links.py
@@ -25,7 +25,7 @@
 from mallowpass.core.proxy.holders import Holders
 from mallowpass.core.proxy.load import Load
 from mallowpass.core.proxy.pauses import Pauses
-from mallowpass.core.proxy.sessionstate import calls_to_set_up
+from mallowpass.core.proxy.sessionstate import make_setup_calls
 from mallowpass.core.proxy.signals import (
     ConnectionFreed,
     EndpointExpired,
@@ -217,7 +217,7 @@
 
     def _is_outdated(self, link: LinkRow) -> bool:
         """Tell whether writes that were read after a pause may be too old to run."""
-        waited = self._pauses.wait_max
+        waited = self._pauses.max_input_delay
         timeout = self._stalls.shortest_statement_timeout(link.endpoint.entry.service)
         if waited < timeout:
             return False
@@ -225,7 +225,7 @@
 
     def _refuse_outdated(self, link: LinkRow) -> None:
         if link.connection is None:
-            why = f"it was paused for {self._pauses.wait_max:.1f} s"
+            why = f"it was paused for {self._pauses.max_input_delay:.1f} s"
             self._refuse(link, Code.BUSY, why)
         else:
             self._end(link)  # which rolls its transaction back
@@ -290,7 +290,7 @@
             return False
         # What a holder asks for is not passed on to a third host: two that are short of
         # connections would wait for each other.
-        connection = self._connections.take(
+        connection = self._connections.acquire(
             link.endpoint, link.values, link.customer, own_only=link.is_from_holder
         )
         if connection is None:
@@ -362,7 +362,7 @@
             calls = [replace(call, on_behalf_of=link.on_behalf_of) for call in calls]
         names = {c.statement.name for c in calls if isinstance(c.statement, Execute)}
         prepared = [link.prepared[name] for name in names if name in link.prepared]
-        set_up = calls_to_set_up(connection, link.values, prepared)
+        set_up = make_setup_calls(connection, link.values, prepared)
         link.in_flight += len(calls)
         skipped = len(set_up)
         sent_at = self.now
@@ -402,7 +402,7 @@
             reply.code is Code.DONE and call.statement.takes_slot
             for call, reply in zip(calls, replies, strict=True)
         ):
-            self._load.measured(link.endpoint, self.now - sent_at)
+            self._load.record_latency(link.endpoint, self.now - sent_at)
         for call, reply in zip(calls, replies, strict=True):
             if call.minimum is not None:
                 self._note_floor(link.endpoint, reply)
--- a/mallowpass/core/proxy/load.py
+++ b/mallowpass/core/proxy/load.py
@@ -35,7 +35,7 @@
         self._holders = self._node.system(Holders)
         self._stalls = self._node.system(Stalls)
 
-    def measured(self, endpoint: EndpointRow, latency: float) -> None:
+    def record_latency(self, endpoint: EndpointRow, latency: float) -> None:
         """Record how long a statement took, in seconds."""
         if endpoint.latency == 0.0:
             endpoint.latency = endpoint.least_latency = latency
@@ -78,5 +78,5 @@
     def _part(self, endpoint: EndpointRow) -> int:
         """Return this host's part of the statements that a full endpoint has."""
         service = endpoint.entry.service
-        hosts = max(1, self._holders.holding_hosts(service))
+        hosts = max(1, self._holders.holder_count(service))
         return max(1, math.ceil(self._holders.statements(service) / hosts))
--- a/mallowpass/core/proxy/pauses.py
+++ b/mallowpass/core/proxy/pauses.py
@@ -34,7 +34,7 @@
         self.timers.every(TICK, self._look)
 
     @property
-    def wait_max(self) -> float:
+    def max_input_delay(self) -> float:
         """Return for how long what is read now may have waited at most, in seconds."""
         if self.now > self._ended_at + READ_TIME:
             return 0.0
--- a/mallowpass/core/proxy/registry.py
+++ b/mallowpass/core/proxy/registry.py
@@ -7,7 +7,9 @@
 from mallowpass.core.proxy.claims import Claims
 from mallowpass.core.proxy.connections import Connections
 from mallowpass.core.proxy.control import Control
+from mallowpass.core.proxy.currentconfiguration import CurrentConfiguration
 from mallowpass.core.proxy.customers import Customers
+from mallowpass.core.proxy.deadconnections import DeadConnections
 from mallowpass.core.proxy.demotion import Demotion
 from mallowpass.core.proxy.discovery import Discovery
 from mallowpass.core.proxy.draining import Draining
@@ -17,7 +19,7 @@
 from mallowpass.core.proxy.forwardedorders import ForwardedOrders
 from mallowpass.core.proxy.holders import Holders
 from mallowpass.core.proxy.hosts import Hosts
-from mallowpass.core.proxy.idling import Idling
+from mallowpass.core.proxy.idleconnections import IdleConnections
 from mallowpass.core.proxy.leadership import Leadership
 from mallowpass.core.proxy.links import Links
 from mallowpass.core.proxy.load import Load
@@ -40,9 +42,7 @@
 from mallowpass.core.proxy.routing import Routing
 from mallowpass.core.proxy.sampling import Sampling
 from mallowpass.core.proxy.sessions import Sessions
-from mallowpass.core.proxy.settings import Settings
 from mallowpass.core.proxy.shares import Shares
-from mallowpass.core.proxy.silence import Silence
 from mallowpass.core.proxy.stalls import Stalls
 from mallowpass.core.proxy.store import Store
 from mallowpass.core.proxy.stuckreplicas import StuckReplicas
@@ -61,8 +61,8 @@
     Load,
     Durability,
     Connections,
-    Silence,
-    Idling,
+    DeadConnections,
+    IdleConnections,
     Floors,
     Routing,
     Control,
@@ -95,7 +95,7 @@
     Customers,
     Sessions,
     Draining,
-    Settings,
+    CurrentConfiguration,
     Suspicion,
     Hosts,
 )
--- a/mallowpass/core/proxy/requests.py
+++ b/mallowpass/core/proxy/requests.py
@@ -144,7 +144,7 @@
             prepared=prepared,
         )
         session.request = request
-        waited = self._pauses.wait_max
+        waited = self._pauses.max_input_delay
         if waited >= route.statement_timeout and _writes(request):
             why = f"this host was paused for {waited:.1f} s, and it may be as old"
             self._answers.refuse(request, Code.BUSY, why)
@@ -323,7 +323,7 @@
         if guard is not None and guard.code is not Code.DONE:
             self._refused(request, endpoint, guard)
         elif reply.code is Code.DONE:
-            self._load.measured(endpoint, self.now - request.sent_at)
+            self._load.record_latency(endpoint, self.now - request.sent_at)
             if request.access is Access.READ and request.floor is None:
                 self._prove(request, endpoint, reply)
             else:
--- a/mallowpass/core/proxy/routing.py
+++ b/mallowpass/core/proxy/routing.py
@@ -44,7 +44,7 @@
         candidates = self._candidates(request, group, floor)
         open_to_more = [e for e in candidates if self._load.has_room(e)]
         for endpoint in open_to_more:
-            connection = self._connections.take(
+            connection = self._connections.acquire(
                 endpoint, request.session.values, request.customer
             )
             if connection is not None:
--- a/mallowpass/core/proxy/sessionstate.py
+++ b/mallowpass/core/proxy/sessionstate.py
@@ -7,10 +7,10 @@
 from mallowpass.core.proxy.statements import EndpointCall, Prepare, Reset, SetValue
 from mallowpass.core.proxy.tables import ConnectionRow, PreparedStatement
 
-__all__ = ["calls_to_set_up"]
+__all__ = ["make_setup_calls"]
 
 
-def calls_to_set_up(
+def make_setup_calls(
     connection: ConnectionRow,
     values: dict[str, str],
     prepared: Iterable[PreparedStatement],
--- a/mallowpass/core/proxy/suspicion.py
+++ b/mallowpass/core/proxy/suspicion.py
@@ -273,7 +273,7 @@
             return None
 
     def _quorum(self, service: str) -> int:
-        hosts = self._holders.holding_hosts(service)
+        hosts = self._holders.holder_count(service)
         if hosts == 1 and self.now >= self._started_at + ALONE_TIME:
             return 1
         return max(QUORUM_MIN, math.ceil(QUORUM_SHARE * hosts))
--- a/mallowpass/core/proxy/transactions.py
+++ b/mallowpass/core/proxy/transactions.py
@@ -158,7 +158,7 @@
             self._on_commit_reply(request, connection, reply)
             return
         if reply.code is Code.DONE:
-            self._load.measured(endpoint, self.now - request.sent_at)
+            self._load.record_latency(endpoint, self.now - request.sent_at)
             transaction.has_written |= request.access is Access.WRITE
             if request.access is Access.READ and not transaction.has_proven_floor:
                 self._prove(request, connection, reply)
--- a/mallowpass/measure/policy/mechanisms.py
+++ b/mallowpass/measure/policy/mechanisms.py
@@ -13,7 +13,7 @@
 
 from mallowpass.core.proxy import (
     holders,
-    idling,
+    idleconnections,
     load,
     requests,
     shares,
@@ -167,7 +167,7 @@
     _mechanism(
         "spare-connections",
         "connections beyond half of the share are kept as long as others",
-        (idling, "SPARE_IDLE_MAX", idling.IDLE_MAX),
+        (idleconnections, "SPARE_IDLE_MAX", idleconnections.IDLE_MAX),
     ),
     _mechanism(
         "floors-asked-for",
--- a/tests/core/proxy/test_load.py
+++ b/tests/core/proxy/test_load.py
@@ -87,16 +87,16 @@
     load = world.hosts[0].node.system(Load)
     row = primary_row(world)
     for latency in (0.02, 0.06, 0.03, 0.09, 0.05) * 10:
-        load.measured(row, latency)
+        load.record_latency(row, latency)
     assert load.has_room(row)
 
 
 def test_one_quick_statement_does_not_make_an_endpoint_look_full_for_ever(world):
     load = world.hosts[0].node.system(Load)
     row = primary_row(world)
-    load.measured(row, 0.001)
+    load.record_latency(row, 0.001)
     for _ in range(1500):
-        load.measured(row, 0.15)
+        load.record_latency(row, 0.15)
     assert row.latency - row.least_latency < 0.1
 
 
