--- a/mallowpass/core/proxy/connections.py
+++ b/mallowpass/core/proxy/connections.py
@@ -24,11 +24,11 @@
 from mallowpass.core.proxy.signals import (
     CallsSent,
     ConnectionFreed,
-    EndpointForgotten,
+    EndpointExpired,
     EndpointRestarted,
     EndpointUnreachable,
-    FloorLearnt,
-    WayRefused,
+    FloorReceived,
+    ForwardedConnectionRefused,
 )
 from mallowpass.core.proxy.statements import (
     Code,
@@ -83,7 +83,7 @@
         node.subscribe(ConnectionRefused, self._on_refused)
         node.subscribe(ConnectionLost, self._on_lost)
         node.subscribe(EndpointAnswered, self._on_answered)
-        node.subscribe(EndpointForgotten, self._on_forgotten)
+        node.subscribe(EndpointExpired, self._on_expired)
         node.subscribe(EndpointRestarted, self._on_restarted)
 
     # -- Acquiring and releasing ---------------------------------------------
@@ -107,8 +107,8 @@
             connection
             for connection in endpoint.connections.values()
             if connection.state is ConnectionState.IDLE
-            and connection.serves(customer)
-            and not connection.reserved
+            and connection.can_serve(customer)
+            and not connection.is_single_use
             and not (own_only and connection.holder)
         ]
         if not idle:
@@ -160,15 +160,15 @@
     def acquire_via(self, endpoint: EndpointRow, host: HostRow) -> ConnectionRow | None:
         """Return an idle single-use connection through a host; open one if needed."""
         for connection in endpoint.connections.values():
-            if connection.reserved and connection.holder == host.name:
+            if connection.is_single_use and connection.holder == host.name:
                 is_idle = connection.state is ConnectionState.IDLE
                 return connection if is_idle else None
-        self._open(endpoint, host, None, reserved=True)
+        self._open(endpoint, host, None, is_single_use=True)
         return None
 
     def retry(self, endpoint: EndpointRow) -> None:
         """Connect to an endpoint without waiting for the end of its backoff."""
-        endpoint.refused_until = self.now
+        endpoint.connect_backoff_until = self.now
         self.grow(endpoint, beyond_share=True)
 
     def _make_room(self, endpoint: EndpointRow, customer: str) -> None:
@@ -176,16 +176,18 @@
 
         During a backoff no connection could be opened in its place, and none is closed.
         """
-        if self.now < endpoint.refused_until or not self._shares.is_exhausted(endpoint):
+        if self.now < endpoint.connect_backoff_until or not self._shares.is_exhausted(
+            endpoint
+        ):
             return
         idle = [
             connection
             for connection in endpoint.connections.values()
             if connection.state is ConnectionState.IDLE
-            and not connection.serves(customer)
+            and not connection.can_serve(customer)
         ]
         if idle:
-            oldest = min(idle, key=lambda connection: connection.last_used)
+            oldest = min(idle, key=lambda connection: connection.last_used_at)
             self.close(oldest, "closed to make room for another customer")
 
     def release(self, connection: ConnectionRow) -> None:
@@ -193,7 +195,7 @@
         if connection.number not in self.tables.connections:
             return
         connection.on_lost = None
-        if connection.broken:
+        if connection.is_broken:
             self.close(connection, "its session state is unknown")
             return
         if not self.tables.is_current(connection.endpoint):
@@ -203,7 +205,7 @@
             self.close(connection, "it exceeds this host's share")
             return
         connection.state = ConnectionState.IDLE
-        connection.last_used = self.now
+        connection.last_used_at = self.now
         self._node.publish(ConnectionFreed(connection.endpoint))
 
     def close(self, connection: ConnectionRow, why: str) -> None:
@@ -240,7 +242,7 @@
         self, connection: ConnectionRow, replies: list[EndpointReply]
     ) -> None:
         if replies[0].state is not SessionState.IDLE:
-            connection.broken = True
+            connection.is_broken = True
         self.release(connection)
 
     # -- Opening, replies and losses -----------------------------------------
@@ -250,7 +252,7 @@
         endpoint: EndpointRow,
         via: HostRow | None,
         customer: str | None,
-        reserved: bool = False,
+        is_single_use: bool = False,
     ) -> None:
         number = self._node.number()
         entry = endpoint.entry
@@ -263,7 +265,7 @@
             self.now,
             holder=holder,
             customer=customer,
-            reserved=reserved,
+            is_single_use=is_single_use,
         )
         self.tables.connections[number] = connection
         endpoint.connections[number] = connection
@@ -282,8 +284,8 @@
         if connection.holder:
             self._holders.mark_answered(connection.holder)
         if self._shows_endpoint_alive(connection):
-            endpoint.failures = 0
-            endpoint.heard_at = self.now
+            endpoint.connect_failures = 0
+            endpoint.last_reply_at = self.now
         self._publish_floor(endpoint, event.floor, connection.opened_at)
         self.release(connection)
 
@@ -313,16 +315,20 @@
             open=len(endpoint.connections),
         )
         if connection.holder:
-            is_answer = not self._is_timed_out(connection, event)
-            self._node.publish(WayRefused(endpoint, connection.holder, is_answer))
+            is_definitive = not self._is_timed_out(connection, event)
+            self._node.publish(
+                ForwardedConnectionRefused(endpoint, connection.holder, is_definitive)
+            )
             if self._avoid_holder(connection, event):
                 return
         if event.code is Code.TOO_MANY_CONNECTIONS:
             pause = FULL_BACKOFF * self._node.random.uniform(1.0, 2.0)
         else:
-            endpoint.failures += 1
-            pause = self._node.backoff(endpoint.failures, BACKOFF_MIN, BACKOFF_MAX)
-        endpoint.refused_until = self.now + pause
+            endpoint.connect_failures += 1
+            pause = self._node.backoff(
+                endpoint.connect_failures, BACKOFF_MIN, BACKOFF_MAX
+            )
+        endpoint.connect_backoff_until = self.now + pause
         if event.code is Code.TOO_MANY_CONNECTIONS:
             # Waiting statements can use a borrowed connection now. After the pause they
             # would have been refused.
@@ -435,7 +441,7 @@
         for other in list(endpoint.connections.values()):
             if other.holder != connection.holder:
                 continue
-            other.broken = True
+            other.is_broken = True
             if other.state is ConnectionState.IDLE:
                 self.close(other, "its holder can't reach the endpoint")
         return reply
@@ -446,7 +452,10 @@
         That connections are open shows nothing: a host that is cut off from an endpoint
         keeps them, but gets no replies.
         """
-        return not endpoint.failures or endpoint.heard_at > self.now - RESPONSE_TIMEOUT
+        return (
+            not endpoint.connect_failures
+            or endpoint.last_reply_at > self.now - RESPONSE_TIMEOUT
+        )
 
     def _record_reply(
         self, connection: ConnectionRow, reply: EndpointReply, sent_at: float
@@ -456,7 +465,7 @@
         # A reply with a position is the endpoint's own: a holder that refuses a call
         # sends none.
         if reply.position is not None or self._shows_endpoint_alive(connection):
-            endpoint.heard_at = self.now
+            endpoint.last_reply_at = self.now
         if reply.position is not None:
             endpoint.position = reply.position
             group = self.tables.group(endpoint.entry.service)
@@ -474,7 +483,7 @@
         # The age was measured when the call arrived at the holder, which is after
         # `sent_at`: the sample is at least as new as the time computed here.
         asked_at = sent_at - floor.age
-        self._node.publish(FloorLearnt(group, floor.position, asked_at))
+        self._node.publish(FloorReceived(group, floor.position, asked_at))
 
     def _on_restarted(self, signal: EndpointRestarted) -> None:
         """Close all connections to an endpoint's previous start, busy ones included.
@@ -483,10 +492,10 @@
         wait for replies that never come, and sessions would assume that their values
         and prepared statements exist at the restarted endpoint.
         """
-        for connection in list(signal.before.connections.values()):
+        for connection in list(signal.previous.connections.values()):
             self.close(connection, "the endpoint restarted")
 
-    def _on_forgotten(self, signal: EndpointForgotten) -> None:
+    def _on_expired(self, signal: EndpointExpired) -> None:
         for connection in list(signal.endpoint.connections.values()):
             if connection.state is ConnectionState.IDLE:
                 self.close(connection, "the endpoint was removed")
--- a/mallowpass/core/proxy/deadconnections.py
+++ b/mallowpass/core/proxy/deadconnections.py
@@ -42,7 +42,7 @@
         """
         endpoint = connection.endpoint
         replied = not connection.pending or connection.pending[0].sent_at > sent_at
-        if replied or connection.holder or endpoint.heard_at > sent_at:
+        if replied or connection.holder or endpoint.last_reply_at > sent_at:
             return
         if connection.number in self.tables.connections:
             self._connections.grow(endpoint, connection.customer, beyond_share=True)
--- a/mallowpass/core/proxy/draining.py
+++ b/mallowpass/core/proxy/draining.py
@@ -74,7 +74,7 @@
     def _check_ready(self, signal: ConfigurationAccepted | EndpointChanged) -> None:
         if self._is_ready or self._began_at is not None:
             return
-        if self.tables.configuration is None or not self._members.known:
+        if self.tables.configuration is None or not self._members.is_loaded:
             return
         if not self._holders.are_hosts_known:
             if self._ready_timer is None:
--- a/mallowpass/core/proxy/floors.py
+++ b/mallowpass/core/proxy/floors.py
@@ -13,8 +13,8 @@
 from mallowpass.core.proxy.configuration import Consistency, Route
 from mallowpass.core.proxy.leadership import Leadership, ProofHandler
 from mallowpass.core.proxy.signals import (
-    FloorLearnt,
-    PrimaryHeard,
+    FloorReceived,
+    PrimaryConfirmed,
     ReplicasBehind,
     ReplicaStuck,
 )
@@ -59,19 +59,23 @@
     def start(self) -> None:
         """Subscribe to samples of other hosts."""
         self._leadership = self._node.system(Leadership)
-        self._node.subscribe(FloorLearnt, self._on_learnt)
+        self._node.subscribe(FloorReceived, self._on_learnt)
 
-    def _on_learnt(self, signal: FloorLearnt) -> None:
+    def _on_learnt(self, signal: FloorReceived) -> None:
         self._keep(signal.group, signal.position, signal.asked_at)
 
-    def sample(self, group: GroupRow, position: LogPosition, asked_at: float) -> None:
+    def record_sample(
+        self, group: GroupRow, position: LogPosition, asked_at: float
+    ) -> None:
         """Record what a primary answered to a question that was sent at `asked_at`.
 
         It counts as asked when the primary was last known to lead alone: the log of one
         that was replaced lacks what its successor has acknowledged since.
         """
-        if self._keep(group, position, self._leadership.led_alone(group, asked_at)):
-            self._node.publish(PrimaryHeard(group))
+        if self._keep(
+            group, position, self._leadership.sole_primary_until(group, asked_at)
+        ):
+            self._node.publish(PrimaryConfirmed(group))
 
     @staticmethod
     def _keep(group: GroupRow, position: LogPosition, asked_at: float) -> bool:
@@ -82,21 +86,21 @@
         if samples and asked_at - samples[-1].asked_at < SAMPLE_GAP:
             return False
         samples.append(FloorSample(asked_at, position))
-        group.floors_at.clear()
+        group.floor_cache.clear()
         if len(samples) > SAMPLES_MAX:
             samples.popleft()
         return True
 
-    def acknowledged(
+    def record_commit(
         self, endpoint: EndpointRow, position: LogPosition | None, sent_at: float
     ) -> None:
         """Record that an endpoint acknowledged a commit that was sent at `sent_at`."""
-        self._leadership.acknowledged(endpoint, sent_at)
+        self._leadership.note_acknowledgement(endpoint, sent_at)
         if position is not None:
             group = self.tables.group(endpoint.entry.service)
-            self.sample(group, position, sent_at)
+            self.record_sample(group, position, sent_at)
 
-    def committed(
+    def record_session_commit(
         self,
         session: SessionRow,
         endpoint: EndpointRow,
@@ -104,7 +108,7 @@
         sent_at: float,
     ) -> None:
         """Record a session's own commit, and what it tells of its endpoint."""
-        self.acknowledged(endpoint, position, sent_at)
+        self.record_commit(endpoint, position, sent_at)
         if position is None:
             return
         service = endpoint.entry.service
@@ -112,7 +116,9 @@
         if known is None or known < position:
             session.floors[service] = position
 
-    def floor(self, request: RequestRow, group: GroupRow) -> LogPosition | None:
+    def required_floor(
+        self, request: RequestRow, group: GroupRow
+    ) -> LogPosition | None:
         """Return the position that a replica must prove, None if none is known.
 
         None means that only a primary can serve the read.
@@ -121,18 +127,18 @@
         if route.consistency is Consistency.PRIMARY:
             return None
         floor = self._at_age(group, route.accepted_age)
-        own = self.own(request.session, route)
+        own = self.session_floor(request.session, route)
         if floor is not None and own is not None and own > floor:
             return own
         return floor
 
-    def settled(self, group: GroupRow) -> LogPosition:
+    def settled_position(self, group: GroupRow) -> LogPosition:
         """Return what each replica that receives has received by now."""
         settled_at = self.now - SETTLED_TIME
         known = [s.position for s in group.samples if s.asked_at < settled_at]
         return known[-1] if known else ZERO_POSITION
 
-    def prove(
+    def prove_freshness(
         self,
         endpoint: EndpointRow,
         route: Route,
@@ -148,11 +154,13 @@
             since = began_at - route.accepted_age + AGE_MARGIN
         self._leadership.confirm(endpoint, since, handler)
 
-    def ask(self, endpoint: EndpointRow, route: Route, began_at: float) -> None:
+    def request_proof(
+        self, endpoint: EndpointRow, route: Route, began_at: float
+    ) -> None:
         """Ask for a proof that will be needed: the answers come while a read runs."""
-        self.prove(endpoint, route, began_at, lambda sole: None)
+        self.prove_freshness(endpoint, route, began_at, lambda sole: None)
 
-    def own(self, session: SessionRow, route: Route) -> LogPosition | None:
+    def session_floor(self, session: SessionRow, route: Route) -> LogPosition | None:
         """Return the newest commit of a session that its reads must see, if any."""
         if route.consistency is not Consistency.OWN_WRITES:
             return None
@@ -165,21 +173,21 @@
         """
         if endpoint.position is not None and endpoint.position >= floor:
             return True
-        return endpoint.behind_until <= self.now
+        return endpoint.behind_backoff_until <= self.now
 
-    def lacked(self, endpoint: EndpointRow) -> None:
+    def mark_behind(self, endpoint: EndpointRow) -> None:
         """Note that an endpoint's log had not reached a floor."""
-        if self.now < endpoint.behind_until:
+        if self.now < endpoint.behind_backoff_until:
             return  # it was asked before that was known
-        pause = min(BEHIND_PAUSE_MAX, 2.0 * endpoint.behind_pause)
-        endpoint.behind_pause = max(BEHIND_PAUSE_MIN, pause)
-        endpoint.behind_until = self.now + endpoint.behind_pause
+        pause = min(BEHIND_PAUSE_MAX, 2.0 * endpoint.behind_backoff)
+        endpoint.behind_backoff = max(BEHIND_PAUSE_MIN, pause)
+        endpoint.behind_backoff_until = self.now + endpoint.behind_backoff
         if endpoint.behind_since is None:
             endpoint.behind_since = self.now
             return
-        stuck_time = STUCK_TIME * 2.0**endpoint.stuck_told
+        stuck_time = STUCK_TIME * 2.0**endpoint.stuck_reports
         if self._is_behind(endpoint, stuck_time) and not endpoint.is_leaving:
-            endpoint.stuck_told += 1
+            endpoint.stuck_reports += 1
             self._node.publish(ReplicaStuck(endpoint))
         group = self.tables.group(endpoint.entry.service)
         replicas = [
@@ -195,20 +203,20 @@
         since = endpoint.behind_since
         return since is not None and self.now - since > duration
 
-    def reached(self, endpoint: EndpointRow) -> None:
+    def mark_caught_up(self, endpoint: EndpointRow) -> None:
         """Note that an endpoint's log had reached a floor."""
-        endpoint.behind_pause = 0.0
+        endpoint.behind_backoff = 0.0
         endpoint.behind_since = None
-        endpoint.stuck_told = 0
-        endpoint.behind_until = self.now
+        endpoint.stuck_reports = 0
+        endpoint.behind_backoff_until = self.now
 
     def _at_age(self, group: GroupRow, accepted_age: float) -> LogPosition | None:
         """Return the oldest position that is young enough; once for each moment."""
-        known = group.floors_at.get(accepted_age)
+        known = group.floor_cache.get(accepted_age)
         if known is not None and known[0] == self.now:
             return known[1]
         floor = self._look_up(group, self.now - accepted_age + AGE_MARGIN)
-        group.floors_at[accepted_age] = (self.now, floor)
+        group.floor_cache[accepted_age] = (self.now, floor)
         return floor
 
     def _look_up(self, group: GroupRow, oldest: float) -> LogPosition | None:
--- a/mallowpass/core/proxy/idleconnections.py
+++ b/mallowpass/core/proxy/idleconnections.py
@@ -68,7 +68,7 @@
             connection.endpoint
         )
         timeout = SPARE_IDLE_MAX if is_spare else IDLE_MAX
-        return connection.last_used < self.now - timeout
+        return connection.last_used_at < self.now - timeout
 
     def _return_to_holders(self, endpoint: EndpointRow) -> None:
         """Replace the direct connection of a host that was cut off from the holders.
--- a/mallowpass/core/proxy/links.py
+++ b/mallowpass/core/proxy/links.py
@@ -29,13 +29,13 @@
 from mallowpass.core.proxy.sessionstate import make_setup_calls
 from mallowpass.core.proxy.signals import (
     ConnectionFreed,
-    EndpointForgotten,
+    EndpointExpired,
     EndpointRestarted,
     EndpointUnreachable,
     WriteAcknowledged,
     WriteStalled,
 )
-from mallowpass.core.proxy.stalls import WRITES_STALL, Stalls
+from mallowpass.core.proxy.stalls import WRITES_STALLED_MESSAGE, Stalls
 from mallowpass.core.proxy.statements import (
     Access,
     Begin,
@@ -100,7 +100,7 @@
         node.subscribe(LinkCalled, self._on_called)
         node.subscribe(LinkClosed, self._on_closed)
         node.subscribe(ConnectionFreed, self._on_freed)
-        node.subscribe(EndpointForgotten, self._on_forgotten)
+        node.subscribe(EndpointExpired, self._on_expired)
         node.subscribe(EndpointRestarted, self._on_restarted)
         node.subscribe(EndpointUnreachable, self._on_unreachable)
 
@@ -120,8 +120,8 @@
             message = f"{self._node.identity.name} can't reach {event.endpoint!r}"
             self._node.emit(RefuseLink(event.link, Code.UNREACHABLE, message))
         else:
-            of_holder = self._holders.is_holder(event.service, event.host)
-            link = LinkRow(event.link, endpoint, of_holder)
+            is_from_holder = self._holders.is_holder(event.service, event.host)
+            link = LinkRow(event.link, endpoint, is_from_holder)
             self.tables.links[event.link] = link
             floor = self._floor_hint(event.service, self.now)
             self._node.emit(AcceptLink(event.link, endpoint.position, floor))
@@ -137,7 +137,7 @@
         if link.connection is not None and not link.in_flight:
             self._roll_back(link)
 
-    def _on_forgotten(self, signal: EndpointForgotten) -> None:
+    def _on_expired(self, signal: EndpointExpired) -> None:
         for link in list(self.tables.links.values()):
             if link.endpoint is signal.endpoint and not link.in_flight:
                 self._refuse_and_close(link, "the endpoint was removed")
@@ -148,7 +148,7 @@
         Links with calls in flight were closed together with their connections.
         """
         for link in list(self.tables.links.values()):
-            if link.endpoint is signal.before:
+            if link.endpoint is signal.previous:
                 self._refuse_and_close(link, "the endpoint restarted")
 
     def _refuse_and_close(self, link: LinkRow, why: str) -> None:
@@ -178,7 +178,7 @@
         link = self.tables.links.get(event.link)
         if link is None:
             return
-        link.called_at = self.now
+        link.last_call_at = self.now
         priorities = [c.priority for c in event.calls if c.priority is not None]
         link.priority = min(priorities, default=0)
         for call in event.calls:
@@ -205,7 +205,7 @@
             self._refuse(link, Code.UNAUTHENTICATED, "no such customer")
         elif link not in self._waiting:
             if self._should_refuse_write(link):
-                self._refuse(link, Code.BUSY, WRITES_STALL)
+                self._refuse(link, Code.BUSY, WRITES_STALLED_MESSAGE)
                 return
             if not _is_connected(link.endpoint) and self._is_replaced(link):
                 self._refuse(link, Code.NOT_PRIMARY, "another endpoint is primary")
@@ -213,16 +213,16 @@
             if not self._connections.can_reach(link.endpoint):
                 self._refuse(link, Code.UNREACHABLE, ENDPOINT_UNREACHABLE)
                 return
-            link.waits_since = self.now
+            link.waiting_since = self.now
             self._waiting.append(link)
-            self._waiting.sort(key=lambda link: (link.priority, link.waits_since))
+            self._waiting.sort(key=lambda link: (link.priority, link.waiting_since))
             self.timers.after(WAIT_TIMEOUT, self._check_wait, link, self.now)
             self._try(link)
 
     def _is_outdated(self, link: LinkRow) -> bool:
         """Tell whether waiting writes may have outlived their timeout in a pause."""
         delay = self._pauses.max_input_delay
-        timeout = self._stalls.statement_timeout(link.endpoint.entry.service)
+        timeout = self._stalls.shortest_statement_timeout(link.endpoint.entry.service)
         if delay < timeout:
             return False
         return any(_is_write(link, call.statement) for call in link.waiting)
@@ -246,7 +246,7 @@
         """Tell whether a waiting write would hang at a primary whose writes stall."""
         if not any(_is_write(link, call.statement) for call in link.waiting):
             return False
-        return self._stalls.holds_back_write(self._group(link))
+        return self._stalls.should_refuse_write(self._group(link))
 
     def _group(self, link: LinkRow) -> GroupRow:
         return self.tables.group(link.endpoint.entry.service)
@@ -296,10 +296,10 @@
         # Calls of a holder are not forwarded to a third host: two holders without
         # connections would wait for each other.
         connection = self._connections.acquire(
-            link.endpoint, link.values, link.customer, own_only=link.of_holder
+            link.endpoint, link.values, link.customer, own_only=link.is_from_holder
         )
         if connection is None:
-            borrow = not link.of_holder
+            borrow = not link.is_from_holder
             self._connections.grow(link.endpoint, link.customer, borrow=borrow)
             return False
         self._waiting.remove(link)
@@ -310,7 +310,7 @@
         return True
 
     def _check_wait(self, link: LinkRow, since: float) -> None:
-        if link not in self._waiting or link.waits_since != since:
+        if link not in self._waiting or link.waiting_since != since:
             return
         self._waiting.remove(link)
         if self._is_replaced(link):
@@ -350,7 +350,7 @@
         self._node.count("links_refused", endpoint=link.endpoint.name, code=code.value)
         group = self._group(link)
         if code is Code.BUSY and link.endpoint.name == group.primary:
-            group.turned_away_at = self.now
+            group.last_rejection_at = self.now
         # A host without a floor sends its reads to the primary, where most calls wait
         # after all hosts have started. With the floor it can send them to replicas.
         text = f"{self._node.identity.name}: {message}"
@@ -417,9 +417,9 @@
                 continue
             if reply.state is SessionState.IDLE:  # a write outside a transaction
                 self._node.publish(WriteAcknowledged(group))
-                self._floors.acknowledged(link.endpoint, reply.position, sent_at)
+                self._floors.record_commit(link.endpoint, reply.position, sent_at)
             else:
-                self._floors.sample(group, reply.position, sent_at)
+                self._floors.record_sample(group, reply.position, sent_at)
 
     def _record_freshness(self, endpoint: EndpointRow, reply: EndpointReply) -> None:
         """Record whether an endpoint had reached the floor of another host's call.
@@ -428,9 +428,9 @@
         primary replaced when all its replicas are behind.
         """
         if reply.code is Code.BEHIND:
-            self._floors.lacked(endpoint)
+            self._floors.mark_behind(endpoint)
         elif reply.code is Code.DONE:
-            self._floors.reached(endpoint)
+            self._floors.mark_caught_up(endpoint)
 
     def _with_floor(self, link: LinkRow, reply: EndpointReply) -> EndpointReply:
         """Return a reply with the newest sample of the primary's log position.
@@ -439,7 +439,7 @@
         the statements of other hosts it would have no floor, and would send its reads
         to the primary.
         """
-        floor = self._floor_hint(link.endpoint.entry.service, link.called_at)
+        floor = self._floor_hint(link.endpoint.entry.service, link.last_call_at)
         return reply if floor is None else replace(reply, floor=floor)
 
     def _floor_hint(self, service: str, at: float) -> FloorHint | None:
@@ -464,7 +464,7 @@
     ) -> None:
         """Forward replies, without those to the `setup_count` calls sent ahead."""
         if any(reply.code is not Code.DONE for reply in replies[:setup_count]):
-            connection.broken = True
+            connection.is_broken = True
         answers = replies[setup_count:]
         link.in_flight -= len(answers)
         if not link.closed:
--- a/mallowpass/core/proxy/promotion.py
+++ b/mallowpass/core/proxy/promotion.py
@@ -25,19 +25,23 @@
 from mallowpass.core.proxy.floors import Floors
 from mallowpass.core.proxy.holders import Holders
 from mallowpass.core.proxy.members import Members
-from mallowpass.core.proxy.ordering import ClaimLapsed, OrderFailed, Ordering
+from mallowpass.core.proxy.pendingorders import PendingOrders
+from mallowpass.core.proxy.primaryconflicts import PrimaryConflicts
+from mallowpass.core.proxy.promotionorders import (
+    ClaimLapsed,
+    OrderFailed,
+    PromotionOrders,
+)
 from mallowpass.core.proxy.replacement import Reason, Replacement, best_target
 from mallowpass.core.proxy.replicaorders import ReplicaOrders
 from mallowpass.core.proxy.resumption import Resumption
-from mallowpass.core.proxy.rivals import Rivals
 from mallowpass.core.proxy.signals import (
     EndpointChanged,
     EndpointRestarted,
     PrimaryChanged,
-    PrimaryReplicates,
+    ReplicationConfirmed,
     WriteAcknowledged,
 )
-from mallowpass.core.proxy.standingorders import StandingOrders
 from mallowpass.core.proxy.statements import (
     Code,
     EndpointReply,
@@ -80,8 +84,8 @@
         "_ordering",
         "_orders",
         "_resumption",
-        "_rivals",
-        "_standing",
+        "_conflicts",
+        "_pending_orders",
     )
 
     def __init__(self, node: Node) -> None:
@@ -99,11 +103,11 @@
         self._floors = node.system(Floors)
         self._holders = node.system(Holders)
         self._members = node.system(Members)
-        self._ordering = node.system(Ordering)
+        self._ordering = node.system(PromotionOrders)
         self._orders = node.system(ReplicaOrders)
         self._resumption = node.system(Resumption)
-        self._rivals = node.system(Rivals)
-        self._standing = node.system(StandingOrders)
+        self._conflicts = node.system(PrimaryConflicts)
+        self._pending_orders = node.system(PendingOrders)
         node.subscribe(EndpointChanged, self._on_endpoint)
         node.subscribe(EndpointRestarted, self._on_restarted)
         node.subscribe(PrimaryChanged, self._on_primary)
@@ -137,7 +141,7 @@
         self._take_claim(attempt)
 
     def _take_claim(self, attempt: Replacement) -> None:
-        quiet = RELIEF_QUIET if attempt.reason is Reason.RELIEF else 0.0
+        quiet = RELIEF_QUIET if attempt.reason is Reason.OVERLOADED else 0.0
         self._claims.take(
             attempt.group.service,
             attempt.primary,
@@ -158,7 +162,9 @@
             return
         attempt.claim = claim
         attempt.log(self._node, "promotion_begun", token=claim.token)
-        attempt.surveys = attempt.reason is not Reason.SILENT and not attempt.orders
+        attempt.surveys = (
+            attempt.reason is not Reason.UNAVAILABLE and not attempt.orders
+        )
         self._compare(attempt)
 
     # -- Comparing -----------------------------------------------------------
@@ -191,7 +197,7 @@
         primary = attempt.group.endpoints.get(attempt.primary)
         if primary is None or attempt.rounds > 1 or not attempt.reason.is_failure:
             return
-        settled = self._durability.is_settled(attempt.group)
+        settled = self._durability.is_missing_bound_reached(attempt.group)
         if settled and attempt.reason is not Reason.STALLED:
             return
         attempt.asked += 1
@@ -206,7 +212,7 @@
             if attempt.asked == 0:
                 self._decide(attempt)
 
-        self._orders.give(primary, Status(), on_reply)
+        self._orders.send(primary, Status(), on_reply)
 
     def _ask(
         self, attempt: Replacement, endpoint: EndpointRow, statement: Statement
@@ -217,7 +223,7 @@
             if not attempt.ended and attempt.rounds == round_number:
                 self._on_reply(attempt, endpoint, statement, reply)
 
-        self._orders.give(endpoint, statement, on_reply)
+        self._orders.send(endpoint, statement, on_reply)
 
     def _on_reply(
         self,
@@ -234,7 +240,7 @@
             if isinstance(statement, Pause):
                 attempt.paused.add(endpoint.name)
             # One that started again with nothing may say that it leads.
-            needed = self._durability.demanded(attempt.group)
+            needed = self._durability.required_position(attempt.group)
             if reply.status.is_primary and reply.status.received >= needed:
                 if not self._is_replaced(attempt, reply.status):
                     self._on_leading(attempt, endpoint)
@@ -254,11 +260,11 @@
 
     def _is_replaced(self, attempt: Replacement, status: EndpointStatus) -> bool:
         """Tell whether one that says that it leads has been replaced itself."""
-        if self.tables.lead_is_taken:
+        if self.tables.promotion_fences_primary:
             return False
         if not attempt.primary:
             return status.term < attempt.group.term
-        return not self._rivals.is_newer(attempt.group, status)
+        return not self._conflicts.has_new_term(attempt.group, status)
 
     def _on_replaced(
         self, attempt: Replacement, endpoint: EndpointRow, status: EndpointStatus
@@ -270,7 +276,7 @@
         """
         del attempt.received[endpoint.name]
         attempt.paused.discard(endpoint.name)
-        is_open = status.term == attempt.group.term_before
+        is_open = status.term == attempt.group.previous_term
         if is_open and attempt.rounds < ROUNDS_MAX // 2:
             return
         attempt.asked += 1
@@ -288,7 +294,7 @@
     def _on_leading(self, attempt: Replacement, endpoint: EndpointRow) -> None:
         """Leave it at that: another host's order was carried out meanwhile."""
         if attempt.group.primary != endpoint.name:
-            self._members.promoted(endpoint, "it says that it leads")
+            self._members.assume_primary(endpoint, "it says that it leads")
         if not attempt.ended:
             self._finish(attempt, f"{endpoint.name} leads already")
 
@@ -304,7 +310,7 @@
             silent=",".join(silent),
         )
         furthest = max(attempt.received.values(), default=ZERO_POSITION)
-        if furthest < self._durability.demanded(attempt.group):
+        if furthest < self._durability.required_position(attempt.group):
             self._hold_back(attempt, furthest, silent)
             return
         if silent:
@@ -318,13 +324,15 @@
         if stalled and furthest >= attempt.shown:
             # What the primary had a moment ago has been received: it is not stalled.
             self._give_up(attempt, "its replicas receive")
-            self._node.publish(PrimaryReplicates(attempt.group))
+            self._node.publish(ReplicationConfirmed(attempt.group))
             return
         if not attempt.target:
             leading = [e for e in candidates if attempt.received[e.name] == furthest]
             leading.sort(key=lambda e: (e.is_leaving, e.latency))
             names = [endpoint.name for endpoint in leading]
-            attempt.target = self._standing.best_of(attempt.group, names) or names[0]
+            attempt.target = (
+                self._pending_orders.best_of(attempt.group, names) or names[0]
+            )
         if attempt.received[attempt.target] < furthest:
             if attempt.rounds >= ROUNDS_MAX // 2:
                 # It does not catch up: all are paused, and the furthest one leads.
@@ -357,7 +365,7 @@
             "promotion_would_lose_commits",
             service=service,
             primary=attempt.primary,
-            needed=self._durability.demanded(attempt.group).text,
+            needed=self._durability.required_position(attempt.group).text,
             furthest=furthest.text,
             received=attempt.received_text,
             silent=",".join(silent),
@@ -368,7 +376,7 @@
 
     def _lives(self, attempt: Replacement) -> bool:
         primary = attempt.group.endpoints.get(attempt.primary)
-        return primary is not None and primary.heard_at > self.now - ALIVE_TIME
+        return primary is not None and primary.last_reply_at > self.now - ALIVE_TIME
 
     def _end_survey(self, attempt: Replacement) -> None:
         """Go on with the replica that should lead, or give up where none needs to.
@@ -378,22 +386,22 @@
         """
         candidates = self._candidates(attempt.group, attempt.primary)
         staying = [replica for replica in candidates if not replica.is_leaving]
-        settled = self._floors.settled(attempt.group)
+        settled = self._floors.settled_position(attempt.group)
         receiving = [r for r in staying if attempt.received[r.name] >= settled]
-        if attempt.reason is Reason.RELIEF and not receiving:
+        if attempt.reason is Reason.OVERLOADED and not receiving:
             self._give_up(attempt, "no replica that stays receives")
             return
         attempt.surveys = False
         if attempt.reason is not Reason.STALLED:
             replicas = receiving or staying or candidates
             names = [replica.name for replica in replicas]
-            ordered = self._standing.best_of(attempt.group, names)
+            ordered = self._pending_orders.best_of(attempt.group, names)
             attempt.target = best_target(attempt, replicas, ordered)
         self._compare(attempt)
 
     def _again(self, attempt: Replacement, why: str) -> None:
         limit = ROUNDS_MAX
-        if attempt.reason is Reason.RELIEF:
+        if attempt.reason is Reason.OVERLOADED:
             limit = RELIEF_ROUNDS_MAX
         if attempt.rounds >= limit:
             self._give_up(attempt, why)
@@ -452,7 +460,7 @@
             else:
                 self.timers.after(ROUND_GAP, self._pause_joined, attempt, endpoint)
 
-        self._orders.give(endpoint, Pause(attempt.group.term + 1), on_reply)
+        self._orders.send(endpoint, Pause(attempt.group.term + 1), on_reply)
 
     # -- Ending --------------------------------------------------------------
 
--- a/mallowpass/core/proxy/succession.py
+++ b/mallowpass/core/proxy/replacementtriggers.py
@@ -11,7 +11,7 @@
 )
 from mallowpass.core.proxy.tables import EndpointRow, GroupRow, ProxySystem
 
-__all__ = ["Succession"]
+__all__ = ["ReplacementTriggers"]
 
 # Hosts that see a leaving primary at the same moment don't all claim at once.
 JITTER = 0.15  # seconds
@@ -27,7 +27,7 @@
 LEADERLESS_TIME = 2.5
 
 
-class Succession(ProxySystem):
+class ReplacementTriggers(ProxySystem):
     """Have primaries replaced that leave, and found where nobody leads."""
 
     __slots__ = ("_promotion",)
@@ -45,7 +45,7 @@
         group = self.tables.group(endpoint.entry.service)
         if group.primary == endpoint.name and endpoint.is_leaving:
             pause = self._node.random.uniform(0.0, JITTER)
-            if endpoint.gone_at is not None:
+            if endpoint.removed_at is not None:
                 pause += GONE_TIME
             self.timers.after(pause, self._consider, endpoint)
 
@@ -56,21 +56,21 @@
         if not self.tables.is_current(endpoint):
             return
         why = "it is draining"
-        if endpoint.gone_at is not None:
+        if endpoint.removed_at is not None:
             why = "its entry is gone"
         self._promotion.replace(group, endpoint.name, Reason.LEAVING, why)
         self.timers.after(RETRY, self._consider, endpoint)
 
     def _on_restarted(self, signal: EndpointRestarted) -> None:
-        if signal.endpoint.doubted:
+        if signal.endpoint.is_role_unconfirmed:
             pause = RESTART_TIME + self._node.random.uniform(0.0, JITTER)
             self.timers.after(pause, self._consider_restarted, signal.endpoint)
 
     def _consider_restarted(self, endpoint: EndpointRow) -> None:
         group = self.tables.group(endpoint.entry.service)
-        if endpoint.doubted and not group.primary:
+        if endpoint.is_role_unconfirmed and not group.primary:
             why = "it started again, and may hold nothing"
-            self._promotion.replace(group, endpoint.name, Reason.SILENT, why)
+            self._promotion.replace(group, endpoint.name, Reason.UNAVAILABLE, why)
 
     def _on_primary(self, signal: PrimaryChanged) -> None:
         group = signal.group
@@ -83,5 +83,5 @@
         """Replace a primary that is not known, and that does not come back."""
         if group.primary or group.no_primary_since != since:
             return
-        self._promotion.replace(group, "", Reason.SILENT, "nobody leads")
+        self._promotion.replace(group, "", Reason.UNAVAILABLE, "nobody leads")
         self.timers.after(RETRY, self._consider_leaderless, group, since)
--- a/mallowpass/core/proxy/requests.py
+++ b/mallowpass/core/proxy/requests.py
@@ -12,28 +12,27 @@
 from mallowpass.core.proxy.connections import Connections
 from mallowpass.core.proxy.durability import Durability
 from mallowpass.core.proxy.floors import Floors
-from mallowpass.core.proxy.leadership import UNPROVEN
+from mallowpass.core.proxy.leadership import LEADERSHIP_UNPROVEN
 from mallowpass.core.proxy.load import Load
 from mallowpass.core.proxy.members import Members
-from mallowpass.core.proxy.overdue import Overdue
 from mallowpass.core.proxy.pauses import Pauses
 from mallowpass.core.proxy.policy.admission import held_until, is_turned_away
-from mallowpass.core.proxy.policy.line import Line, urgency
+from mallowpass.core.proxy.policy.dispatch import DispatchPass, urgency
 from mallowpass.core.proxy.ratelimits.allowances import Allowances
 from mallowpass.core.proxy.routing import Routing
 from mallowpass.core.proxy.sampling import Sampling
 from mallowpass.core.proxy.signals import (
-    AttemptLeft,
+    AttemptAbandoned,
     AttemptLost,
     AttemptRefused,
     ConnectionFreed,
     EndpointChanged,
-    FloorLearnt,
+    FloorReceived,
     PrimaryChanged,
-    PrimaryHeard,
+    PrimaryConfirmed,
     WriteAcknowledged,
 )
-from mallowpass.core.proxy.stalls import WRITES_STALL, Stalls
+from mallowpass.core.proxy.stalls import WRITES_STALLED_MESSAGE, Stalls
 from mallowpass.core.proxy.statements import (
     Access,
     Begin,
@@ -55,6 +54,7 @@
     RequestRow,
     SessionRow,
 )
+from mallowpass.core.proxy.timeouts import Timeouts
 from mallowpass.core.proxy.transactions import Transactions
 
 __all__ = ["Requests"]
@@ -81,7 +81,7 @@
         "_floors",
         "_load",
         "_members",
-        "_overdue",
+        "_timeouts",
         "_pauses",
         "_routing",
         "_sampling",
@@ -100,20 +100,20 @@
         self._floors = node.system(Floors)
         self._load = node.system(Load)
         self._members = node.system(Members)
-        self._overdue = node.system(Overdue)
+        self._timeouts = node.system(Timeouts)
         self._pauses = node.system(Pauses)
         self._routing = node.system(Routing)
         self._sampling = node.system(Sampling)
         self._stalls = node.system(Stalls)
         self._transactions = node.system(Transactions)
         node.subscribe(AttemptLost, self._on_lost)
-        node.subscribe(AttemptLeft, self._on_left)
+        node.subscribe(AttemptAbandoned, self._on_left)
         node.subscribe(AttemptRefused, self._on_attempt_refused)
         node.subscribe(ConnectionFreed, self._on_freed)
         node.subscribe(EndpointChanged, self._on_freed)
         node.subscribe(PrimaryChanged, self._on_group)
-        node.subscribe(PrimaryHeard, self._on_group)
-        node.subscribe(FloorLearnt, self._on_group)
+        node.subscribe(PrimaryConfirmed, self._on_group)
+        node.subscribe(FloorReceived, self._on_group)
 
     # -- Arrival -------------------------------------------------------------
 
@@ -138,8 +138,8 @@
             statement=statement,
             access=access,
             route=route,
-            arrived=self.now,
-            expires=expires,
+            arrived_at=self.now,
+            expires_at=expires,
             transaction=transaction,
             prepared=prepared,
         )
@@ -149,7 +149,7 @@
             why = f"this host was paused for {waited:.1f} s, and it may be as old"
             self._answers.refuse(request, Code.BUSY, why)
             return
-        request.timers.append(self.timers.at(expires, self._overdue.expired, request))
+        request.timers.append(self.timers.at(expires, self._timeouts.expire, request))
         if transaction is not None and transaction.connection is not None:
             self._transactions.send(request)
         else:
@@ -175,7 +175,7 @@
         """Forget a statement whose caller is gone; what was sent runs to its end."""
         request = session.request
         connection = request.connection
-        self._answers.settle(request)
+        self._answers.finish(request)
         if connection is None:
             if session.transaction is not None:
                 self._answers.roll_back(session)
@@ -200,38 +200,38 @@
 
     def _dispatch(self, group: GroupRow) -> None:
         """Send what may be sent of the statements that wait, the most urgent first."""
-        line = Line()
-        any_full = self._routing.any_full(group)
+        line = DispatchPass()
+        any_full = self._routing.has_full_endpoint(group)
         for request in list(group.waiting):
             if request.finished or request.retry_at > self.now:
                 continue
             # There is no connection for others of its customer, either.
-            none = line.asked(request.customer) >= ASKED_MAX
+            none = line.miss_count(request.customer) >= ASKED_MAX
             held = not any_full or self.now < held_until(request)
-            if none and held and not self._routing.has_idle(group):
+            if none and held and not self._routing.has_idle_connection(group):
                 continue
             self._try(request, group, line)
 
-    def _try(self, request: RequestRow, group: GroupRow, line: Line) -> None:
-        if self._stalls.holds_back(request, group):
+    def _try(self, request: RequestRow, group: GroupRow, line: DispatchPass) -> None:
+        if self._stalls.should_refuse(request, group):
             if self.now >= held_until(request):
-                self._answers.refuse(request, Code.BUSY, WRITES_STALL)
+                self._answers.refuse(request, Code.BUSY, WRITES_STALLED_MESSAGE)
             return
-        floor = self._routing.floor(request, group)
+        floor = self._routing.required_floor(request, group)
         if self._waits_for_floor(request, group, floor):
             request.detail = "waits for a floor"
             return
-        choice = line.known(request.customer, floor)
+        choice = line.lookup_miss(request.customer, floor)
         if choice is None:
             choice = self._routing.choose(request, group, floor)
-            if choice.connection is None and not request.avoided:
-                line.note(request.customer, floor, choice)
+            if choice.connection is None and not request.avoided_endpoints:
+                line.record_miss(request.customer, floor, choice)
         request.detail = choice.why or request.detail
         if choice.connection is not None:
             group.waiting.remove(request)
             self._send(request, choice.connection, choice.floor)
         elif choice.full and is_turned_away(request, group.waiting, self.now):
-            group.turned_away_at = self.now
+            group.last_rejection_at = self.now
             self._answers.refuse(request, Code.BUSY, FULL)
 
     def _waits_for_floor(
@@ -248,7 +248,9 @@
     def _on_freed(self, signal: ConnectionFreed | EndpointChanged) -> None:
         self._dispatch(self.tables.group(signal.endpoint.entry.service))
 
-    def _on_group(self, signal: PrimaryChanged | PrimaryHeard | FloorLearnt) -> None:
+    def _on_group(
+        self, signal: PrimaryChanged | PrimaryConfirmed | FloorReceived
+    ) -> None:
         if signal.group.waiting:
             self._dispatch(signal.group)
 
@@ -273,13 +275,13 @@
         floor: LogPosition | None,
     ) -> None:
         self._attempts.attach(request, connection)
-        calls = self._attempts.set_up(request, connection)
+        calls = self._attempts.setup_calls(request, connection)
         setup = len(calls)
         reads = request.access is Access.READ
         minimum = floor
         if reads and floor is None:
-            minimum = self._floors.own(request.session, request.route)
-        calls.append(self._attempts.call(request, minimum))
+            minimum = self._floors.session_floor(request.session, request.route)
+        calls.append(self._attempts.statement_call(request, minimum))
         group = self.tables.group(request.route.service)
         if reads and connection.endpoint.name == group.primary:
             # Was it still the primary? An old one answers reads like any replica,
@@ -289,7 +291,9 @@
             if floor is None:
                 # One that does not know of its successor accepts these as well. The
                 # answers come while the read runs.
-                self._floors.ask(connection.endpoint, request.route, request.arrived)
+                self._floors.request_proof(
+                    connection.endpoint, request.route, request.arrived_at
+                )
 
         def on_replies(connection: ConnectionRow, replies: list[EndpointReply]) -> None:
             self._on_single_replies(request, connection, replies, setup)
@@ -306,7 +310,7 @@
         setup: int,
     ) -> None:
         if any(reply.code is not Code.DONE for reply in replies[:setup]):
-            connection.broken = True
+            connection.is_broken = True
         reply = replies[setup]
         guard = replies[setup + 1] if len(replies) > setup + 1 else None
         if request.connection is not connection:
@@ -316,7 +320,7 @@
         endpoint = connection.endpoint
         self._attempts.detach(request)
         if reply.code is Code.UNKNOWN_STATEMENT:
-            connection.broken = True
+            connection.is_broken = True
         self._connections.release(connection)
         if guard is not None and guard.code is not Code.DONE:
             self._refused(request, endpoint, guard)
@@ -340,9 +344,11 @@
             if sole:
                 self._on_done(request, endpoint, reply, proves_primary=True)
             else:
-                self._refused(request, endpoint, UNPROVEN)
+                self._refused(request, endpoint, LEADERSHIP_UNPROVEN)
 
-        self._floors.prove(endpoint, request.route, request.arrived, on_proof)
+        self._floors.prove_freshness(
+            endpoint, request.route, request.arrived_at, on_proof
+        )
 
     def _on_done(
         self,
@@ -352,17 +358,17 @@
         proves_primary: bool,
     ) -> None:
         if request.floor is not None:
-            self._floors.reached(endpoint)
+            self._floors.mark_caught_up(endpoint)
         group = self.tables.group(request.route.service)
         if request.access is Access.WRITE:
-            self._durability.acknowledged(endpoint, request.shown)
+            self._durability.note_acknowledgement(endpoint, request.position_before)
             self._node.publish(WriteAcknowledged(group))
-            self._floors.committed(
+            self._floors.record_session_commit(
                 request.session, endpoint, reply.position, request.sent_at
             )
         elif proves_primary and reply.position is not None:
-            self._floors.sample(group, reply.position, request.sent_at)
-        self._answers.reply(request, reply, SessionState.IDLE)
+            self._floors.record_sample(group, reply.position, request.sent_at)
+        self._answers.forward_reply(request, reply, SessionState.IDLE)
 
     def _on_failed(
         self, request: RequestRow, endpoint: EndpointRow, reply: EndpointReply
@@ -373,7 +379,7 @@
             # It ran and failed; a read may well succeed elsewhere.
             self._refused(request, endpoint, reply)
         else:
-            self._answers.reply(request, reply, SessionState.IDLE)
+            self._answers.forward_reply(request, reply, SessionState.IDLE)
 
     def _on_attempt_refused(self, signal: AttemptRefused) -> None:
         self._refused(signal.request, signal.endpoint, signal.reply)
@@ -391,13 +397,13 @@
         request.detail = f"{endpoint.name}: {reply.code.value} {reply.message}".rstrip()
         self._node.count("requests_refused", code=reply.code.value)
         if reply.code is Code.NOT_PRIMARY:
-            self._members.denied(endpoint)
+            self._members.note_not_primary(endpoint)
         elif reply.code is Code.BEHIND and request.floor is not None:
-            self._floors.lacked(endpoint)
-            request.behind += 1
-            request.avoided.add(endpoint.name)
+            self._floors.mark_behind(endpoint)
+            request.behind_count += 1
+            request.avoided_endpoints.add(endpoint.name)
         elif reply.code is not Code.UNREACHABLE:  # else by another holder, at once
-            request.avoided.add(endpoint.name)
+            request.avoided_endpoints.add(endpoint.name)
             request.retry_at = self.now + self._attempts.backoff(request)
         held = reply.code is Code.BUSY and self.now >= held_until(request)
         if held or request.tries >= TRIES_MAX:
@@ -413,7 +419,7 @@
         else:
             self._begin(request)  # it counts once more
 
-    def _on_left(self, signal: AttemptLeft) -> None:
+    def _on_left(self, signal: AttemptAbandoned) -> None:
         self._begin(signal.request)
 
     # -- What goes wrong -----------------------------------------------------
@@ -432,14 +438,14 @@
             begun = transaction.connection is not None
             transaction.connection = None
             if begun:
-                self._transactions.lost(request, why)
+                self._transactions.answer_lost(request, why)
                 return
         elif request.access is Access.WRITE:
-            self._answers.in_doubt(request, why)
+            self._answers.answer_in_doubt(request, why)
             return
         # A read, or a transaction that was not begun: nothing of it is kept.
         request.tries += 1
-        request.avoided.add(endpoint.name)
+        request.avoided_endpoints.add(endpoint.name)
         request.detail = f"{endpoint.name}: {why}"
         if request.tries >= TRIES_MAX:
             self._answers.refuse(request, Code.ABORTED, request.detail)
@@ -450,5 +456,5 @@
 def _writes(request: RequestRow) -> bool:
     """Tell whether a statement has something kept that its caller may have given up."""
     if isinstance(request.statement, Commit):
-        return request.transaction.wrote
+        return request.transaction.has_written
     return request.access is Access.WRITE
--- a/mallowpass/core/proxy/shares.py
+++ b/mallowpass/core/proxy/shares.py
@@ -55,7 +55,7 @@
 
     def can_open(self, endpoint: EndpointRow, beyond_share: bool) -> bool:
         """Tell whether this host may open one more connection, not borrowed."""
-        if self.now < endpoint.refused_until:
+        if self.now < endpoint.connect_backoff_until:
             return False
         if (
             self._holders.is_cut_off(endpoint)
@@ -130,7 +130,7 @@
         service = endpoint.entry.service
         if not self._holders.holds(service):
             return None
-        is_refused = self.now < endpoint.refused_until
+        is_refused = self.now < endpoint.connect_backoff_until
         if not is_refused and not self._holders.are_all_holders(service):
             return None
         borrowed = [c.holder for c in endpoint.connections.values() if c.holder]
