--- a/mallowpass/core/proxy/__init__.py
+++ b/mallowpass/core/proxy/__init__.py
@@ -6,14 +6,27 @@
 - `statements`, `configuration`, `storage`, `events`, `effects`, `signals`: the data
   that enters and leaves a host, and that its systems exchange;
 - `tables`: the rows that the systems own;
-- `store`, `currentconfiguration`, `members`, `hosts`: the configuration, endpoints and
-  other hosts according to the store;
-- `holders`, `shares`, `connections`, `links`, `control`: connections to endpoints,
-  direct or forwarded by another host;
-- `floors`, `routing`: the endpoints that may run a statement;
-- `requests`, `transactions`, `sessions`: the execution of callers' statements;
-- `suspicion`, `relief`, `claims`, `promotion`, `resumption`, `discovery`: failure
-  detection, replacing a primary, and finding the current one;
+- `store`, `watches`, `feeds`, `relays`, `unreadable`: calls to the store, and the
+  propagation of changes from the store to all hosts;
+- `currentconfiguration`, `members`, `hosts`: the configuration, the endpoints and the
+  other hosts, as the store lists them;
+- `holders`, `shares`, `connections`, `sessionstate`, `deadconnections`,
+  `idleconnections`, `links`: connections to endpoints, direct or forwarded by another
+  host;
+- `load`, `pauses`, `stalls`: overloaded endpoints, pauses of this process, and
+  primaries that acknowledge no writes;
+- `control`, `forwardedorders`, `replicaorders`: this host's own statements to
+  endpoints;
+- `durability`, `leadership`, `floors`, `sampling`, `routing`: the log positions that
+  reads and a new primary need, and the endpoints that may run a statement;
+- `requests`, `attempts`, `transactions`, `timeouts`, `answers`, `sessions`,
+  `credentials`, `customers`, `ratelimits`: the execution of callers' statements;
+- `suspicion`, `overloadswitchover`, `replacementtriggers`, `claims`, `promotion`,
+  `replacement`, `promotionorders`, `pendingorders`, `demotion`, `resumption`,
+  `stuckreplicas`: failover and switchover of a primary;
+- `discovery`, `primaryconflicts`: finding the primary, and resolving a conflict between
+  two;
 - `draining`: start, shutdown and readiness;
+- `policy`: decisions under load, independent of events, timers and effects;
 - `registry`: all systems, in the order in which they start.
 """
--- a/mallowpass/core/proxy/holders.py
+++ b/mallowpass/core/proxy/holders.py
@@ -111,10 +111,11 @@
         return STATEMENTS_PER_SLOT * min(slots, default=1)
 
     def nearest_holder(self, endpoint: EndpointRow) -> HostRow | None:
-        """Return the nearest usable holder, None if the service has no holders.
+        """Return the nearest usable holder, None if the plan names no holders.
 
-        A holder to which no connection is being opened is preferred, so that two
-        holders that do not answer are detected at the same time.
+        If no holder is usable, all are candidates. A holder to which no connection is
+        being opened is preferred, so that two holders that do not answer are detected
+        at the same time.
         """
         plan = self._plan(endpoint.entry.service)
         usable = [host for host in plan.holders if self._is_usable(host, endpoint)]
@@ -142,11 +143,12 @@
         return len(unanswered) >= min(UNANSWERED_MIN, len(plan.holders))
 
     def has_usable_holder(self, endpoint: EndpointRow) -> bool:
-        """Tell whether any holder has not recently failed to reach an endpoint."""
+        """Tell whether at least one holder can be used to reach an endpoint."""
         plan = self._plan(endpoint.entry.service)
         return any(self._is_usable(host, endpoint) for host in plan.holders)
 
     def _is_usable(self, host: HostRow, endpoint: EndpointRow) -> bool:
+        """Tell whether a holder has not recently failed for an endpoint."""
         if self._failed.get(host.name, 0.0) > self.now:
             return False
         return self._unreachable.get((host.name, endpoint.name), 0.0) <= self.now
--- a/mallowpass/core/proxy/policy/__init__.py
+++ b/mallowpass/core/proxy/policy/__init__.py
@@ -1,12 +1,12 @@
-"""Pure functions that decide under load, without events, timers or effects.
+"""Decisions under load, independent of events, timers and effects.
 
 Each module states the load that it is for, and the reasons for its limits. A decision
 depends on the arguments alone, so each module is tested with the load that it is for.
 
 | module | decision |
 |---|---|
-| `line` | which waiting statement is tried first, and which need not be tried |
+| `dispatch` | which waiting statement is tried first, and which need not be tried |
 | `admission` | which statements keep waiting, and which are refused |
 | `placement` | which of the eligible endpoints runs a statement |
-| `sharing` | how many connections each host may have to an endpoint |
+| `sharing` | which hosts connect to an endpoint, and with how many connections |
 """
--- a/mallowpass/core/proxy/shares.py
+++ b/mallowpass/core/proxy/shares.py
@@ -103,7 +103,7 @@
         return self._count(endpoint) > max(1, self._holders.share(service) // 2)
 
     def path(self, endpoint: EndpointRow) -> HostRow | None:
-        """Return the holder that forwards to an endpoint, None if it is direct."""
+        """Return the holder to connect through, None to connect directly."""
         holders = self._holders
         if holders.holds(endpoint.entry.service) or holders.is_cut_off(endpoint):
             return None
