--- a/mallowpass/core/proxy/claims.py
+++ b/mallowpass/core/proxy/claims.py
@@ -17,8 +17,8 @@
 from mallowpass.core.positions import ZERO_POSITION, LogPosition
 from mallowpass.core.proxy.durability import Durability
 from mallowpass.core.proxy.holders import Holders
+from mallowpass.core.proxy.pendingorders import PendingOrders
 from mallowpass.core.proxy.signals import EraChanged
-from mallowpass.core.proxy.standingorders import StandingOrders
 from mallowpass.core.proxy.storage import (
     ChangeRows,
     ListRows,
@@ -69,7 +69,7 @@
         """Tell whether it was given back."""
         return self.holder == _NOBODY
 
-    def leaves(self, primary: str) -> bool:
+    def confirms_lead_of(self, primary: str) -> bool:
         """Tell whether a primary that led when this was made, or since, still leads.
 
         That is so as long as this is the newest claim. One that names another primary
@@ -122,7 +122,7 @@
 class Claims(ProxySystem):
     """Take claims."""
 
-    __slots__ = ("_durability", "_holders", "_known", "_standing", "_store")
+    __slots__ = ("_durability", "_holders", "_known", "_pending_orders", "_store")
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
@@ -133,7 +133,7 @@
         self._holders = self._node.system(Holders)
         self._node.subscribe(EraChanged, self._on_era)
         self._durability = self._node.system(Durability)
-        self._standing = self._node.system(StandingOrders)
+        self._pending_orders = self._node.system(PendingOrders)
         self._store = self._node.system(Store)
 
     def take(
@@ -179,7 +179,7 @@
     def _is_of_era(self, claim: Claim) -> bool:
         return claim.token > self._store.era * _TOKENS_OF_ERA
 
-    def look(self, service: str, handler: LookHandler) -> None:
+    def read_newest(self, service: str, handler: LookHandler) -> None:
         """Read the newest claim; the handler learns whether it could be read."""
 
         def on_rows(reply: StoreReply) -> None:
@@ -272,7 +272,7 @@
         Where the platform does not take the lead from primaries, that nobody claimed
         one is a proof: it has to be known again that claims of this era are whole.
         """
-        has_orders = bool(self._standing.standing(service))
+        has_orders = bool(self._pending_orders.pending(service))
         return has_orders or not self.tables.lead_is_taken
 
     def _restate(self, service: str, tries: int) -> None:
@@ -395,7 +395,7 @@
     def _ordered(self, service: str) -> tuple[tuple[str, float], ...]:
         """Return the orders that stand, as the store will keep them."""
         ahead = (self._store.time or 0.0) - self.now
-        standing = self._standing.standing(service).items()
+        standing = self._pending_orders.pending(service).items()
         return tuple((target, round(until + ahead, 3)) for target, until in standing)
 
     def _learn_orders(self, service: str, claim: Claim) -> None:
@@ -404,7 +404,7 @@
         ahead = (self._store.time or 0.0) - self.now
         for target, until in claim.ordered:
             if target not in (claim.primary, group.primary):
-                self._standing.learn(service, target, until - ahead)
+                self._pending_orders.learn(service, target, until - ahead)
 
     def _decode(self, row: Row) -> Claim:
         """Read a claim; one of another form counts as given back.
--- a/mallowpass/core/proxy/demotion.py
+++ b/mallowpass/core/proxy/demotion.py
@@ -19,6 +19,7 @@
 from mallowpass.core.node import Node
 from mallowpass.core.proxy.connections import Connections
 from mallowpass.core.proxy.detours import Detours
+from mallowpass.core.proxy.pendingorders import PendingOrders
 from mallowpass.core.proxy.replicaorders import ReplicaOrders
 from mallowpass.core.proxy.rivals import Rivals
 from mallowpass.core.proxy.signals import (
@@ -26,7 +27,6 @@
     EndpointRestarted,
     EndpointUnreachable,
 )
-from mallowpass.core.proxy.standingorders import StandingOrders
 from mallowpass.core.proxy.statements import Code, Demote, EndpointReply
 from mallowpass.core.proxy.tables import ConnectionState, EndpointRow, ProxySystem
 
@@ -78,7 +78,7 @@
         "_detours",
         "_orders",
         "_rivals",
-        "_standing",
+        "_pending_orders",
         "_tasks",
     )
 
@@ -93,7 +93,7 @@
         self._detours = node.system(Detours)
         self._orders = node.system(ReplicaOrders)
         self._rivals = node.system(Rivals)
-        self._standing = node.system(StandingOrders)
+        self._pending_orders = node.system(PendingOrders)
         node.subscribe(EndpointUnreachable, self._on_unreachable)
         node.subscribe(EndpointForgotten, self._on_forgotten)
         node.subscribe(EndpointRestarted, self._on_restarted)
@@ -172,14 +172,14 @@
         task.tries += 1
         self._make_room(task.endpoint)
         order = Demote(task.term)
-        self._orders.give(task.endpoint, order, lambda r: self._on_reply(task, r))
+        self._orders.send(task.endpoint, order, lambda r: self._on_reply(task, r))
 
     def _leads(self, endpoint: EndpointRow) -> bool:
         """Tell whether an endpoint leads, and nobody else may do so in a moment."""
         group = self.tables.group(endpoint.entry.service)
         if group.primary != endpoint.name:
             return False
-        return not self._standing.standing(group.service)
+        return not self._pending_orders.pending(group.service)
 
     def _make_room(self, endpoint: EndpointRow) -> None:
         """Close a connection on which a statement hangs, if all of them are in use.
--- a/mallowpass/core/proxy/leadership.py
+++ b/mallowpass/core/proxy/leadership.py
@@ -202,7 +202,7 @@
         if not survey.silent:
             self._end(survey, True)
             return
-        self._claims.look(
+        self._claims.read_newest(
             survey.group.service,
             lambda claim, known: self._on_claim(survey, claim, known),
         )
@@ -210,7 +210,7 @@
     def _on_claim(self, survey: _Survey, claim: Claim | None, known: bool) -> None:
         if not self._is_current(survey):
             return
-        leads = claim is None or claim.leaves(survey.primary)
+        leads = claim is None or claim.confirms_lead_of(survey.primary)
         self._end(survey, known and leads)
 
     def _is_current(self, survey: _Survey) -> bool:
--- a/mallowpass/core/proxy/relief.py
+++ b/mallowpass/core/proxy/overloadswitchover.py
@@ -15,7 +15,7 @@
 from mallowpass.core.proxy.signals import ReplicasBehind
 from mallowpass.core.proxy.tables import EndpointRow, GroupRow, ProxySystem
 
-__all__ = ["Relief"]
+__all__ = ["OverloadSwitchover"]
 
 JITTER = 0.4  # seconds; hosts that find replicas behind don't act at once together
 # How long a primary must have led, and how long ago it must have been tried; twice as
@@ -29,7 +29,7 @@
 TURNED_AWAY_TIME = 1.0  # seconds
 
 
-class Relief(ProxySystem):
+class OverloadSwitchover(ProxySystem):
     """Have primaries relieved that are left with all reads."""
 
     __slots__ = ("_considered", "_holders", "_load", "_promotion", "_tried_at")
@@ -63,7 +63,7 @@
             return
         self._tried_at[group.service] = self.now
         why = "no replica has the floor"
-        self._promotion.replace(group, primary.name, Reason.RELIEF, why)
+        self._promotion.replace(group, primary.name, Reason.OVERLOADED, why)
 
     def _is_full(self, group: GroupRow, primary: EndpointRow) -> bool:
         if group.turned_away_at > self.now - TURNED_AWAY_TIME:
--- a/mallowpass/core/proxy/standingorders.py
+++ b/mallowpass/core/proxy/pendingorders.py
@@ -22,7 +22,7 @@
 from mallowpass.core.proxy.signals import PrimaryChanged
 from mallowpass.core.proxy.tables import GroupRow, ProxySystem
 
-__all__ = ["LATE_ORDER_TIME", "LEAD_TIME", "StandingOrders"]
+__all__ = ["LATE_ORDER_TIME", "LEAD_TIME", "PendingOrders"]
 
 # Seconds within which an order is carried out that got no answer: the platform may do
 # so seconds later.
@@ -40,7 +40,7 @@
     open: int = 0  # orders that may yet be answered, or got no answer
 
 
-class StandingOrders(ProxySystem):
+class PendingOrders(ProxySystem):
     """Own the orders that may be carried out, by this host or by others."""
 
     __slots__ = ("_orders",)
@@ -77,7 +77,7 @@
         if until > self.now and (order is None or order.until < until):
             orders[target] = _Order(until, open=1)
 
-    def standing(self, service: str) -> dict[str, float]:
+    def pending(self, service: str) -> dict[str, float]:
         """Return until when orders for targets may be carried out."""
         orders = self._orders.get(service, {})
         for target in [t for t, order in orders.items() if order.until <= self.now]:
@@ -97,7 +97,7 @@
         """Tell whether a replica may acknowledge commits of a group's primary."""
         return all(
             target in (name, group.primary) or target not in group.endpoints
-            for target in self.standing(group.service)
+            for target in self.pending(group.service)
         )
 
     def best_of(self, group: GroupRow, names: list[str]) -> str:
@@ -105,5 +105,5 @@
 
         Another target beside it would leave both orders to be carried out in any order.
         """
-        standing = self.standing(group.service)
+        standing = self.pending(group.service)
         return next((name for name in names if name in standing), "")
--- a/mallowpass/core/proxy/promotion.py
+++ b/mallowpass/core/proxy/promotion.py
@@ -25,7 +25,12 @@
 from mallowpass.core.proxy.floors import Floors
 from mallowpass.core.proxy.holders import Holders
 from mallowpass.core.proxy.members import Members
-from mallowpass.core.proxy.ordering import ClaimLapsed, OrderFailed, Ordering
+from mallowpass.core.proxy.pendingorders import PendingOrders
+from mallowpass.core.proxy.promotionorders import (
+    ClaimLapsed,
+    OrderFailed,
+    PromotionOrders,
+)
 from mallowpass.core.proxy.replacement import Reason, Replacement, best_target
 from mallowpass.core.proxy.replicaorders import ReplicaOrders
 from mallowpass.core.proxy.resumption import Resumption
@@ -37,7 +42,6 @@
     PrimaryReplicates,
     WriteAcknowledged,
 )
-from mallowpass.core.proxy.standingorders import StandingOrders
 from mallowpass.core.proxy.statements import (
     Code,
     EndpointReply,
@@ -81,7 +85,7 @@
         "_orders",
         "_resumption",
         "_rivals",
-        "_standing",
+        "_pending_orders",
     )
 
     def __init__(self, node: Node) -> None:
@@ -99,11 +103,11 @@
         self._floors = node.system(Floors)
         self._holders = node.system(Holders)
         self._members = node.system(Members)
-        self._ordering = node.system(Ordering)
+        self._ordering = node.system(PromotionOrders)
         self._orders = node.system(ReplicaOrders)
         self._resumption = node.system(Resumption)
         self._rivals = node.system(Rivals)
-        self._standing = node.system(StandingOrders)
+        self._pending_orders = node.system(PendingOrders)
         node.subscribe(EndpointChanged, self._on_endpoint)
         node.subscribe(EndpointRestarted, self._on_restarted)
         node.subscribe(PrimaryChanged, self._on_primary)
@@ -137,7 +141,7 @@
         self._take_claim(attempt)
 
     def _take_claim(self, attempt: Replacement) -> None:
-        quiet = RELIEF_QUIET if attempt.reason is Reason.RELIEF else 0.0
+        quiet = RELIEF_QUIET if attempt.reason is Reason.OVERLOADED else 0.0
         self._claims.take(
             attempt.group.service,
             attempt.primary,
@@ -158,7 +162,9 @@
             return
         attempt.claim = claim
         attempt.log(self._node, "promotion_begun", token=claim.token)
-        attempt.surveys = attempt.reason is not Reason.SILENT and not attempt.orders
+        attempt.surveys = (
+            attempt.reason is not Reason.UNAVAILABLE and not attempt.orders
+        )
         self._compare(attempt)
 
     # -- Comparing -----------------------------------------------------------
@@ -206,7 +212,7 @@
             if attempt.asked == 0:
                 self._decide(attempt)
 
-        self._orders.give(primary, Status(), on_reply)
+        self._orders.send(primary, Status(), on_reply)
 
     def _ask(
         self, attempt: Replacement, endpoint: EndpointRow, statement: Statement
@@ -217,7 +223,7 @@
             if not attempt.ended and attempt.rounds == round_number:
                 self._on_reply(attempt, endpoint, statement, reply)
 
-        self._orders.give(endpoint, statement, on_reply)
+        self._orders.send(endpoint, statement, on_reply)
 
     def _on_reply(
         self,
@@ -324,7 +330,9 @@
             leading = [e for e in candidates if attempt.received[e.name] == furthest]
             leading.sort(key=lambda e: (e.is_leaving, e.latency))
             names = [endpoint.name for endpoint in leading]
-            attempt.target = self._standing.best_of(attempt.group, names) or names[0]
+            attempt.target = (
+                self._pending_orders.best_of(attempt.group, names) or names[0]
+            )
         if attempt.received[attempt.target] < furthest:
             if attempt.rounds >= ROUNDS_MAX // 2:
                 # It does not catch up: all are paused, and the furthest one leads.
@@ -380,20 +388,20 @@
         staying = [replica for replica in candidates if not replica.is_leaving]
         settled = self._floors.settled(attempt.group)
         receiving = [r for r in staying if attempt.received[r.name] >= settled]
-        if attempt.reason is Reason.RELIEF and not receiving:
+        if attempt.reason is Reason.OVERLOADED and not receiving:
             self._give_up(attempt, "no replica that stays receives")
             return
         attempt.surveys = False
         if attempt.reason is not Reason.STALLED:
             replicas = receiving or staying or candidates
             names = [replica.name for replica in replicas]
-            ordered = self._standing.best_of(attempt.group, names)
+            ordered = self._pending_orders.best_of(attempt.group, names)
             attempt.target = best_target(attempt, replicas, ordered)
         self._compare(attempt)
 
     def _again(self, attempt: Replacement, why: str) -> None:
         limit = ROUNDS_MAX
-        if attempt.reason is Reason.RELIEF:
+        if attempt.reason is Reason.OVERLOADED:
             limit = RELIEF_ROUNDS_MAX
         if attempt.rounds >= limit:
             self._give_up(attempt, why)
@@ -452,7 +460,7 @@
             else:
                 self.timers.after(ROUND_GAP, self._pause_joined, attempt, endpoint)
 
-        self._orders.give(endpoint, Pause(attempt.group.term + 1), on_reply)
+        self._orders.send(endpoint, Pause(attempt.group.term + 1), on_reply)
 
     # -- Ending --------------------------------------------------------------
 
--- a/mallowpass/core/proxy/ordering.py
+++ b/mallowpass/core/proxy/promotionorders.py
@@ -13,14 +13,14 @@
 from mallowpass.core.proxy.demotion import Demotion
 from mallowpass.core.proxy.effects import OrderPromotion
 from mallowpass.core.proxy.events import PromotionAnswered
+from mallowpass.core.proxy.pendingorders import LEAD_TIME, PendingOrders
 from mallowpass.core.proxy.replacement import Replacement
 from mallowpass.core.proxy.replicaorders import ReplicaOrders
-from mallowpass.core.proxy.standingorders import LEAD_TIME, StandingOrders
 from mallowpass.core.proxy.statements import Resume
 from mallowpass.core.proxy.tables import ProxySystem
 from mallowpass.core.records import record
 
-__all__ = ["ClaimLapsed", "OrderFailed", "Ordering"]
+__all__ = ["ClaimLapsed", "OrderFailed", "PromotionOrders"]
 
 ORDER_TIMEOUT = 1.0  # seconds
 ORDER_GAP = 0.3  # seconds before an order is given again
@@ -42,10 +42,10 @@
     attempt: Replacement
 
 
-class Ordering(ProxySystem):
+class PromotionOrders(ProxySystem):
     """Order targets of replacements to lead."""
 
-    __slots__ = ("_claims", "_demotion", "_open", "_orders", "_standing")
+    __slots__ = ("_claims", "_demotion", "_open", "_orders", "_pending_orders")
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
@@ -57,7 +57,7 @@
         self._claims = self._node.system(Claims)
         self._demotion = self._node.system(Demotion)
         self._orders = self._node.system(ReplicaOrders)
-        self._standing = self._node.system(StandingOrders)
+        self._pending_orders = self._node.system(PendingOrders)
         self._node.subscribe(PromotionAnswered, self._on_answered)
 
     def begin(self, attempt: Replacement) -> None:
@@ -81,13 +81,13 @@
             if is_current and claim is not None:
                 self._order(attempt)
                 return
-            self._standing.answered(service, target, False)  # it was not given
+            self._pending_orders.answered(service, target, False)  # it was not given
             if is_current:
                 attempt.claim = None
                 why = "another host has the claim, or the store is away"
                 self._node.publish(OrderFailed(attempt, why))
 
-        self._standing.given(service, target)
+        self._pending_orders.given(service, target)
         self._claims.demand(service, attempt.claim, held, on_claim)
         if not waits:
             self._order(attempt)
@@ -125,13 +125,13 @@
         target = attempt.group.endpoints.get(attempt.target)
         if attempt.target in attempt.paused and target is not None:
             attempt.paused.discard(attempt.target)
-            self._orders.give(target, Resume(), lambda reply: None)
+            self._orders.send(target, Resume(), lambda reply: None)
 
     def _on_answered(self, event: PromotionAnswered) -> None:
         if event.call not in self._open:
             return
         attempt, target = self._open.pop(event.call)
-        self._standing.answered(attempt.group.service, target, event.accepted)
+        self._pending_orders.answered(attempt.group.service, target, event.accepted)
         if attempt.ended or attempt.call != event.call:
             return
         if event.accepted:
@@ -160,7 +160,7 @@
             why = "the order was given often enough"
             self._node.publish(OrderFailed(attempt, why))
         elif self._claims.is_fresh(attempt.claim):
-            self._standing.given(attempt.group.service, attempt.target)
+            self._pending_orders.given(attempt.group.service, attempt.target)
             self._order(attempt)
         else:
             self._node.publish(ClaimLapsed(attempt))
--- a/mallowpass/core/proxy/registry.py
+++ b/mallowpass/core/proxy/registry.py
@@ -22,16 +22,17 @@
 from mallowpass.core.proxy.links import Links
 from mallowpass.core.proxy.load import Load
 from mallowpass.core.proxy.members import Members
-from mallowpass.core.proxy.ordering import Ordering
 from mallowpass.core.proxy.overdue import Overdue
+from mallowpass.core.proxy.overloadswitchover import OverloadSwitchover
 from mallowpass.core.proxy.pauses import Pauses
+from mallowpass.core.proxy.pendingorders import PendingOrders
 from mallowpass.core.proxy.promotion import Promotion
+from mallowpass.core.proxy.promotionorders import PromotionOrders
 from mallowpass.core.proxy.ratelimits.allowances import Allowances
 from mallowpass.core.proxy.ratelimits.granting import Granting
 from mallowpass.core.proxy.ratelimits.keepers import Keepers
 from mallowpass.core.proxy.relays import Relays
-from mallowpass.core.proxy.relief import Relief
-from mallowpass.core.proxy.repair import Repair
+from mallowpass.core.proxy.replacementtriggers import ReplacementTriggers
 from mallowpass.core.proxy.replicaorders import ReplicaOrders
 from mallowpass.core.proxy.requests import Requests
 from mallowpass.core.proxy.resumption import Resumption
@@ -43,9 +44,8 @@
 from mallowpass.core.proxy.shares import Shares
 from mallowpass.core.proxy.silence import Silence
 from mallowpass.core.proxy.stalls import Stalls
-from mallowpass.core.proxy.standingorders import StandingOrders
 from mallowpass.core.proxy.store import Store
-from mallowpass.core.proxy.succession import Succession
+from mallowpass.core.proxy.stuckreplicas import StuckReplicas
 from mallowpass.core.proxy.suspicion import Suspicion
 from mallowpass.core.proxy.transactions import Transactions
 
@@ -67,16 +67,16 @@
     Routing,
     Control,
     ReplicaOrders,
-    StandingOrders,
+    PendingOrders,
     Claims,
     Detours,
     Demotion,
     Resumption,
-    Ordering,
+    PromotionOrders,
     Promotion,
-    Succession,
-    Relief,
-    Repair,
+    ReplacementTriggers,
+    OverloadSwitchover,
+    StuckReplicas,
     Members,
     Rivals,
     Discovery,
--- a/mallowpass/core/proxy/replacement.py
+++ b/mallowpass/core/proxy/replacement.py
@@ -16,15 +16,15 @@
 class Reason(Enum):
     """Say why a primary is replaced, and with that how."""
 
-    SILENT = "silent"  # it answers nobody, or is not known: as soon as it can be
+    UNAVAILABLE = "silent"  # it answers nobody, or is not known: as soon as it can be
     STALLED = "stalled"  # it lives, and acknowledges no writes
     LEAVING = "leaving"  # it serves until its successor leads
-    RELIEF = "relief"  # it has too much to do, and may as well stay
+    OVERLOADED = "relief"  # it has too much to do, and may as well stay
 
     @property
     def is_failure(self) -> bool:
         """Tell whether the primary serves no writes."""
-        return self in (Reason.SILENT, Reason.STALLED)
+        return self in (Reason.UNAVAILABLE, Reason.STALLED)
 
 
 @dataclass(slots=True, eq=False)
--- a/mallowpass/core/proxy/succession.py
+++ b/mallowpass/core/proxy/replacementtriggers.py
@@ -11,7 +11,7 @@
 )
 from mallowpass.core.proxy.tables import EndpointRow, GroupRow, ProxySystem
 
-__all__ = ["Succession"]
+__all__ = ["ReplacementTriggers"]
 
 # Hosts that see a leaving primary at the same moment don't all claim at once.
 JITTER = 0.15  # seconds
@@ -27,7 +27,7 @@
 LEADERLESS_TIME = 2.5
 
 
-class Succession(ProxySystem):
+class ReplacementTriggers(ProxySystem):
     """Have primaries replaced that leave, and found where nobody leads."""
 
     __slots__ = ("_promotion",)
@@ -70,7 +70,7 @@
         group = self.tables.group(endpoint.entry.service)
         if endpoint.doubted and not group.primary:
             why = "it started again, and may hold nothing"
-            self._promotion.replace(group, endpoint.name, Reason.SILENT, why)
+            self._promotion.replace(group, endpoint.name, Reason.UNAVAILABLE, why)
 
     def _on_primary(self, signal: PrimaryChanged) -> None:
         group = signal.group
@@ -83,5 +83,5 @@
         """Replace a primary that is not known, and that does not come back."""
         if group.primary or group.no_primary_since != since:
             return
-        self._promotion.replace(group, "", Reason.SILENT, "nobody leads")
+        self._promotion.replace(group, "", Reason.UNAVAILABLE, "nobody leads")
         self.timers.after(RETRY, self._consider_leaderless, group, since)
--- a/mallowpass/core/proxy/replicaorders.py
+++ b/mallowpass/core/proxy/replicaorders.py
@@ -26,7 +26,7 @@
         """Find the system that is asked."""
         self._control = self._node.system(Control)
 
-    def give(
+    def send(
         self, endpoint: EndpointRow, order: Statement, handler: ReplyHandler
     ) -> None:
         """Give one order; the handler gets the reply."""
--- a/mallowpass/core/proxy/resumption.py
+++ b/mallowpass/core/proxy/resumption.py
@@ -22,6 +22,7 @@
 from mallowpass.core.node import Node
 from mallowpass.core.proxy.claims import Claim, Claims
 from mallowpass.core.proxy.demotion import Demotion
+from mallowpass.core.proxy.pendingorders import PendingOrders
 from mallowpass.core.proxy.replacement import Replacement
 from mallowpass.core.proxy.replicaorders import ReplicaOrders
 from mallowpass.core.proxy.signals import (
@@ -29,7 +30,6 @@
     EndpointRestarted,
     PrimaryChanged,
 )
-from mallowpass.core.proxy.standingorders import StandingOrders
 from mallowpass.core.proxy.statements import Code, EndpointReply, Pause, Resume
 from mallowpass.core.proxy.tables import EndpointRow, GroupRow, ProxySystem
 
@@ -68,7 +68,14 @@
 class Resumption(ProxySystem):
     """Order replicas to receive, again until they answer."""
 
-    __slots__ = ("_claims", "_demotion", "_held", "_orders", "_standing", "_tasks")
+    __slots__ = (
+        "_claims",
+        "_demotion",
+        "_held",
+        "_orders",
+        "_pending_orders",
+        "_tasks",
+    )
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
@@ -81,7 +88,7 @@
         self._claims = self._node.system(Claims)
         self._demotion = self._node.system(Demotion)
         self._orders = self._node.system(ReplicaOrders)
-        self._standing = self._node.system(StandingOrders)
+        self._pending_orders = self._node.system(PendingOrders)
         self._node.subscribe(EndpointChanged, self._on_endpoint)
         self._node.subscribe(EndpointRestarted, self._on_restarted)
         self._node.subscribe(PrimaryChanged, self._on_primary)
@@ -168,7 +175,7 @@
             return
         if endpoint.name in task.leaders or endpoint.gone_at is not None:
             return
-        if self._standing.may_receive(task.group, endpoint.name):
+        if self._pending_orders.may_receive(task.group, endpoint.name):
             return
         task.names.add(endpoint.name)
 
@@ -176,7 +183,7 @@
             if reply is None or reply.code is not Code.DONE:
                 self.timers.after(ROUND_GAP, self._keep_paused, task, endpoint)
 
-        self._orders.give(endpoint, Pause(task.group.term + 1), on_reply)
+        self._orders.send(endpoint, Pause(task.group.term + 1), on_reply)
 
     # -- Rounds --------------------------------------------------------------
 
@@ -201,7 +208,9 @@
     def _may_receive(self, task: _Task) -> list[str]:
         """Return those that no order keeps from receiving."""
         group = task.group
-        return sorted(n for n in task.names if self._standing.may_receive(group, n))
+        return sorted(
+            n for n in task.names if self._pending_orders.may_receive(group, n)
+        )
 
     def _demote(self, task: _Task) -> None:
         """Have primaries that were replaced step down before anybody receives."""
@@ -258,7 +267,7 @@
             ) -> None:
                 self._on_reply(task, endpoint, reply)
 
-            self._orders.give(endpoint, Resume(), on_reply)
+            self._orders.send(endpoint, Resume(), on_reply)
 
     def _on_reply(
         self, task: _Task, endpoint: EndpointRow, reply: EndpointReply | None
--- a/mallowpass/core/proxy/repair.py
+++ b/mallowpass/core/proxy/stuckreplicas.py
@@ -8,12 +8,12 @@
 from mallowpass.core.proxy.signals import ReplicaStuck
 from mallowpass.core.proxy.tables import EndpointRow, ProxySystem
 
-__all__ = ["Repair"]
+__all__ = ["StuckReplicas"]
 
 JITTER = 1.0  # seconds; hosts that find a replica stuck don't act at once together
 
 
-class Repair(ProxySystem):
+class StuckReplicas(ProxySystem):
     """Have replicas receive that were left paused."""
 
     __slots__ = ("_holders", "_promotion", "_resumption")
--- a/mallowpass/core/proxy/suspicion.py
+++ b/mallowpass/core/proxy/suspicion.py
@@ -259,7 +259,7 @@
         if len(hosts) < self._quorum(service):
             return False
         why = f"{suspect.why}; seen by {','.join(sorted(hosts))}"
-        reason = Reason.STALLED if suspect.stalls else Reason.SILENT
+        reason = Reason.STALLED if suspect.stalls else Reason.UNAVAILABLE
         self._promotion.replace(group, suspect.primary, reason, why)
         return True
 
--- a/mallowpass/measure/policy/mechanisms.py
+++ b/mallowpass/measure/policy/mechanisms.py
@@ -24,10 +24,10 @@
 from mallowpass.core.proxy.leadership import Leadership
 from mallowpass.core.proxy.links import Links
 from mallowpass.core.proxy.load import Load
+from mallowpass.core.proxy.overloadswitchover import OverloadSwitchover
 from mallowpass.core.proxy.policy import placement, sharing
 from mallowpass.core.proxy.policy.sharing import Fleet, Plan
 from mallowpass.core.proxy.relays import Relays
-from mallowpass.core.proxy.relief import Relief
 from mallowpass.core.proxy.sampling import Sampling
 from mallowpass.core.proxy.shares import Shares
 from mallowpass.core.proxy.stalls import Stalls
@@ -122,7 +122,7 @@
     _mechanism(
         "relief",
         "a full primary keeps the lead",
-        (Relief, "_on_behind", _always(None)),
+        (OverloadSwitchover, "_on_behind", _always(None)),
     ),
     _mechanism(
         "stalls",
--- a/tests/core/proxy/test_claims.py
+++ b/tests/core/proxy/test_claims.py
@@ -72,4 +72,4 @@
 def test_whether_a_claim_leaves_a_primary_the_lead(holder, primary, ordered, leaves):
     orders = tuple((target, 9.0) for target in ordered)
     claim = Claim(3, holder, primary, 1.0, ordered=orders)
-    assert claim.leaves("db-casa") is leaves
+    assert claim.confirms_lead_of("db-casa") is leaves
--- a/tests/core/proxy/test_replacement.py
+++ b/tests/core/proxy/test_replacement.py
@@ -268,7 +268,9 @@
     world.restart("db-casa", empty=True)
     for host in world.hosts:
         group = host.tables.groups["claims-core"]
-        host.node.system(Promotion).replace(group, "", Reason.SILENT, "nobody leads")
+        host.node.system(Promotion).replace(
+            group, "", Reason.UNAVAILABLE, "nobody leads"
+        )
     world.group.replicas["db-casa"].is_primary = True
     world.group.replicas["db-casa"].deaf = True
     for name in ("db-tanger", "db-agadir"):
