--- a/mallowpass/core/proxy/claims.py
+++ b/mallowpass/core/proxy/claims.py
@@ -97,7 +97,7 @@
         """Parse a stored claim; raise ValueError if the text is malformed."""
         token, holder, primary, time, position, *orders = text.split(" ")
         if len(orders) > 1:
-            raise ValueError(f"a claim has 5 or 6 fields, not {text!r}")
+            raise ValueError(f"claim has more than 6 fields: {text!r}")
         ordered = tuple(map(_decode_order, orders[0].split(","))) if orders else ()
         must_hold = LogPosition.parse(position)
         made_at = _decode_time(time)
--- a/tests/core/proxy/test_claims.py
+++ b/tests/core/proxy/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims that can't be read keep nobody from claiming."""
+"""Malformed claims do not keep hosts from claiming; when a claim proves a lead."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
         "",
     ],
 )
-def test_claim_of_another_form_is_followed_by_a_newer_one(text: str):
-    """A crashed primary is not replaced, for good.
+def test_malformed_claim_does_not_prevent_a_newer_one(text: str):
+    """A crashed primary is never replaced.
 
-    The store holds a claim as an earlier version wrote it, or something else. Hosts
-    skipped it without noting its version, so that each claim of theirs was refused.
+    The store holds a claim in the format of an earlier version, or other text. Hosts
+    ignored it without recording its version, so each of their claims was refused.
     """
     world = ProxyWorld()
     world.store.put(RowKey(Table.CLAIMS, SERVICE, "primary"), text)
@@ -46,7 +46,7 @@
 @pytest.mark.parametrize(
     "text", ["db-casa 12.300", "nonsense", "db-casa x 1.5", "db-casa inf 1.5", ""]
 )
-def test_report_of_another_form_stops_nobody(text: str):
+def test_malformed_report_does_not_prevent_a_promotion(text: str):
     world = ProxyWorld()
     world.store.put(RowKey(Table.SUSPICIONS, SERVICE, "host-9"), text)
     world.crash("db-casa")
@@ -56,20 +56,20 @@
 
 
 @pytest.mark.parametrize(
-    ("holder", "primary", "ordered", "leaves"),
+    ("holder", "primary", "ordered", "expected"),
     [
-        ("-", "db-casa", (), True),  # given back before an order was given
+        ("-", "db-casa", (), True),  # released before an order was sent
         ("-", "", (), True),
-        ("host-1", "db-casa", (), False),  # it may be ordered any moment
+        ("host-1", "db-casa", (), False),  # an order may be sent at any moment
         ("host-1", "", (), False),
-        ("host-1", "db-old", ("db-casa",), True),  # made it lead
-        ("-", "db-new", (), False),  # for its successor, and given back
+        ("host-1", "db-old", ("db-casa",), True),  # db-casa was promoted under it
+        ("-", "db-new", (), False),  # to replace the successor, and released
         ("host-1", "db-new", (), False),
         ("host-1", "db-old", ("db-casa", "db-new"), False),
         ("host-1", "db-old", ("db-new",), False),
     ],
 )
-def test_whether_a_claim_leaves_a_primary_the_lead(holder, primary, ordered, leaves):
+def test_claim_confirms_the_lead_of_a_primary(holder, primary, ordered, expected):
     orders = tuple((target, 9.0) for target in ordered)
     claim = Claim(3, holder, primary, 1.0, ordered=orders)
-    assert claim.confirms_lead_of("db-casa") is leaves
+    assert claim.confirms_lead_of("db-casa") is expected
--- a/tests/core/proxy/test_overload_switchover.py
+++ b/tests/core/proxy/test_overload_switchover.py
@@ -1,4 +1,4 @@
-"""A full primary whose replicas are far behind hands over to one of them."""
+"""Switchover from an overloaded primary whose replicas lag too far to serve reads."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
     route,
 )
 
-READS = 150  # a second; a member of three slots runs a hundred
+READ_RATE = 150  # per second; a member with three slots serves 100
 
 
 @pytest.fixture
 def world() -> ProxyWorld:
-    """Return a group whose callers write a little, and read less than it can do."""
+    """Return a group with bounded-staleness reads, whose statements take 30 ms."""
     world = ProxyWorld(hosts=9)
     routes = configuration().routes | {
         "bounded": route(
@@ -38,13 +38,13 @@
     return world
 
 
-def write_often(world: ProxyWorld) -> None:
+def write_repeatedly(world: ProxyWorld) -> None:
     world.caller(0, "strict").send(Write("a 1"))
-    world.timers.after(0.2, write_often, world)
+    world.timers.after(0.2, write_repeatedly, world)
 
 
-def read_much(world: ProxyWorld, per_second: float) -> list[Code]:
-    """Read from now on; return the codes of the answers, as they come."""
+def read_repeatedly(world: ProxyWorld, per_second: float) -> list[Code]:
+    """Read from now on; return the list to which the answers' codes are added."""
     codes: list[Code] = []
     numbers = count()
 
@@ -59,7 +59,7 @@
 
 
 class _Codes(list):
-    """Collect the codes of one caller's answers among those of all."""
+    """A list of one caller's answers that adds their codes to a shared list."""
 
     def __init__(self, codes: list[Code]) -> None:
         super().__init__()
@@ -75,16 +75,15 @@
         world.group.replicas[name].lag = 60.0
 
 
-def test_replicas_that_stay_behind_do_not_leave_all_reads_to_the_primary(world):
-    """Symptom: one in six statements of a day is refused for forty seconds.
+def test_lagging_replicas_do_not_leave_all_reads_to_the_primary(world):
+    """One in six statements is refused for forty seconds.
 
-    Sequence: both replicas of a service apply what they receive a minute late, long
-    after the trouble that made them slow; the primary alone has half the slots that
-    the reads need.
-    Cause: nothing but time brought a replica up to date.
+    Both replicas apply what they receive a minute late, long after the cause of the
+    lag, and the primary alone has too few slots for the reads. Without a switchover,
+    only time brings a replica up to date.
     """
-    write_often(world)
-    codes = read_much(world, READS)
+    write_repeatedly(world)
+    codes = read_repeatedly(world, READ_RATE)
     world.run(2.0)
     let_replicas_fall_behind(world)
     world.run(10.0)
@@ -92,21 +91,21 @@
     assert world.group.lost == []
     codes.clear()
     world.run(5.0)
-    assert codes.count(Code.DONE) > 0.98 * 5 * READS
+    assert codes.count(Code.DONE) > 0.98 * 5 * READ_RATE
 
 
-def test_a_primary_that_has_time_keeps_its_lead(world):
-    write_often(world)
-    codes = read_much(world, 30)
+def test_primary_that_is_not_overloaded_keeps_its_lead(world):
+    write_repeatedly(world)
+    codes = read_repeatedly(world, 30)
     let_replicas_fall_behind(world)
     world.run(15.0)
     assert world.group.promotions == 0
     assert set(codes) == {Code.DONE}
 
 
-def test_a_primary_is_not_relieved_again_and_again(world):
-    write_often(world)
-    read_much(world, READS)
+def test_switchover_that_does_not_help_is_not_repeated(world):
+    write_repeatedly(world)
+    read_repeatedly(world, READ_RATE)
     world.run(2.0)
     world.group.times.lag = 60.0
     world.run(20.0)
@@ -114,15 +113,15 @@
     assert world.group.lost == []
 
 
-def test_replicas_that_receive_nothing_are_not_paused_for_it(world):
-    """Symptom: writes of a busy service wait for half a second, again and again.
+def test_replicas_that_receive_nothing_are_not_paused(world):
+    """Writes of a busy service repeatedly wait for half a second.
 
-    Sequence: no replica has the floor since none receives anything; each host in turn
-    tries to hand over to one of them.
-    Cause: the others are paused before it is known whether that one receives.
+    No replica has the floor, since none receives. Each host in turn attempts a
+    switchover, and paused the other replicas before it knew whether the target
+    receives.
     """
-    write_often(world)
-    read_much(world, READS)
+    write_repeatedly(world)
+    read_repeatedly(world, READ_RATE)
     world.run(2.0)
     for name in ("db-tanger", "db-agadir"):
         world.group.replicas[name].lag = 60.0
@@ -130,21 +129,22 @@
     world.group.replicas["db-agadir"].deaf = True
     world.group.replicas["db-tanger"].deaf = True
     world.run(8.0)
-    begun = [line for host in world.hosts for line in host.logged("promotion_begun")]
-    assert begun
+    begun_attempts = [
+        line for host in world.hosts for line in host.logged("promotion_begun")
+    ]
+    assert begun_attempts
     assert not [c for c in world.calls if isinstance(c[2].statement, Pause)]
     assert world.group.promotions == 0
 
 
-def test_a_member_that_leaves_does_not_hold_up_relief(world):
-    """Symptom: after a planned replacement, a service is overloaded until the replaced
-    member has ended, seconds later.
+def test_leaving_member_does_not_prevent_a_switchover(world):
+    """A service stays overloaded until a leaving member has ended, seconds later.
 
-    Sequence: the old primary leaves; both other replicas are far behind.
-    Cause: one that leaves gets no reads, so it was never found to be behind.
+    A member leaves while both other replicas are far behind. The leaving member gets no
+    reads, so it was never found to be behind.
     """
-    write_often(world)
-    codes = read_much(world, READS)
+    write_repeatedly(world)
+    codes = read_repeatedly(world, READ_RATE)
     world.run(2.0)
     let_replicas_fall_behind(world)
     leaving = world.group.add("db-casa2")
@@ -153,20 +153,18 @@
     assert world.group.promotions == 1
     codes.clear()
     world.run(3.0)
-    assert codes.count(Code.DONE) > 0.98 * 3 * READS
+    assert codes.count(Code.DONE) > 0.98 * 3 * READ_RATE
 
 
-def test_a_planned_replacement_leaves_the_replica_that_serves_reads(world):
-    """Symptom: reads of a service are refused for nine seconds after a planned
-    replacement.
+def test_planned_replacement_keeps_the_replica_that_serves_reads(world):
+    """Reads of a service are refused for nine seconds after a planned replacement.
 
-    Sequence: two replicas are far behind; a new member is up to date, and the primary
-    leaves.
-    Cause: the new member was made the primary, since it had come furthest, and nobody
-    was left to serve reads.
+    Two replicas are far behind, a new member is up to date, and the primary leaves. The
+    new member was promoted, as its log was the furthest, so no replica could serve
+    reads.
     """
-    write_often(world)
-    codes = read_much(world, 100)
+    write_repeatedly(world)
+    codes = read_repeatedly(world, 100)
     world.run(2.0)
     let_replicas_fall_behind(world)
     world.enter(world.group.add("db-casa2"))
@@ -180,19 +178,19 @@
     assert codes.count(Code.DONE) > 0.98 * 3 * 100
 
 
-def test_few_holders_have_a_full_primary_relieved():
-    """A tenth of all statements is refused for as long as the replicas are behind.
+def test_few_holders_replace_an_overloaded_primary():
+    """A tenth of all statements is refused while the replicas are behind.
 
-    In a large fleet few hosts hold the connections, and keep a full endpoint's queue
-    short: statements wait, and are turned away, at the holders. They took the primary
-    for one that has time, and knew of its replicas only what their own callers' reads
-    had found.
+    In a large fleet few hosts hold the connections and keep a full endpoint's queue
+    short: statements wait, and are rejected, at the holders. The holders took the
+    primary to have free slots, and knew only from the reads of their own callers that
+    its replicas were behind.
     """
     times = GroupTimes(work=0.009)
     world = ProxyWorld(hosts=24, slots=2, times=times, fences=False, goes_on=True)
     world.run(2.0)
-    write_often(world)
-    codes = read_much(world, 280)
+    write_repeatedly(world)
+    codes = read_repeatedly(world, 280)
     world.run(2.0)
     let_replicas_fall_behind(world)
     world.run(10.0)
--- a/tests/core/proxy/test_pending_orders.py
+++ b/tests/core/proxy/test_pending_orders.py
@@ -1,7 +1,7 @@
-"""An order to promote that may still be carried out: nothing acknowledged is lost.
+"""Acknowledged commits survive a promotion order that is carried out late.
 
-The platform played here takes up to a second to carry an order out, checks no fence,
-and lets a replaced primary go on until it is demoted.
+The simulated platform takes up to one second to carry out an order, does not check
+fencing tokens, and lets a replaced primary go on until it is demoted.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 PROMOTION_TIMES = [0.3, 1.0]  # seconds that the platform takes for an order
 
 
-def slow_world(promotion: float, hosts: int = 3) -> ProxyWorld:
-    """Return a world with statements under way, a second old."""
+def world_with_promotion_time(promotion: float, hosts: int = 3) -> ProxyWorld:
+    """Return a world in which promotions take `promotion` s, after one second."""
     times = GroupTimes(promotion=promotion)
     world = weak_world(hosts=hosts, times=times)
     keep_working(world, *range(hosts))
@@ -25,32 +25,31 @@
 
 
 def run_until_ordered(world: ProxyWorld) -> None:
-    """Run until an order to promote was given."""
+    """Run until a promotion was ordered."""
     world.run_until(lambda: bool(world.orders), 6.0)
     assert world.orders
 
 
-def receiving(world: ProxyWorld) -> bool:
-    """Tell whether no member is paused."""
+def none_is_paused(world: ProxyWorld) -> bool:
+    """Return whether no member is paused."""
     return all(not replica.paused_for for replica in world.group.replicas.values())
 
 
 @pytest.mark.parametrize("promotion", PROMOTION_TIMES)
 @pytest.mark.parametrize("delay", [0.05, 0.2])
 @pytest.mark.parametrize("successor", ["db-new", OLD])
-def test_a_primary_that_returns_while_its_successor_is_ordered_loses_nothing(
+def test_primary_that_returns_while_an_order_is_pending_loses_nothing(
     promotion: float, delay: float, successor: str
 ):
-    """An acknowledged commit is missing at the endpoint that was promoted.
-
-    A primary crashed, a replica was ordered to lead, and before the order was carried
-    out the primary was back with its log, under its name or another one. Its entry
-    said that it leads; the attempt ended by that, and all replicas received again.
-    What the returned primary committed then was acknowledged by way of the replica
-    that had not been ordered, just before the other one led without it. Here the
-    latter does not hear the returned primary at all.
+    """An acknowledged commit is missing on the promoted endpoint.
+
+    A primary crashes and a replica is ordered to lead. Before the order is carried out
+    the primary is back with its log, under the same or another name, and its entry
+    names it as primary. That ended the attempt and resumed all replicas. A commit was
+    then acknowledged through the other replica, just before the target led without it.
+    Here the target is cut off from the returned primary.
     """
-    world = slow_world(promotion)
+    world = world_with_promotion_time(promotion)
     world.crash(OLD)
     run_until_ordered(world)
     world.run(delay)
@@ -64,18 +63,18 @@
     world.group.heal()
     world.run(4.0)
     assert world.group.promotions == 1
-    assert receiving(world)
+    assert none_is_paused(world)
     kept(world)
 
 
 @pytest.mark.parametrize("promotion", PROMOTION_TIMES)
-def test_a_primary_that_returns_serves_writes_until_its_successor_leads(promotion):
-    """Writes wait for as long as a promotion takes, though a primary is there.
+def test_primary_that_returns_serves_writes_until_its_successor_leads(promotion):
+    """Writes wait for the whole time of a promotion, though the primary is back.
 
-    A primary that was back had no replica that receives: all were paused. Where the
-    target of the order receives, its commits are acknowledged at once.
+    All replicas were paused, so the primary that was back could not have a commit
+    acknowledged. The target of the order has to receive.
     """
-    world = slow_world(promotion)
+    world = world_with_promotion_time(promotion)
     world.crash(OLD)
     run_until_ordered(world)
     world.hand_over(OLD, "db-new")
@@ -89,15 +88,15 @@
     kept(world)
 
 
-def test_the_host_that_ordered_dies_and_nothing_is_lost():
-    """An acknowledged commit is missing at the endpoint that was promoted.
+def test_failure_of_the_host_that_ordered_loses_nothing():
+    """An acknowledged commit is missing on the promoted endpoint.
 
-    A primary crashed, and the host that had ordered its successor lost its power. The
-    primary was back with its log, and another host, which knew nothing of the order,
-    took the claim and had another replica lead. The order was carried out after that,
-    late, and its target led without what the other one had acknowledged.
+    A primary crashes, and the host that ordered the promotion of a replica fails. The
+    primary returns with its log and crashes again. Another host, which did not know the
+    order, claimed and had another replica promoted. The first order was then carried
+    out late, and its target led without the commits of the other replica.
     """
-    world = slow_world(1.0, hosts=4)
+    world = world_with_promotion_time(1.0, hosts=4)
     world.orders_lost, world.orders_late = 1, 4.5
     world.crash(OLD)
     run_until_ordered(world)
@@ -105,8 +104,8 @@
     world.group.cut(target, OTHERS)
     world.enter(world.group.replicas[target], draining=True)
     world.run(0.1)
-    ordered = next(h for h in world.hosts if h.logged("promotion_ordered"))
-    world.kill(world.hosts.index(ordered))
+    ordering_host = next(h for h in world.hosts if h.logged("promotion_ordered"))
+    world.kill(world.hosts.index(ordering_host))
     world.hand_over(OLD, "db-new")
     world.run(0.5)
     world.crash("db-new")
@@ -114,17 +113,17 @@
     world.group.heal()
     world.run(9.0)
     assert {order.endpoint for order in world.orders} == {target}
-    assert receiving(world)
+    assert none_is_paused(world)
     kept(world)
 
 
-def test_orders_are_given_under_a_claim_that_nobody_can_have_overtaken():
-    """An order goes out with an older fencing token than one that was given before.
+def test_orders_are_sent_under_a_fresh_claim_only():
+    """An order is sent with an older fencing token than an earlier order.
 
-    The platform takes an order and does not carry it out; the host that gave it waits
-    for two seconds, and another host claims meanwhile.
+    The platform accepts an order and does not carry it out. The host that sent the
+    order waits for two seconds before the next one, and another host claims meanwhile.
     """
-    world = slow_world(100.0)
+    world = world_with_promotion_time(100.0)
     world.crash(OLD)
     world.run_until(lambda: len(world.orders) >= 4, 30.0)
     tokens = [order.fencing_token for order in world.orders]
@@ -135,14 +134,14 @@
         assert {o["token"] for o in host.logged("promotion_ordered")} <= taken
 
 
-def test_a_replica_that_joins_while_an_order_stands_receives_nothing():
-    """An acknowledged commit is missing at the endpoint that was promoted.
+def test_replica_that_restarts_while_an_order_is_pending_is_paused():
+    """An acknowledged commit is missing on the promoted endpoint.
 
-    The attempt had ended by the return of the primary. A replica joined, or started
-    again without its pause, before the order was carried out, and acknowledged commits
-    that the target did not receive in time.
+    The return of the primary ends the attempt. A replica restarts before the order is
+    carried out, which ends its pause, and acknowledged commits that the target did not
+    receive in time.
     """
-    world = slow_world(1.0)
+    world = world_with_promotion_time(1.0)
     world.crash(OLD)
     run_until_ordered(world)
     world.run(0.1)
@@ -155,5 +154,5 @@
     world.run(0.3)
     assert world.group.replicas[other].paused_for
     world.run(5.0)
-    assert receiving(world)
+    assert none_is_paused(world)
     kept(world)
--- a/tests/core/proxy/test_promotion.py
+++ b/tests/core/proxy/test_promotion.py
@@ -1,4 +1,4 @@
-"""Replacing primaries: no acknowledged commit is lost, whatever fails meanwhile."""
+"""Replacement of primaries loses no acknowledged commit, whatever else fails."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 from mallowpass.standins.proxied.virtual.world import ProxyWorld
 
 
-def _write_until_served(world: ProxyWorld, within: float) -> float:
-    """Write again and again; return when a write was first served."""
-    began = world.timers.now
+def _write_until_done(world: ProxyWorld, within: float) -> float:
+    """Write repeatedly; return the time until the first write was done."""
+    began_at = world.timers.now
     caller = world.caller(1, "own")
-    while world.timers.now < began + within:
+    while world.timers.now < began_at + within:
         if caller.run(Write("b 1")).code is Code.DONE:
-            return world.timers.now - began
-    raise AssertionError("no write was served")
+            return world.timers.now - began_at
+    raise AssertionError("no write was done")
 
 
-def _keep_busy(world: ProxyWorld) -> None:
-    """Have all hosts use the primary, as callers do all day."""
+def _read_at_all_hosts(world: ProxyWorld) -> None:
+    """Send a read to the primary from each host, so that each notices a failure."""
     for host in range(len(world.hosts)):
         world.caller(host, "strict").send(Read("a"))
 
 
-def _hear_again(world: ProxyWorld, name: str) -> None:
+def _restore_replication(world: ProxyWorld, name: str) -> None:
     world.group.replicas[name].deaf = False
     world.group.start(name)
 
@@ -34,24 +34,24 @@
     for number in range(20):
         assert caller.run(Write(f"a {number}")).code is Code.DONE
     world.crash("db-casa")
-    assert _write_until_served(world, 5.0) < 1.5
+    assert _write_until_done(world, 5.0) < 1.5
     assert world.group.lost == []
     assert caller.run(Read("a")).rows == (b"19",)
 
 
-def test_dark_primary_is_replaced():
+def test_unreachable_primary_is_replaced():
     world = ProxyWorld()
     world.caller(0, "own").run(Write("a 1"))
     world.crash("db-casa", dark=True)
-    _keep_busy(world)
-    assert _write_until_served(world, 8.0) < 2.5
+    _read_at_all_hosts(world)
+    assert _write_until_done(world, 8.0) < 2.5
     assert world.group.lost == []
 
 
-def test_primary_that_one_host_can_not_reach_stays():
-    """Symptom: a healthy primary is replaced.
+def test_primary_that_one_host_cannot_reach_is_not_replaced():
+    """A healthy primary is replaced.
 
-    Sequence: one host is cut off from it. Cause: one host's sight is taken for all.
+    One host is cut off from it, and replaces it without a quorum of hosts.
     """
     world = ProxyWorld(hosts=4)
     host = world.hosts[0]
@@ -66,7 +66,7 @@
     assert world.group.promotions == 0
 
 
-def test_draining_primary_is_handed_over_without_a_refused_write():
+def test_switchover_from_a_draining_primary_refuses_no_write():
     world = ProxyWorld()
     caller = world.caller(0, "own")
     caller.run(Write("a 1"))
@@ -80,7 +80,7 @@
     assert world.group.lost == []
 
 
-def test_vanished_entry_of_a_primary_that_serves_is_handed_over():
+def test_primary_whose_entry_is_removed_is_replaced_without_a_refused_write():
     world = ProxyWorld()
     caller = world.caller(0, "own")
     world.remove_entry("db-casa")
@@ -90,11 +90,11 @@
     assert world.primary.name != "db-casa"
 
 
-def test_entry_that_is_back_soon_changes_nothing():
-    """Symptom: a healthy primary is replaced when the store comes back.
+def test_primary_whose_entry_returns_soon_is_not_replaced():
+    """A healthy primary is replaced when the store returns.
 
-    Sequence: entries lapse while the store is away, and are back two seconds after
-    its return. Cause: an entry that is missing is taken for an endpoint that is gone.
+    Entries expire while the store is unreachable, and are back two seconds after its
+    return. Hosts took the missing entry for the loss of the endpoint.
     """
     world = ProxyWorld()
     world.remove_entry("db-casa")
@@ -106,10 +106,10 @@
 
 
 def test_replica_that_received_more_is_promoted():
-    """Symptom: an acknowledged commit is gone after a promotion.
+    """An acknowledged commit is lost after a promotion.
 
-    Sequence: one replica receives nothing for a while, the other one acknowledges;
-    the primary crashes. Cause: the replica that lacks commits is promoted.
+    One replica receives nothing for a while, the other one acknowledges, and the
+    primary crashes. The replica that lacks commits was promoted.
     """
     world = ProxyWorld()
     world.group.replicas["db-tanger"].deaf = True
@@ -117,17 +117,17 @@
     for number in range(10):
         assert caller.run(Write(f"a {number}")).code is Code.DONE
     world.crash("db-casa")
-    world.timers.after(2.0, _hear_again, world, "db-tanger")
-    _write_until_served(world, 8.0)
+    world.timers.after(2.0, _restore_replication, world, "db-tanger")
+    _write_until_done(world, 8.0)
     assert world.primary.name == "db-agadir"
     assert world.group.lost == []
 
 
-def test_nothing_is_promoted_while_a_replica_is_silent():
-    """Symptom: an acknowledged commit is gone after a promotion.
+def test_nothing_is_promoted_while_a_replica_is_unreachable():
+    """An acknowledged commit is lost after a promotion.
 
-    Sequence: the only replica that has it is silent while the primary crashes.
-    Cause: a majority that does not contain the holder is taken for enough.
+    The only replica that has the commit is unreachable when the primary crashes. A
+    majority without that replica was taken to be sufficient.
     """
     world = ProxyWorld()
     world.group.replicas["db-tanger"].deaf = True
@@ -136,49 +136,49 @@
         assert caller.run(Write(f"a {number}")).code is Code.DONE
     world.dark.add("db-agadir")
     world.crash("db-casa")
-    _keep_busy(world)
+    _read_at_all_hosts(world)
     world.run(4.0)
     assert world.group.promotions == 0
     world.dark.discard("db-agadir")
-    world.timers.after(2.0, _hear_again, world, "db-tanger")
-    _write_until_served(world, 8.0)
+    world.timers.after(2.0, _restore_replication, world, "db-tanger")
+    _write_until_done(world, 8.0)
     assert world.group.lost == []
 
 
-def test_claim_without_an_answer_is_used():
-    """Nobody replaced a primary that had crashed, for as long as answers were lost.
+def test_claim_whose_answer_was_lost_is_used():
+    """A crashed primary is not replaced while answers of the store are lost.
 
-    The store carried out each claim, and its answer was lost. The host read the claim
-    back, and took it for another host's: its time was rounded where the store keeps it.
+    The store carries out each claim, and the answer is lost. The host reads the claim
+    back, and took it for the claim of another host, since the stored time is rounded.
     """
     world = ProxyWorld()
     world.run(0.1234567)
     world.store.faults.answers_lost = 1.0
     world.crash("db-casa")
-    _keep_busy(world)
+    _read_at_all_hosts(world)
     world.run_until(lambda: world.group.promotions == 1, 5.0)
     assert world.group.promotions == 1
-    _write_until_served(world, 5.0)
+    _write_until_done(world, 5.0)
     assert world.group.lost == []
 
 
-def test_order_without_an_answer_is_given_again():
+def test_order_without_an_answer_is_repeated():
     world = ProxyWorld()
     world.orders_lost = 1
     world.crash("db-casa")
-    _keep_busy(world)
-    _write_until_served(world, 6.0)
+    _read_at_all_hosts(world)
+    _write_until_done(world, 6.0)
     assert world.group.lost == []
 
 
 def test_tokens_of_two_promotions_grow():
     world = ProxyWorld()
     world.crash("db-casa")
-    _write_until_served(world, 5.0)
+    _write_until_done(world, 5.0)
     world.restart("db-casa")
     world.run(4.0)
     world.crash(world.primary.name)
-    _write_until_served(world, 8.0)
+    _write_until_done(world, 8.0)
     tokens = [order.fencing_token for order in world.orders]
     assert tokens == sorted(tokens)
     assert len(set(tokens)) >= 2
@@ -188,7 +188,7 @@
 def test_paused_replicas_receive_again_after_a_promotion():
     world = ProxyWorld()
     world.crash("db-casa")
-    _write_until_served(world, 5.0)
+    _write_until_done(world, 5.0)
     world.run(1.0)
     assert all(r.paused_for == 0 for r in world.group.replicas.values())
 
@@ -197,15 +197,15 @@
     world = ProxyWorld()
     world.hosts[1].cut_from.add("store")
     world.crash("db-casa")
-    _keep_busy(world)
-    assert _write_until_served(world, 6.0) < 4.0
+    _read_at_all_hosts(world)
+    assert _write_until_done(world, 6.0) < 4.0
 
 
-def test_leaving_primary_without_a_successor_is_not_used_for_ever():
-    """Symptom: statements reach an endpoint long after it said that it leaves.
+def test_draining_primary_without_a_successor_is_no_longer_used():
+    """Statements reach an endpoint long after it began to drain.
 
-    Sequence: a primary leaves while a replica is silent, so that none may be promoted.
-    Cause: it is used as long as it leads.
+    A primary drains while a replica is unreachable, so no replica may be promoted. The
+    primary was used as long as it led.
     """
     world = ProxyWorld()
     caller = world.caller(0, "own")
@@ -213,17 +213,19 @@
     world.group.replicas["db-tanger"].deaf = True
     world.dark.add("db-tanger")
     world.enter(world.group.replicas["db-casa"], draining=True)
-    left_at = world.timers.now
+    drained_at = world.timers.now
     world.run(6.5)
     before = len(world.calls)
     assert caller.run(Write("a 2")).code is Code.BUSY
-    late = [c for c in world.calls[before:] if c[1] == "db-casa"]
-    assert [c for c in late if isinstance(c[2].statement, Read | Write)] == []
-    assert world.timers.now > left_at + 6.5
+    calls_to_primary = [c for c in world.calls[before:] if c[1] == "db-casa"]
+    assert [
+        c for c in calls_to_primary if isinstance(c[2].statement, Read | Write)
+    ] == []
+    assert world.timers.now > drained_at + 6.5
 
 
-def _leave_only_a_replica_that_is_behind(world: ProxyWorld) -> None:
-    """Lose the primary for good while one replica receives nothing; another leads."""
+def _lose_primary_and_leave_a_lagging_replica(world: ProxyWorld) -> None:
+    """Lose the primary for good and promote the one replica that receives."""
     world.group.replicas["db-tanger"].deaf = True
     caller = world.caller(0, "own")
     for number in range(10):
@@ -235,45 +237,40 @@
 
 
 def _keep_writing(world: ProxyWorld) -> None:
-    """Have all hosts write, ten times a second, whatever becomes of it."""
+    """Write at all hosts ten times a second, without regard to the answers."""
     for index in range(len(world.hosts)):
         world.caller(index, "strict").send(Write("b 1"))
     world.timers.after(0.1, _keep_writing, world)
 
 
-def test_replica_that_lacks_what_its_leader_inherited_is_not_promoted():
-    """Two commits that had been acknowledged were gone after a second replacement.
+def test_replica_without_commits_of_an_earlier_primary_is_not_promoted():
+    """Acknowledged commits are lost after a second replacement.
 
-    One replica received nothing, so all commits were acknowledged by way of the other.
-    The primary was lost for good and the other replica led. Its only replica was the
-    one that received nothing, so its writes got no answer; hosts took that for its
-    failure. Four seconds later the entry of the lost primary was forgotten, the replica
-    that lacked the commits was all that was left to compare, and it was promoted:
-
-        13.73 promotion_ordered target=4705 token=1 received=4705:1.81,93c5:1.63
-        18.14 promote, token 2: 93c5, which still had nothing after 1.63
-
-    Nothing kept what the first comparison had shown.
+    One replica receives nothing, and the other one acknowledges all commits and leads
+    after the loss of the primary. Its writes get no answer, since its only replica
+    receives nothing, and hosts took that for a failure. Four seconds later the entry of
+    the first primary expired, so the replica that lacks the commits was the only one to
+    compare, and was promoted. The position from the first comparison was not kept.
     """
     world = ProxyWorld()
-    _leave_only_a_replica_that_is_behind(world)
+    _lose_primary_and_leave_a_lagging_replica(world)
     _keep_writing(world)
     world.run(12.0)
     assert world.group.lost == []
     assert world.primary.name == "db-agadir"
-    _hear_again(world, "db-tanger")
-    _write_until_served(world, 3.0)
+    _restore_replication(world, "db-tanger")
+    _write_until_done(world, 3.0)
     assert world.group.lost == []
 
 
-def test_restarted_hosts_still_know_what_a_leader_inherited():
-    """An acknowledged commit is gone after a second replacement by other hosts.
+def test_restarted_hosts_know_the_commits_of_an_earlier_primary():
+    """An acknowledged commit is lost after a second replacement by other hosts.
 
-    All hosts lose power after the first replacement. Those that start afterwards have
-    compared nothing, and find a replica that lacks commits as the only one.
+    All hosts lose power after the first replacement. After their restart they have no
+    result of a comparison, and find only a replica that lacks commits.
     """
     world = ProxyWorld()
-    _leave_only_a_replica_that_is_behind(world)
+    _lose_primary_and_leave_a_lagging_replica(world)
     world.lose_power(down=1.0, linger=0.5, started=lambda host: None)
     _keep_writing(world)
     world.run(15.0)
@@ -281,12 +278,12 @@
     assert world.primary.name == "db-agadir"
 
 
-def test_replica_that_lacks_what_a_lost_one_had_is_not_promoted():
-    """An acknowledged commit is gone though the primary never failed.
+def test_replica_without_commits_of_a_lost_replica_is_not_promoted():
+    """An acknowledged commit is lost though the primary never failed.
 
-    One replica receives nothing, the other one acknowledges alone, serves reads, and is
-    then lost for good. Writes stall, which hosts take for the primary's failure; the
-    replica that lacks the commits is all that is left to compare.
+    One replica receives nothing; the other one acknowledges alone, serves reads, and is
+    then lost for good. Writes stall, which hosts take for a failure of the primary. The
+    replica that lacks the commits is the only one to compare.
     """
     world = ProxyWorld()
     caller = world.caller(0, "own")
@@ -304,17 +301,17 @@
     world.run(12.0)
     assert world.group.lost == []
     assert world.primary.name == "db-casa"
-    _hear_again(world, "db-tanger")
-    _write_until_served(world, 3.0)
+    _restore_replication(world, "db-tanger")
+    _write_until_done(world, 3.0)
     assert world.group.lost == []
 
 
-def test_member_that_joins_while_replicas_are_compared_is_paused_too():
-    """A commit that was acknowledged during a replacement is gone.
+def test_member_that_joins_during_a_replacement_is_paused():
+    """A commit that was acknowledged during a replacement is lost.
 
-    A member joins after all replicas were compared and paused, and before the one that
-    was ordered leads. The old primary, which hosts can't reach, still reaches it: what
-    it acknowledges by way of it is on no log that was compared.
+    A member joins after all replicas were compared and paused, and before the target
+    leads. The old primary still reaches the new member, and commits that it
+    acknowledges through that member are on no log that was compared.
     """
     world = ProxyWorld(times=GroupTimes(promotion=1.0))
     caller = world.caller(0, "own")
@@ -333,11 +330,12 @@
     assert joined.paused_for == 0
 
 
-def test_acknowledged_commits_count_though_no_replica_was_read():
-    """Ten acknowledged commits are gone after a replica was lost.
+def test_commits_count_as_acknowledged_though_no_replica_was_read():
+    """Ten acknowledged commits are lost after the loss of a replica.
 
-    All reads ran at the primary, so no host had seen a replica's log when the only one
-    that received was lost. Writes stalled, and a replica without them was promoted.
+    All reads ran on the primary, so no host had seen the log of the only replica that
+    received when that replica was lost. Writes stalled, and a replica without the
+    commits was promoted.
     """
     world = ProxyWorld()
     world.group.replicas["db-tanger"].deaf = True
--- a/tests/core/proxy/test_replacement.py
+++ b/tests/core/proxy/test_replacement.py
@@ -1,4 +1,4 @@
-"""Members that change while a primary is being replaced."""
+"""Members that join, restart or become unreachable during a replacement."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
     world.timers.after(gap, _keep_writing, world, hosts, gap)
 
 
-def _cut_from_primary(world: ProxyWorld, count: int) -> None:
-    """Cut some hosts from a primary that lives, and have them notice."""
+def _cut_hosts_from_primary(world: ProxyWorld, count: int) -> None:
+    """Cut hosts off from a healthy primary, and send writes so that they notice."""
     for host in world.hosts[:count]:
         host.cut_from.add("db-casa")
         for number in list(host.connections):
@@ -36,51 +36,52 @@
         world.caller(index, "strict").send(Write("x 1"))
 
 
-def _ordered(world: ProxyWorld) -> bool:
+def _has_ordered(world: ProxyWorld) -> bool:
     return any(host.logged("promotion_ordered") for host in world.hosts)
 
 
-def test_replica_that_restarts_while_it_is_compared_is_paused_again():
-    """Seventeen acknowledged commits are gone.
+def test_replica_that_restarts_during_a_comparison_is_paused_again():
+    """Seventeen acknowledged commits are lost.
 
-    Two hosts of five are cut from a primary that lives. A replica was paused, restarted
-    in the middle of the attempt, and acknowledged on; it counted as paused still.
+    Two hosts of five are cut off from a healthy primary and begin to replace it. A
+    paused replica restarts during the attempt and acknowledges commits again, but still
+    counted as paused.
     """
     world = ProxyWorld(hosts=5, times=GroupTimes(promotion=0.5))
     _write(world, 5, host=4)
     agadir = world.group.replicas["db-agadir"]
     world.dark.add("db-tanger")
-    _cut_from_primary(world, 2)
+    _cut_hosts_from_primary(world, 2)
     world.run_until(lambda: agadir.paused_for > 0, 5.0)
     world.crash("db-agadir")
     world.run(0.05)
     world.restart("db-agadir")
-    world.enter(agadir, draining=True)  # so that the other one is the target
+    world.enter(agadir, draining=True)  # so that the other replica is the target
     _keep_writing(world, (4,), gap=0.03)
     world.timers.after(0.4, world.dark.discard, "db-tanger")
     world.run(8.0)
     assert world.group.lost == []
 
 
-def test_member_that_receives_before_its_entry_is_known():
-    """Eleven acknowledged commits are gone.
+def test_member_that_receives_before_its_entry_is_known_loses_nothing():
+    """Eleven acknowledged commits are lost.
 
-    A member acknowledged commits of a primary that lives from before its entry was
-    known. All other replicas were paused, the one that was ordered to lead included.
+    A new member acknowledges commits of a healthy primary before its entry is known.
+    All other replicas were paused, including the target of the order.
     """
     world = ProxyWorld(hosts=5, times=GroupTimes(promotion=1.0))
     _write(world, 5, host=4)
-    _cut_from_primary(world, 2)
-    world.run_until(lambda: _ordered(world), 5)
-    joined = world.group.add("db-new")
-    world.timers.after(0.3, world.enter, joined)
+    _cut_hosts_from_primary(world, 2)
+    world.run_until(lambda: _has_ordered(world), 5)
+    new_member = world.group.add("db-new")
+    world.timers.after(0.3, world.enter, new_member)
     _keep_writing(world, (4,), gap=0.03)
     world.run(5.0)
     assert world.group.promotions == 1
     assert world.group.lost == []
 
 
-def _comparing(world: ProxyWorld) -> list[Replacement]:
+def _attempts_with_target(world: ProxyWorld) -> list[Replacement]:
     return [
         attempt
         for host in world.hosts
@@ -92,14 +93,14 @@
 def test_target_whose_entry_changes_is_not_paused():
     """Writes stall during a planned replacement.
 
-    The entry of the replica that should lead changed while it was asked how far it is.
-    It was taken for one that had joined, and paused like all others.
+    The entry of the target changes while its log position is queried. The target was
+    taken for a new member, and paused like the other replicas.
     """
     world = ProxyWorld()
     _write(world, 5)
     world.enter(world.group.replicas["db-casa"], draining=True)
-    world.run_until(lambda: bool(_comparing(world)), 3.0)
-    target = world.group.replicas[_comparing(world)[0].target]
+    world.run_until(lambda: bool(_attempts_with_target(world)), 3.0)
+    target = world.group.replicas[_attempts_with_target(world)[0].target]
     (other,) = (
         replica
         for name, replica in world.group.replicas.items()
@@ -115,11 +116,11 @@
     assert not target.paused_for
 
 
-def test_primary_that_acknowledges_again_stays():
-    """A primary is replaced a second after it has served writes again.
+def test_primary_that_acknowledges_writes_again_is_not_replaced():
+    """A primary is replaced one second after it has served writes again.
 
-    It was silent for a moment, and a replica longer, for which comparing waited. The
-    attempt went on when the primary was back.
+    The primary is unreachable for a moment, and a replica for longer, so the comparison
+    waits. The attempt went on when the primary was back.
     """
     world = ProxyWorld()
     _write(world, 5)
@@ -139,11 +140,11 @@
     assert world.group.promotions == 0
 
 
-def test_holder_that_is_silent_for_a_moment_is_waited_for():
-    """A crash is followed by three seconds and a half without writes, not by two.
+def test_attempt_waits_for_a_replica_that_is_briefly_unreachable():
+    """A crash is followed by 3.5 seconds without writes instead of 2.
 
-    The replica that has all commits was silent for a second when the primary crashed.
-    Attempts were given up for want of a holder, and held off for two seconds.
+    The replica that has all commits is unreachable for one second when the primary
+    crashes. Attempts were given up for lack of that replica, with a backoff of 2 s.
     """
     for seed in range(1, 9):
         world = ProxyWorld(seed=seed)
@@ -154,28 +155,28 @@
         world.dark.add("db-agadir")
         world.crash("db-casa")
         world.remove_entry("db-casa")
-        began = world.timers.now
+        began_at = world.timers.now
         _keep_writing(world, (0, 1, 2))
         world.run(1.0)
         world.dark.discard("db-agadir")
         world.run_until(lambda world=world: world.group.promotions == 1, 12.0)
-        assert world.timers.now - began < 2.5
+        assert world.timers.now - began_at < 2.5
         assert world.primary.name == "db-agadir"
         assert world.group.lost == []
 
 
 @pytest.mark.parametrize("after", [0.02, 0.1, 0.2, 0.3])
-def test_target_that_starts_again_empty_is_not_ordered_again(after: float):
-    """All acknowledged commits are gone: an empty endpoint leads.
+def test_target_that_restarts_empty_is_not_ordered_again(after: float):
+    """All acknowledged commits are lost, as an empty endpoint leads.
 
-    The replica that was ordered to lead started again, under its name and with nothing,
-    before it led. It was ordered once more, by what its earlier start had received.
+    The target restarts with its name and an empty log before it leads. It was ordered
+    once more, because of the log position that it had before the restart.
     """
     world = ProxyWorld()
     _write(world, 5)
     world.crash("db-casa")
     _keep_writing(world, (0, 1, 2))
-    world.run_until(lambda: _ordered(world), 5.0)
+    world.run_until(lambda: _has_ordered(world), 5.0)
     world.run(after)
     world.restart(world.orders[-1].endpoint, empty=True)
     world.remove_entry("db-casa")
@@ -187,16 +188,16 @@
     assert world.group.lost == []
 
 
-def test_replica_that_starts_again_after_the_order_is_paused_again():
-    """An acknowledged commit is gone after a planned replacement.
+def test_replica_that_restarts_after_the_order_is_paused_again():
+    """An acknowledged commit is lost after a planned replacement.
 
-    A replica started again between the order and the change of the lead, and with
-    that received again: what it acknowledged alone, the target lacked.
+    A replica restarts between the order and the change of primary, which ends its
+    pause. The target lacked the commits that only this replica had acknowledged.
     """
     world = ProxyWorld(times=GroupTimes(promotion=1.0))
     _write(world, 5)
     world.enter(world.group.replicas["db-casa"], draining=True)
-    world.run_until(lambda: _ordered(world), 5.0)
+    world.run_until(lambda: _has_ordered(world), 5.0)
     target = world.orders[-1].endpoint
     other = "db-tanger" if target == "db-agadir" else "db-agadir"
     world.crash(other)
@@ -209,11 +210,11 @@
     assert world.group.lost == []
 
 
-def test_leaving_primary_that_starts_again_is_left_alone():
-    """A healthy primary is replaced over and over.
+def test_draining_primary_that_restarts_is_not_replaced_repeatedly():
+    """A healthy primary is replaced repeatedly.
 
-    It had said that it leaves, then started again with its log and no longer said so.
-    Hosts went by the row of its earlier start.
+    The primary drains, then restarts with its log and no longer drains. Hosts acted on
+    the row from before the restart.
     """
     world = ProxyWorld()
     _write(world, 5)
@@ -232,10 +233,10 @@
     assert after - begun <= 1
 
 
-def test_empty_endpoint_that_says_it_leads_is_not_believed():
-    """Reads at a primary find nothing of what was acknowledged.
+def test_empty_endpoint_that_reports_that_it_leads_serves_no_reads():
+    """Reads from a primary return none of the acknowledged commits.
 
-    The primary started again with an empty log, and still says that it leads.
+    The primary restarts with an empty log, and its entry still names it as primary.
     """
     world = ProxyWorld()
     _write(world, 5)
@@ -255,11 +256,11 @@
     assert world.primary.name != "db-casa"
 
 
-def test_empty_endpoint_that_says_it_leads_is_replaced():
-    """Nobody leads for good.
+def test_empty_endpoint_that_reports_that_it_leads_is_replaced():
+    """A group never gets a primary.
 
-    A primary started again with nothing and says that it leads. A host that compares
-    members takes its word, finds the matter settled, and orders nobody.
+    A primary restarts with an empty log and reports that it leads. A host that compares
+    members took the report to be true, and ended the attempt without an order.
     """
     world = ProxyWorld()
     _write(world, 5)
@@ -269,7 +270,7 @@
     for host in world.hosts:
         group = host.tables.groups["claims-core"]
         host.node.system(Promotion).replace(
-            group, "", Reason.UNAVAILABLE, "nobody leads"
+            group, "", Reason.UNAVAILABLE, "no primary is known"
         )
     world.group.replicas["db-casa"].is_primary = True
     world.group.replicas["db-casa"].deaf = True
--- a/tests/core/proxy/test_resumption.py
+++ b/tests/core/proxy/test_resumption.py
@@ -1,4 +1,4 @@
-"""Paused replicas receive again, whoever paused them and whatever was lost."""
+"""Paused replicas are resumed, whichever host paused them and whatever fails."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     return next(host for host in world.hosts if host.logged("promotion_ordered"))
 
 
-def paused(world: ProxyWorld) -> set[str]:
+def paused_names(world: ProxyWorld) -> set[str]:
     """Return the members that are paused."""
     return {r.name for r in world.group.replicas.values() if r.paused_for}
 
@@ -34,61 +34,58 @@
     world.crash("db-casa")
 
 
-def test_replica_that_was_out_of_reach_is_resumed_later():
-    """Symptom: after a planned replacement, one in six statements of a service was
-    refused for the rest of the day, through a restart of all hosts.
+def test_replica_that_was_unreachable_is_resumed_later():
+    """One in six statements is refused for hours after a replacement.
 
-    Sequence: the promoted member leads; the replica that was paused to be compared is
-    busy or out of reach for two seconds just then.
-    Cause: it was told to resume once, and nobody looked at what became of that.
+    The replica that was paused for the comparison is unreachable for two seconds when
+    the target leads. It was ordered to resume once, and the outcome was not checked.
     """
     world = ProxyWorld()
     keep_working(world)
     crash_primary(world)
     run_until_promoted(world)
-    (replica,) = paused(world)
+    (replica,) = paused_names(world)
     world.restart("db-casa")
     world.dark.add(replica)
     world.run(2.0)
     world.dark.discard(replica)
     world.run(2.5)
-    assert paused(world) == set()
+    assert paused_names(world) == set()
     assert world.group.lost == []
 
 
-def test_replica_of_a_host_that_died_is_resumed_by_others():
-    """Symptom: a replica serves no read any more, for good.
+def test_replica_paused_by_a_failed_host_is_resumed_by_others():
+    """A replica never serves reads again.
 
-    Sequence: a host pauses it and has another member promoted, and ends before it can
-    resume it.
-    Cause: only the host that paused it knew of it.
+    A host pauses the replica, has another member promoted, and fails before it can
+    resume the replica. Only that host knew of the pause.
     """
     world = ProxyWorld(hosts=4)
     keep_working(world)
     crash_primary(world)
-    promoter = run_until_promoted(world)
+    ordering_host = run_until_promoted(world)
     world.restart("db-casa")
-    world.kill(world.hosts.index(promoter))
-    assert len(paused(world)) == 1
+    world.kill(world.hosts.index(ordering_host))
+    assert len(paused_names(world)) == 1
     world.run(15.0)
-    assert paused(world) == set()
+    assert paused_names(world) == set()
 
 
-def test_replica_that_is_paused_late_is_resumed():
-    """Symptom: a replica serves no read any more, for good.
+def test_replica_whose_pause_is_carried_out_late_is_resumed():
+    """A replica never serves reads again.
 
-    Sequence: an order to pause is carried out seconds after its promotion has ended.
-    Cause: only replicas that had answered the order were resumed.
+    An order to pause is carried out seconds after the attempt has ended. Only replicas
+    that had confirmed the pause were resumed.
     """
     world = ProxyWorld()
     keep_working(world)
     world.run(1.0)
     world.group.replicas["db-tanger"].paused_for = 2
     world.run(15.0)
-    assert paused(world) == set()
+    assert paused_names(world) == set()
 
 
-def test_lagging_replica_is_left_alone():
+def test_lagging_replica_is_not_resumed():
     world = ProxyWorld()
     keep_working(world)
     world.run(1.0)
@@ -100,21 +97,21 @@
     assert orders == []
 
 
-def test_orders_of_two_hosts_keep_their_distance():
-    """Symptom: two hosts promote by turns within a second.
+def test_promotion_orders_of_two_hosts_are_seconds_apart():
+    """Two hosts promote in turns within one second.
 
-    Sequence: a member is promoted; it crashes a second later, and another host is the
-    first that would replace it.
-    Cause: the first host's claim was given back as soon as its promotion had ended.
+    A member is promoted and crashes a second later, and another host is the first to
+    replace it. The claim of the first host was released as soon as its attempt had
+    ended.
     """
     world = ProxyWorld(hosts=4)
     keep_working(world)
     crash_primary(world)
-    first = run_until_promoted(world)
+    first_host = run_until_promoted(world)
     ordered_at = world.timers.now
     world.restart("db-casa")
     world.run(0.6)
-    world.kill(world.hosts.index(first))
+    world.kill(world.hosts.index(first_host))
     world.crash(world.primary.name)
     world.run_until(lambda: world.group.promotions == 2, 6.0)
     assert world.group.promotions == 2
@@ -122,18 +119,17 @@
     assert world.group.lost == []
 
 
-def test_a_claim_without_an_order_is_given_back():
-    """Symptom: a primary that crashes is replaced three seconds later than others.
+def test_claim_without_a_promotion_order_is_released():
+    """A crashed primary is replaced three seconds late.
 
-    Sequence: a host claims the right to tell a replica to resume; a moment later the
-    primary crashes.
-    Cause: other hosts respect the claim for as long as one to promote.
+    A host claims in order to resume a replica, and a moment later the primary crashes.
+    Other hosts waited until that claim expired, as they do for a promotion.
     """
     world = ProxyWorld(hosts=4)
     keep_working(world)
     world.run(1.0)
     world.group.replicas["db-tanger"].paused_for = 2
-    world.run_until(lambda: not paused(world), 15.0)
+    world.run_until(lambda: not paused_names(world), 15.0)
     world.run(0.2)
     crashed_at = world.timers.now
     world.crash("db-casa")
@@ -142,11 +138,11 @@
     assert world.group.lost == []
 
 
-def test_a_replica_that_is_far_behind_is_not_told_by_each_host_to_receive():
-    """Symptom: a dozen claims in two seconds, each of three calls to the store.
+def test_replica_that_is_far_behind_is_resumed_by_one_host():
+    """A dozen claims within two seconds, each of three calls to the store.
 
-    Sequence: a replica is behind for longer than seems possible; all hosts notice.
-    Cause: who finds that another host has just done it does it once more.
+    A replica is behind for longer than any lag should last, and all hosts notice. Each
+    of them resumed it, though another host had just done so.
     """
     world = ProxyWorld(hosts=9)
     keep_working(world)
@@ -157,11 +153,11 @@
     assert 1 <= len(orders) <= 2
 
 
-def test_replicas_that_nobody_has_receive_are_resumed_by_whoever_claims_next():
-    """No write was acknowledged any more, as all replicas stayed paused.
+def test_paused_replicas_are_resumed_by_the_next_host_that_claims():
+    """No write is acknowledged any more, as all replicas stay paused.
 
-    Who had paused them had no claim any more. Others took one again and again to
-    compare replicas, found none that had enough, and left them as they were.
+    The host that paused them has lost its claim. Other hosts claimed repeatedly to
+    compare replicas, found none with all commits, and did not resume them.
     """
     world = ProxyWorld()
     keep_working(world)
@@ -174,6 +170,6 @@
     world.restart("db-tanger")
     replicas[0].paused_for = 2
     world.run(8.0)
-    assert paused(world) == set()
+    assert paused_names(world) == set()
     assert world.caller(0, "strict").run(Write("b 1")).code is Code.DONE
     assert world.group.lost == []
