--- a/mallowpass/core/proxy/claims.py
+++ b/mallowpass/core/proxy/claims.py
@@ -2,10 +2,10 @@
 
 A claim is a lease: one row per service, written by compare-and-set on the row's
 version. Its token grows by one with each new claim, and is sent with each promotion
-order as the fencing token. The platform refuses an order whose token is older than one
-it has seen, so a late order of a host that lost the claim has no effect. Each claim
-inherits two things from the one before: the log position that the next primary must
-hold, and the promotion orders that may still be carried out.
+order as the fencing token. A platform that checks fencing tokens refuses an order whose
+token is older than one it has seen, so a late order of a host that lost the claim has
+no effect there. Each claim inherits two things from the one before: the log position
+that the next primary must hold, and the promotion orders that may still be carried out.
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
     ordered: tuple[tuple[str, float], ...] = ()
 
     @property
-    def is_free(self) -> bool:
+    def is_released(self) -> bool:
         """Return whether the claim was released."""
         return self.holder == _NO_HOLDER
 
@@ -82,7 +82,7 @@
         if `primary` is the one target that was ordered under it.
         """
         if self.primary in ("", primary):
-            return self.is_free
+            return self.is_released
         return {target for target, _ in self.ordered} == {primary}
 
     def encode(self) -> str:
@@ -107,7 +107,7 @@
 def _decode_time(text: str) -> float:
     time = float(text)
     if not math.isfinite(time):
-        raise ValueError(f"claim time is not finite: {text!r}")
+        raise ValueError(f"time of a claim or order is not finite: {text!r}")
     return time
 
 
@@ -154,10 +154,9 @@
             handler(None)
             return
         version, known = self._known.get(service, (0, None))
-        # Rounded as it is stored, since a claim that is read back is compared with
-        # this.
+        # Rounded as in the store, since a claim that is read back must equal this one.
         time = round(self._store.time or 0.0, 3)
-        if self._is_held_by_other_host(known, time) or self._is_newer_than(
+        if self._is_held_by_other_host(known, time) or self._is_younger_than(
             known, time, min_age
         ):
             # Several hosts wait for the same claim, so it is not read before it
@@ -288,9 +287,9 @@
         """Return whether this host has to write a claim in the new era.
 
         It has to if orders are pending, which the store may have lost. It also has to
-        if promotions do not fence the earlier primary: the absence of a newer claim
-        then proves that a primary still leads, and is only known once the newest claim
-        is of the current era.
+        if promotions do not fence the earlier primary. Hosts then take the absence of a
+        newer claim as the proof that a primary still leads, and that absence is certain
+        only once the newest claim is of the current era.
         """
         has_orders = bool(self._pending_orders.pending(service))
         return has_orders or not self.tables.lead_is_taken
@@ -348,7 +347,7 @@
         return time - claim.time < CLAIM_TIMEOUT
 
     @staticmethod
-    def _is_newer_than(claim: Claim | None, time: float, min_age: float) -> bool:
+    def _is_younger_than(claim: Claim | None, time: float, min_age: float) -> bool:
         return claim is not None and time - claim.time < min_age
 
     def _on_reply(
--- a/mallowpass/core/proxy/overloadswitchover.py
+++ b/mallowpass/core/proxy/overloadswitchover.py
@@ -22,8 +22,8 @@
 # Times are in seconds.
 # Hosts that find the same replicas behind spread their attempts over this time.
 JITTER_MAX = 0.4
-# A primary must have led for this time, and as long must have passed since the last
-# attempt. The time doubles with each change of primary within CHANGE_WINDOW.
+# A primary must have led for this time, and the same time must have passed since the
+# last attempt. It doubles with each change of primary within CHANGE_WINDOW.
 LEAD_TIME_MIN = 3.0
 CHANGE_WINDOW = 30.0
 # A primary is overloaded if statements wait at it for this time. Hosts keep its queue
@@ -63,7 +63,7 @@
         primary = group.primary_row
         if primary is None or group.suspected:
             return
-        if not self._is_overloaded(group, primary) or not self._may_try(group):
+        if not self._is_overloaded(group, primary) or not self._is_due(group):
             return
         self._tried_at[group.service] = self.now
         why = "no replica has the floor"
@@ -74,7 +74,7 @@
             return True
         return self._load.queue_time(primary) >= QUEUE_TIME_MIN
 
-    def _may_try(self, group: GroupRow) -> bool:
+    def _is_due(self, group: GroupRow) -> bool:
         # The wait grows, so that a switchover that did not help is not repeated often.
         since = self.now - CHANGE_WINDOW
         recent_changes = sum(1 for led_at in group.led_at if led_at > since)
--- a/mallowpass/core/proxy/pendingorders.py
+++ b/mallowpass/core/proxy/pendingorders.py
@@ -105,7 +105,8 @@
     def ordered_target(self, group: GroupRow, names: list[str]) -> str:
         """Return the first of `names` that has a pending order, or an empty string.
 
-        With a second target, both orders could be carried out, in either sequence.
+        Another target would need a second order, and the two orders could be carried
+        out in either sequence.
         """
         pending = self.pending(group.service)
         return next((name for name in names if name in pending), "")
--- a/mallowpass/core/proxy/promotion.py
+++ b/mallowpass/core/proxy/promotion.py
@@ -67,8 +67,8 @@
 # A primary that has sent a reply within this time is alive: hosts read from a primary
 # many times a second, and probe it when they have no reads for it.
 ALIVE_TIMEOUT = 1.0
-# Between switchovers of an overloaded primary, of all hosts: each attempt queries all
-# replicas, and each query takes a slot.
+# Between two attempts, of any hosts, to replace an overloaded primary: each attempt
+# queries all replicas, and each query takes a slot.
 OVERLOAD_RETRY_INTERVAL = 5.0
 # Comparisons before such a switchover is given up; fewer, since no endpoint has failed.
 OVERLOAD_ROUNDS_MAX = 4
@@ -136,8 +136,8 @@
     ) -> None:
         """Begin to replace a primary, unless an attempt is under way.
 
-        Does nothing as well if the group has no replica, if this host holds no
-        connections for the service, or within the backoff after a refused promotion.
+        Does nothing as well if the group has no replica, if this host is not a holder
+        of the service, or within the backoff after a refused promotion.
         """
         if group.service in self._attempts or not self._holders.holds(group.service):
             return
@@ -193,14 +193,14 @@
         candidates = self._candidates(attempt.group, attempt.primary)
         attempt.members = {endpoint.name for endpoint in candidates}
         attempt.outstanding = len(candidates)
-        self._ask_primary(attempt)
+        self._query_primary(attempt)
         for endpoint in candidates:
             statement: Statement = Pause(term)
             if attempt.is_survey or endpoint.name == attempt.target:
                 statement = Status()
-            self._ask(attempt, endpoint, statement)
+            self._query(attempt, endpoint, statement)
 
-    def _ask_primary(self, attempt: Replacement) -> None:
+    def _query_primary(self, attempt: Replacement) -> None:
         """Query the primary's log position, if the comparison needs it.
 
         It is needed if writes are stalled, to find out whether replicas receive. It is
@@ -228,7 +228,7 @@
 
         self._replica_orders.send(primary, Status(), on_reply)
 
-    def _ask(
+    def _query(
         self, attempt: Replacement, endpoint: EndpointRow, statement: Statement
     ) -> None:
         round_number = attempt.rounds
--- a/mallowpass/core/proxy/promotionorders.py
+++ b/mallowpass/core/proxy/promotionorders.py
@@ -1,8 +1,8 @@
 """Orders to the platform to promote a replica, repeated until the replica leads.
 
-An order is sent only while the claim is fresh. A later order could arrive after the
-orders of the next holder of the claim, and a platform that does not check fencing
-tokens would carry it out.
+An order is sent only while the claim is fresh, see `Claims.is_fresh`. A later order
+could arrive after the orders of the next host that claims, and a platform that does not
+check fencing tokens would carry it out.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 @record
 class OrderFailed(Signal):
-    """The platform refused a promotion order for good, or all orders were used up."""
+    """An order was refused for good or not sent, or all orders were used up."""
 
     attempt: Replacement
     why: str
@@ -128,7 +128,7 @@
         """Resume a paused target, so that it receives what the primary acknowledges.
 
         A target of a primary that restarted stays paused: the primary may have an empty
-        log, and the target would replace its own by it.
+        log, and the target would replace its own log by that.
         """
         primary = attempt.group.endpoints.get(attempt.primary)
         if primary is None or primary.doubted:
--- a/mallowpass/core/proxy/replacement.py
+++ b/mallowpass/core/proxy/replacement.py
@@ -16,7 +16,7 @@
 class Reason(Enum):
     """Describe why a primary is replaced, which determines the procedure."""
 
-    UNAVAILABLE = "silent"  # does not answer, or no primary is known: without a survey
+    UNAVAILABLE = "silent"  # does not answer, or is unknown; replicas pause at once
     STALLED = "stalled"  # answers, but acknowledges no writes
     LEAVING = "leaving"  # is draining, and serves until the new primary leads
     OVERLOADED = "relief"  # stays the primary if no replica can take over
--- a/mallowpass/core/proxy/replacementtriggers.py
+++ b/mallowpass/core/proxy/replacementtriggers.py
@@ -1,6 +1,7 @@
 """Replacement of primaries that leave, that restarted, or that are unknown.
 
-Primaries that fail are replaced by `suspicion`.
+Primaries that fail are replaced by `suspicion`, overloaded ones by
+`overloadswitchover`.
 """
 
 from __future__ import annotations
@@ -81,11 +82,11 @@
         if not group.primary:
             delay = LEADERLESS_DELAY + self._node.random.uniform(0.0, JITTER_MAX)
             since = group.no_primary_since
-            self.timers.after(delay, self._replace_unknown, group, since)
+            self.timers.after(delay, self._promote_leaderless, group, since)
 
-    def _replace_unknown(self, group: GroupRow, since: float) -> None:
+    def _promote_leaderless(self, group: GroupRow, since: float) -> None:
         """Promote a replica of a group that has had no primary since `since`."""
         if group.primary or group.no_primary_since != since:
             return
         self._promotion.replace(group, "", Reason.UNAVAILABLE, "no primary is known")
-        self.timers.after(RETRY_INTERVAL, self._replace_unknown, group, since)
+        self.timers.after(RETRY_INTERVAL, self._promote_leaderless, group, since)
--- a/mallowpass/core/proxy/replicaorders.py
+++ b/mallowpass/core/proxy/replicaorders.py
@@ -10,7 +10,7 @@
 
 __all__ = ["ReplicaOrders", "ReplyHandler"]
 
-# Seconds for one order to one replica; a replica with a full queue answers late.
+# Seconds to wait for the reply to an order; a replica with a full queue answers late.
 REPLY_TIMEOUT = 0.8
 
 # Called with the reply, or None if there was none within the timeout.
