--- a/mallowpass/core/proxy/attempts.py
+++ b/mallowpass/core/proxy/attempts.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from mallowpass.core.proxy.sessionstate import calls_to_set_up
+from mallowpass.core.proxy.sessionstate import make_setup_calls
 from mallowpass.core.proxy.signals import AttemptLost, AttemptOverdue
 from mallowpass.core.proxy.stalls import OVERDUE_SHARE
 from mallowpass.core.proxy.statements import (
@@ -27,24 +27,26 @@
 
     __slots__ = ()
 
-    def set_up(
+    def setup_calls(
         self, request: RequestRow, connection: ConnectionRow
     ) -> list[EndpointCall]:
         """Return the calls that bring a connection to the state of a session."""
         prepared = () if request.prepared is None else (request.prepared,)
-        return calls_to_set_up(connection, request.session.values, prepared)
+        return make_setup_calls(connection, request.session.values, prepared)
 
-    def call(self, request: RequestRow, floor: LogPosition | None) -> EndpointCall:
+    def statement_call(
+        self, request: RequestRow, floor: LogPosition | None
+    ) -> EndpointCall:
         """Return the call of a statement itself, by its name on the connection."""
         statement = request.statement
         if request.prepared is not None:
             statement = Execute(request.prepared.shared_name, statement.text)
-        return self.mark(
+        return self.with_caller(
             EndpointCall(statement, request.request_id, floor),
             request,
         )
 
-    def mark(self, call: EndpointCall, request: RequestRow) -> EndpointCall:
+    def with_caller(self, call: EndpointCall, request: RequestRow) -> EndpointCall:
         """Return a call with what a holder on the way has to know of its caller."""
         if not request.connection.holder:
             return call
@@ -61,7 +63,7 @@
         request.connection = connection
         request.endpoint = connection.endpoint
         request.sent_at = self.now
-        request.shown = connection.endpoint.position
+        request.position_before = connection.endpoint.position
         request.endpoint.in_flight += 1
         self.watch_loss(request, connection)
         overdue = OVERDUE_SHARE * request.route.statement_timeout
--- a/mallowpass/core/proxy/claims.py
+++ b/mallowpass/core/proxy/claims.py
@@ -222,7 +222,7 @@
         another host has claimed since or the store does not answer.
         """
         group = self.tables.group(service)
-        self._durability.learn(group, position)
+        self._durability.raise_must_hold(group, position)
         renewed = replace(
             claim, must_hold=group.must_hold, ordered=self._orders_to_store(service)
         )
@@ -272,7 +272,7 @@
         """Return whether the store cannot have lost a claim newer than `claim`."""
         if claim is not None and self._is_of_current_era(claim):
             return True
-        return not self._store.has_come_back
+        return not self._store.has_been_restored
 
     def _on_era(self, signal: EraChanged) -> None:
         self._known.clear()
@@ -292,7 +292,7 @@
         only once the newest claim is of the current era.
         """
         has_orders = bool(self._pending_orders.pending(service))
-        return has_orders or not self.tables.lead_is_taken
+        return has_orders or not self.tables.promotion_fences_primary
 
     def _begin_rewrite(self, service: str, attempts: int) -> None:
         """Read the stored claim, then write what the store lacks of it."""
@@ -410,7 +410,9 @@
                 continue
             claim = self._decode(row)
             self._known[service] = (row.version, claim)
-            self._durability.learn(self.tables.group(service), claim.must_hold)
+            self._durability.raise_must_hold(
+                self.tables.group(service), claim.must_hold
+            )
             self._record_orders(service, claim)
 
     def _orders_to_store(self, service: str) -> tuple[tuple[str, float], ...]:
--- a/mallowpass/core/proxy/links.py
+++ b/mallowpass/core/proxy/links.py
@@ -25,16 +25,16 @@
 from mallowpass.core.proxy.holders import Holders
 from mallowpass.core.proxy.load import Load
 from mallowpass.core.proxy.pauses import Pauses
-from mallowpass.core.proxy.sessionstate import calls_to_set_up
+from mallowpass.core.proxy.sessionstate import make_setup_calls
 from mallowpass.core.proxy.signals import (
     ConnectionFreed,
-    EndpointForgotten,
+    EndpointExpired,
     EndpointRestarted,
     EndpointUnreachable,
     WriteAcknowledged,
     WriteStalled,
 )
-from mallowpass.core.proxy.stalls import WRITES_STALL, Stalls
+from mallowpass.core.proxy.stalls import WRITES_STALLED_MESSAGE, Stalls
 from mallowpass.core.proxy.statements import (
     Access,
     Begin,
@@ -98,7 +98,7 @@
         node.subscribe(LinkCalled, self._on_called)
         node.subscribe(LinkClosed, self._on_closed)
         node.subscribe(ConnectionFreed, self._on_freed)
-        node.subscribe(EndpointForgotten, self._on_forgotten)
+        node.subscribe(EndpointExpired, self._on_forgotten)
         node.subscribe(EndpointRestarted, self._on_restarted)
         node.subscribe(EndpointUnreachable, self._on_unreachable)
 
@@ -118,8 +118,8 @@
             message = f"{self._node.identity.name} can't reach {event.endpoint!r}"
             self._node.emit(RefuseLink(event.link, Code.UNREACHABLE, message))
         else:
-            of_holder = self._holders.is_holder(event.service, event.host)
-            link = LinkRow(event.link, endpoint, of_holder)
+            is_from_holder = self._holders.is_holder(event.service, event.host)
+            link = LinkRow(event.link, endpoint, is_from_holder)
             self.tables.links[event.link] = link
             floor = self._floor_hint(event.service, self.now)
             self._node.emit(AcceptLink(event.link, endpoint.position, floor))
@@ -135,7 +135,7 @@
         if link.connection is not None and not link.in_flight:
             self._roll_back(link)
 
-    def _on_forgotten(self, signal: EndpointForgotten) -> None:
+    def _on_forgotten(self, signal: EndpointExpired) -> None:
         for link in list(self.tables.links.values()):
             if link.endpoint is signal.endpoint and not link.in_flight:
                 self._dismiss(link, "the endpoint is gone")
@@ -146,7 +146,7 @@
         Those with calls in flight have ended with their connections.
         """
         for link in list(self.tables.links.values()):
-            if link.endpoint is signal.before:
+            if link.endpoint is signal.previous:
                 self._dismiss(link, "the endpoint started again")
 
     def _dismiss(self, link: LinkRow, why: str) -> None:
@@ -176,7 +176,7 @@
         link = self.tables.links.get(event.link)
         if link is None:
             return
-        link.called_at = self.now
+        link.last_call_at = self.now
         priorities = [c.priority for c in event.calls if c.priority is not None]
         link.priority = min(priorities, default=0)
         for call in event.calls:
@@ -201,7 +201,7 @@
             self._refuse(link, Code.UNAUTHENTICATED, "no such customer")
         elif link not in self._waiting:
             if self._holds_back(link):
-                self._refuse(link, Code.BUSY, WRITES_STALL)
+                self._refuse(link, Code.BUSY, WRITES_STALLED_MESSAGE)
                 return
             if not _is_reached(link.endpoint) and self._is_replaced(link):
                 self._refuse(link, Code.NOT_PRIMARY, "another one leads")
@@ -209,23 +209,23 @@
             if not self._connections.can_reach(link.endpoint):
                 self._refuse(link, Code.UNREACHABLE, OUT_OF_REACH)
                 return
-            link.waits_since = self.now
+            link.waiting_since = self.now
             self._waiting.append(link)
-            self._waiting.sort(key=lambda link: (link.priority, link.waits_since))
+            self._waiting.sort(key=lambda link: (link.priority, link.waiting_since))
             self.timers.after(WAIT_MAX, self._check_wait, link, self.now)
             self._try(link)
 
     def _is_outdated(self, link: LinkRow) -> bool:
         """Tell whether writes that were read after a pause may be too old to run."""
-        waited = self._pauses.wait_max
-        timeout = self._stalls.statement_timeout(link.endpoint.entry.service)
+        waited = self._pauses.max_input_delay
+        timeout = self._stalls.shortest_statement_timeout(link.endpoint.entry.service)
         if waited < timeout:
             return False
         return any(_is_write(link, call.statement) for call in link.waiting)
 
     def _refuse_outdated(self, link: LinkRow) -> None:
         if link.connection is None:
-            why = f"it was paused for {self._pauses.wait_max:.1f} s"
+            why = f"it was paused for {self._pauses.max_input_delay:.1f} s"
             self._refuse(link, Code.BUSY, why)
         else:
             self._end(link)  # which rolls its transaction back
@@ -242,7 +242,7 @@
         """Tell whether a write that waits would hang at a primary that stalls."""
         if not any(_is_write(link, call.statement) for call in link.waiting):
             return False
-        return self._stalls.holds_back_write(self._group(link))
+        return self._stalls.should_refuse_write(self._group(link))
 
     def _group(self, link: LinkRow) -> GroupRow:
         return self.tables.group(link.endpoint.entry.service)
@@ -290,11 +290,11 @@
             return False
         # What a holder asks for is not passed on to a third host: two that are short of
         # connections would wait for each other.
-        connection = self._connections.take(
-            link.endpoint, link.values, link.customer, own_only=link.of_holder
+        connection = self._connections.acquire(
+            link.endpoint, link.values, link.customer, own_only=link.is_from_holder
         )
         if connection is None:
-            borrow = not link.of_holder
+            borrow = not link.is_from_holder
             self._connections.grow(link.endpoint, link.customer, borrow=borrow)
             return False
         self._waiting.remove(link)
@@ -305,7 +305,7 @@
         return True
 
     def _check_wait(self, link: LinkRow, since: float) -> None:
-        if link not in self._waiting or link.waits_since != since:
+        if link not in self._waiting or link.waiting_since != since:
             return
         self._waiting.remove(link)
         if self._is_replaced(link):
@@ -345,7 +345,7 @@
         self._node.count("links_refused", endpoint=link.endpoint.name, code=code.value)
         group = self._group(link)
         if code is Code.BUSY and link.endpoint.name == group.primary:
-            group.turned_away_at = self.now
+            group.last_rejection_at = self.now
         # Without a floor the host would send its reads to the primary once more, which
         # is what most calls wait for after a start of all hosts.
         said = f"{self._node.identity.name}: {message}"
@@ -362,7 +362,7 @@
             calls = [replace(call, on_behalf_of=link.on_behalf_of) for call in calls]
         names = {c.statement.name for c in calls if isinstance(c.statement, Execute)}
         prepared = [link.prepared[name] for name in names if name in link.prepared]
-        set_up = calls_to_set_up(connection, link.values, prepared)
+        set_up = make_setup_calls(connection, link.values, prepared)
         link.in_flight += len(calls)
         skipped = len(set_up)
         sent_at = self.now
@@ -402,7 +402,7 @@
             reply.code is Code.DONE and call.statement.takes_slot
             for call, reply in zip(calls, replies, strict=True)
         ):
-            self._load.measured(link.endpoint, self.now - sent_at)
+            self._load.record_latency(link.endpoint, self.now - sent_at)
         for call, reply in zip(calls, replies, strict=True):
             if call.minimum is not None:
                 self._note_floor(link.endpoint, reply)
@@ -412,9 +412,9 @@
                 continue
             if reply.state is SessionState.IDLE:  # a write that stood alone
                 self._node.publish(WriteAcknowledged(group))
-                self._floors.acknowledged(link.endpoint, reply.position, sent_at)
+                self._floors.record_commit(link.endpoint, reply.position, sent_at)
             else:
-                self._floors.sample(group, reply.position, sent_at)
+                self._floors.record_sample(group, reply.position, sent_at)
 
     def _note_floor(self, endpoint: EndpointRow, reply: EndpointReply) -> None:
         """Learn whether an endpoint is behind from what it answers other hosts.
@@ -422,9 +422,9 @@
         A holder has few callers of its own, and is the one that has it relieved.
         """
         if reply.code is Code.BEHIND:
-            self._floors.lacked(endpoint)
+            self._floors.mark_behind(endpoint)
         elif reply.code is Code.DONE:
-            self._floors.reached(endpoint)
+            self._floors.mark_caught_up(endpoint)
 
     def _with_floor(self, link: LinkRow, reply: EndpointReply) -> EndpointReply:
         """Return a reply with the newest sample, for the host that asked.
@@ -433,7 +433,7 @@
         samples of its neighbours its floors would be missing, and its reads would go
         to the primary.
         """
-        floor = self._floor_hint(link.endpoint.entry.service, link.called_at)
+        floor = self._floor_hint(link.endpoint.entry.service, link.last_call_at)
         return reply if floor is None else replace(reply, floor=floor)
 
     def _floor_hint(self, service: str, at: float) -> FloorHint | None:
@@ -456,7 +456,7 @@
         skipped: int,
     ) -> None:
         if any(reply.code is not Code.DONE for reply in replies[:skipped]):
-            connection.broken = True
+            connection.is_broken = True
         answers = replies[skipped:]
         link.in_flight -= len(answers)
         if not link.closed:
--- a/mallowpass/core/proxy/overloadswitchover.py
+++ b/mallowpass/core/proxy/overloadswitchover.py
@@ -61,7 +61,7 @@
     def _replace_if_overloaded(self, group: GroupRow) -> None:
         self._scheduled.discard(group.service)
         primary = group.primary_row
-        if primary is None or group.suspected:
+        if primary is None or group.is_suspected:
             return
         if not self._is_overloaded(group, primary) or not self._is_due(group):
             return
@@ -70,14 +70,19 @@
         self._promotion.replace(group, primary.name, Reason.OVERLOADED, why)
 
     def _is_overloaded(self, group: GroupRow, primary: EndpointRow) -> bool:
-        if group.turned_away_at > self.now - REJECTION_WINDOW:
+        if group.last_rejection_at > self.now - REJECTION_WINDOW:
             return True
         return self._load.queue_time(primary) >= QUEUE_TIME_MIN
 
     def _is_due(self, group: GroupRow) -> bool:
         # The wait grows, so that a switchover that did not help is not repeated often.
         since = self.now - CHANGE_WINDOW
-        recent_changes = sum(1 for led_at in group.led_at if led_at > since)
+        recent_changes = sum(
+            1 for led_at in group.primary_change_times if led_at > since
+        )
         required = LEAD_TIME_MIN * 2.0**recent_changes
         tried_at = self._tried_at.get(group.service, float("-inf"))
-        return self.now - max(tried_at, *group.led_at, float("-inf")) >= required
+        return (
+            self.now - max(tried_at, *group.primary_change_times, float("-inf"))
+            >= required
+        )
--- a/mallowpass/core/proxy/promotion.py
+++ b/mallowpass/core/proxy/promotion.py
@@ -28,6 +28,7 @@
 from mallowpass.core.proxy.holders import Holders
 from mallowpass.core.proxy.members import Members
 from mallowpass.core.proxy.pendingorders import PendingOrders
+from mallowpass.core.proxy.primaryconflicts import PrimaryConflicts
 from mallowpass.core.proxy.promotionorders import (
     ClaimExpired,
     OrderFailed,
@@ -36,12 +37,11 @@
 from mallowpass.core.proxy.replacement import Reason, Replacement, best_target
 from mallowpass.core.proxy.replicaorders import ReplicaOrders
 from mallowpass.core.proxy.resumption import Resumption
-from mallowpass.core.proxy.rivals import Rivals
 from mallowpass.core.proxy.signals import (
     EndpointChanged,
     EndpointRestarted,
     PrimaryChanged,
-    PrimaryReplicates,
+    ReplicationConfirmed,
     WriteAcknowledged,
 )
 from mallowpass.core.proxy.statements import (
@@ -89,7 +89,7 @@
         "_promotion_orders",
         "_replica_orders",
         "_resumption",
-        "_rivals",
+        "_conflicts",
         "_pending_orders",
     )
 
@@ -112,7 +112,7 @@
         self._promotion_orders = node.system(PromotionOrders)
         self._replica_orders = node.system(ReplicaOrders)
         self._resumption = node.system(Resumption)
-        self._rivals = node.system(Rivals)
+        self._conflicts = node.system(PrimaryConflicts)
         self._pending_orders = node.system(PendingOrders)
         node.subscribe(EndpointChanged, self._on_endpoint)
         node.subscribe(EndpointRestarted, self._on_restarted)
@@ -211,7 +211,7 @@
         primary = attempt.group.endpoints.get(attempt.primary)
         if primary is None or attempt.rounds > 1 or not attempt.reason.is_failure:
             return
-        settled = self._durability.is_settled(attempt.group)
+        settled = self._durability.is_missing_bound_reached(attempt.group)
         if settled and attempt.reason is not Reason.STALLED:
             return
         attempt.outstanding += 1
@@ -255,7 +255,7 @@
                 attempt.paused.add(endpoint.name)
             # An endpoint that restarted with an empty log may still report that it
             # leads.
-            required = self._durability.demanded(attempt.group)
+            required = self._durability.required_position(attempt.group)
             if reply.status.is_primary and reply.status.received >= required:
                 if not self._is_former_primary(attempt, reply.status):
                     self._on_leader_found(attempt, endpoint)
@@ -275,11 +275,11 @@
 
     def _is_former_primary(self, attempt: Replacement, status: EndpointStatus) -> bool:
         """Return whether an endpoint that reports that it leads has been replaced."""
-        if self.tables.lead_is_taken:
+        if self.tables.promotion_fences_primary:
             return False
         if not attempt.primary:
             return status.term < attempt.group.term
-        return not self._rivals.is_newer(attempt.group, status)
+        return not self._conflicts.has_new_term(attempt.group, status)
 
     def _on_former_primary(
         self, attempt: Replacement, endpoint: EndpointRow, status: EndpointStatus
@@ -292,7 +292,7 @@
         """
         del attempt.received[endpoint.name]
         attempt.paused.discard(endpoint.name)
-        is_undecided = status.term == attempt.group.term_before
+        is_undecided = status.term == attempt.group.previous_term
         if is_undecided and attempt.rounds < ROUNDS_MAX // 2:
             return
         attempt.outstanding += 1
@@ -310,7 +310,7 @@
     def _on_leader_found(self, attempt: Replacement, endpoint: EndpointRow) -> None:
         """End the attempt, as the order of another host has been carried out."""
         if attempt.group.primary != endpoint.name:
-            self._members.promoted(endpoint, "it reports that it leads")
+            self._members.assume_primary(endpoint, "it reports that it leads")
         if not attempt.is_ended:
             self._complete(attempt, f"{endpoint.name} leads already")
 
@@ -326,7 +326,7 @@
             silent=",".join(unanswered),
         )
         furthest = max(attempt.received.values(), default=ZERO_POSITION)
-        if furthest < self._durability.demanded(attempt.group):
+        if furthest < self._durability.required_position(attempt.group):
             self._refuse_promotion(attempt, furthest, unanswered)
             return
         if unanswered:
@@ -343,7 +343,7 @@
             # A replica has received what the primary's log had at the start of the
             # round.
             self._give_up(attempt, "a replica receives from the primary")
-            self._node.publish(PrimaryReplicates(attempt.group))
+            self._node.publish(ReplicationConfirmed(attempt.group))
             return
         if not attempt.target:
             furthest_replicas = [
@@ -390,7 +390,7 @@
             "promotion_would_lose_commits",
             service=service,
             primary=attempt.primary,
-            needed=self._durability.demanded(attempt.group).text,
+            needed=self._durability.required_position(attempt.group).text,
             furthest=furthest.text,
             received=attempt.received_text,
             silent=",".join(unanswered),
@@ -401,7 +401,7 @@
 
     def _is_alive(self, attempt: Replacement) -> bool:
         primary = attempt.group.endpoints.get(attempt.primary)
-        return primary is not None and primary.heard_at > self.now - ALIVE_TIMEOUT
+        return primary is not None and primary.last_reply_at > self.now - ALIVE_TIMEOUT
 
     def _finish_survey(self, attempt: Replacement) -> None:
         """Choose the target and begin to pause the others, or give up.
@@ -411,7 +411,7 @@
         """
         candidates = self._candidates(attempt.group, attempt.primary)
         remaining = [replica for replica in candidates if not replica.is_leaving]
-        settled = self._floors.settled(attempt.group)
+        settled = self._floors.settled_position(attempt.group)
         receiving = [r for r in remaining if attempt.received[r.name] >= settled]
         if attempt.reason is Reason.OVERLOADED and not receiving:
             self._give_up(attempt, "no replica that stays receives")
--- a/mallowpass/core/proxy/promotionorders.py
+++ b/mallowpass/core/proxy/promotionorders.py
@@ -131,7 +131,7 @@
         log, and the target would replace its own log by that.
         """
         primary = attempt.group.endpoints.get(attempt.primary)
-        if primary is None or primary.doubted:
+        if primary is None or primary.is_role_unconfirmed:
             return
         target = attempt.group.endpoints.get(attempt.target)
         if attempt.target in attempt.paused and target is not None:
--- a/mallowpass/core/proxy/registry.py
+++ b/mallowpass/core/proxy/registry.py
@@ -7,25 +7,27 @@
 from mallowpass.core.proxy.claims import Claims
 from mallowpass.core.proxy.connections import Connections
 from mallowpass.core.proxy.control import Control
+from mallowpass.core.proxy.currentconfiguration import CurrentConfiguration
 from mallowpass.core.proxy.customers import Customers
+from mallowpass.core.proxy.deadconnections import DeadConnections
 from mallowpass.core.proxy.demotion import Demotion
-from mallowpass.core.proxy.detours import Detours
 from mallowpass.core.proxy.discovery import Discovery
 from mallowpass.core.proxy.draining import Draining
 from mallowpass.core.proxy.durability import Durability
 from mallowpass.core.proxy.feeds import Feeds
 from mallowpass.core.proxy.floors import Floors
+from mallowpass.core.proxy.forwardedorders import ForwardedOrders
 from mallowpass.core.proxy.holders import Holders
 from mallowpass.core.proxy.hosts import Hosts
-from mallowpass.core.proxy.idling import Idling
+from mallowpass.core.proxy.idleconnections import IdleConnections
 from mallowpass.core.proxy.leadership import Leadership
 from mallowpass.core.proxy.links import Links
 from mallowpass.core.proxy.load import Load
 from mallowpass.core.proxy.members import Members
-from mallowpass.core.proxy.overdue import Overdue
 from mallowpass.core.proxy.overloadswitchover import OverloadSwitchover
 from mallowpass.core.proxy.pauses import Pauses
 from mallowpass.core.proxy.pendingorders import PendingOrders
+from mallowpass.core.proxy.primaryconflicts import PrimaryConflicts
 from mallowpass.core.proxy.promotion import Promotion
 from mallowpass.core.proxy.promotionorders import PromotionOrders
 from mallowpass.core.proxy.ratelimits.allowances import Allowances
@@ -36,17 +38,15 @@
 from mallowpass.core.proxy.replicaorders import ReplicaOrders
 from mallowpass.core.proxy.requests import Requests
 from mallowpass.core.proxy.resumption import Resumption
-from mallowpass.core.proxy.rivals import Rivals
 from mallowpass.core.proxy.routing import Routing
 from mallowpass.core.proxy.sampling import Sampling
 from mallowpass.core.proxy.sessions import Sessions
-from mallowpass.core.proxy.settings import Settings
 from mallowpass.core.proxy.shares import Shares
-from mallowpass.core.proxy.silence import Silence
 from mallowpass.core.proxy.stalls import Stalls
 from mallowpass.core.proxy.store import Store
 from mallowpass.core.proxy.stuckreplicas import StuckReplicas
 from mallowpass.core.proxy.suspicion import Suspicion
+from mallowpass.core.proxy.timeouts import Timeouts
 from mallowpass.core.proxy.transactions import Transactions
 
 __all__ = ["SYSTEMS"]
@@ -61,15 +61,15 @@
     Load,
     Durability,
     Connections,
-    Silence,
-    Idling,
+    DeadConnections,
+    IdleConnections,
     Floors,
     Routing,
     Control,
     ReplicaOrders,
     PendingOrders,
     Claims,
-    Detours,
+    ForwardedOrders,
     Demotion,
     Resumption,
     PromotionOrders,
@@ -78,7 +78,7 @@
     OverloadSwitchover,
     StuckReplicas,
     Members,
-    Rivals,
+    PrimaryConflicts,
     Discovery,
     Leadership,
     Sampling,
@@ -90,12 +90,12 @@
     Attempts,
     Stalls,
     Transactions,
-    Overdue,
+    Timeouts,
     Requests,
     Customers,
     Sessions,
     Draining,
-    Settings,
+    CurrentConfiguration,
     Suspicion,
     Hosts,
 )
--- a/mallowpass/core/proxy/replacementtriggers.py
+++ b/mallowpass/core/proxy/replacementtriggers.py
@@ -50,7 +50,7 @@
         group = self.tables.group(endpoint.entry.service)
         if group.primary == endpoint.name and endpoint.is_leaving:
             delay = self._node.random.uniform(0.0, JITTER_MAX)
-            if endpoint.gone_at is not None:
+            if endpoint.removed_at is not None:
                 delay += ENTRY_REMOVED_DELAY
             self.timers.after(delay, self._replace_leaving, endpoint)
 
@@ -61,19 +61,19 @@
         if not self.tables.is_current(endpoint):
             return
         why = "it is draining"
-        if endpoint.gone_at is not None:
+        if endpoint.removed_at is not None:
             why = "its entry was removed"
         self._promotion.replace(group, endpoint.name, Reason.LEAVING, why)
         self.timers.after(RETRY_INTERVAL, self._replace_leaving, endpoint)
 
     def _on_restarted(self, signal: EndpointRestarted) -> None:
-        if signal.endpoint.doubted:
+        if signal.endpoint.is_role_unconfirmed:
             delay = RESTART_DELAY + self._node.random.uniform(0.0, JITTER_MAX)
             self.timers.after(delay, self._replace_restarted, signal.endpoint)
 
     def _replace_restarted(self, endpoint: EndpointRow) -> None:
         group = self.tables.group(endpoint.entry.service)
-        if endpoint.doubted and not group.primary:
+        if endpoint.is_role_unconfirmed and not group.primary:
             why = "it restarted, and its log may be empty"
             self._promotion.replace(group, endpoint.name, Reason.UNAVAILABLE, why)
 
--- a/mallowpass/core/proxy/resumption.py
+++ b/mallowpass/core/proxy/resumption.py
@@ -169,9 +169,9 @@
 
     def _on_restarted(self, signal: EndpointRestarted) -> None:
         """Pause a replica again, since its restart ended its pause."""
-        task = self._find_task(signal.before.entry.service)
+        task = self._find_task(signal.previous.entry.service)
         if task is not None:
-            task.names.discard(signal.before.name)
+            task.names.discard(signal.previous.name)
             self._keep_paused(task, signal.endpoint)
 
     def _keep_paused(self, task: _Task, endpoint: EndpointRow) -> None:
@@ -180,7 +180,7 @@
             return
         if not self.tables.is_current(endpoint):
             return
-        if endpoint.name in task.primaries or endpoint.gone_at is not None:
+        if endpoint.name in task.primaries or endpoint.removed_at is not None:
             return
         if self._pending_orders.may_receive(task.group, endpoint.name):
             return
@@ -223,7 +223,7 @@
         """Have former primaries step down, then resume the replicas."""
         former = task.primaries - task.demoted - {task.group.primary}
         former &= task.group.endpoints.keys()
-        if not former or self.tables.lead_is_taken:
+        if not former or self.tables.promotion_fences_primary:
             self._ensure_claim(task)
             return
         name = min(former)
