--- a/mallowpass/core/proxy/claims.py
+++ b/mallowpass/core/proxy/claims.py
@@ -1,11 +1,12 @@
 """Claims: the right to replace a group's primary, kept in the store.
 
 A claim is a lease: one row per service, written by compare-and-set on the row's
-version. Its token grows by one with each new claim, and is sent with each promotion
-order as the fencing token. A platform that checks fencing tokens refuses an order whose
-token is older than one it has seen, so a late order of a host that lost the claim has
-no effect there. Each claim inherits two things from the one before: the log position
-that the next primary must hold, and the promotion orders that may still be carried out.
+version. The token of a claim is above those of all earlier claims, and is sent with
+each promotion order as the fencing token. A platform that checks fencing tokens refuses
+an order whose token is older than one already seen, so a late order of a host that lost
+the claim has no effect there. Each claim inherits two things from the claim before: the
+log position that the next primary must hold, and the promotion orders that may still be
+carried out.
 """
 
 from __future__ import annotations
@@ -78,8 +79,8 @@
         `primary` must have led when the claim was made, or later. A claim that names
         `primary`, or no primary, proves it only if released: else `primary` may be
         replaced at any moment. A claim that names another primary was made to replace
-        a predecessor or a successor of `primary`. It proves that `primary` leads only
-        if `primary` is the one target that was ordered under it.
+        a predecessor or a successor of `primary`. Such a claim proves that `primary`
+        leads only if `primary` is the one target that was ordered under the claim.
         """
         if self.primary in ("", primary):
             return self.is_released
@@ -286,10 +287,10 @@
     def _must_rewrite(self, service: str) -> bool:
         """Return whether this host has to write a claim in the new era.
 
-        It has to if orders are pending, which the store may have lost. It also has to
-        if promotions do not fence the earlier primary. Hosts then take the absence of a
-        newer claim as the proof that a primary still leads, and that absence is certain
-        only once the newest claim is of the current era.
+        A claim is needed if orders are pending, which the store may have lost. A claim
+        is also needed if promotions do not fence the earlier primary: hosts then take
+        the absence of a newer claim as the proof that a primary still leads, and that
+        absence is certain only once the newest claim is of the current era.
         """
         has_orders = bool(self._pending_orders.pending(service))
         return has_orders or not self.tables.promotion_fences_primary
--- a/mallowpass/core/proxy/overloadswitchover.py
+++ b/mallowpass/core/proxy/overloadswitchover.py
@@ -23,7 +23,7 @@
 # Hosts that find the same replicas behind spread their attempts over this time.
 JITTER_MAX = 0.4
 # A primary must have led for this time, and the same time must have passed since the
-# last attempt. It doubles with each change of primary within CHANGE_WINDOW.
+# last attempt. The time doubles with each change of primary within CHANGE_WINDOW.
 LEAD_TIME_MIN = 3.0
 CHANGE_WINDOW = 30.0
 # A primary is overloaded if statements wait at it for this time. Hosts keep its queue
--- a/mallowpass/core/proxy/pendingorders.py
+++ b/mallowpass/core/proxy/pendingorders.py
@@ -3,10 +3,11 @@
 The platform carries out an order some time after it has accepted the order; an order
 without an answer may be carried out seconds after it has been given up. The target then
 leads with what it has received so far. While an order is pending, commits may therefore
-be acknowledged through its target only. This holds whichever endpoint leads meanwhile,
-and also after the end of the attempt that gave the order. The target has all commits
-that were acknowledged before the order, and receives all later ones. A commit that is
-acknowledged through another replica would be lost when the order is carried out.
+be acknowledged through its target only. The rule holds whichever endpoint leads
+meanwhile, and also after the end of the attempt that gave the order. The target has all
+commits that were acknowledged before the order, and receives all later ones. A commit
+that is acknowledged through another replica would be lost when the order is carried
+out.
 
 Once the target leads, all replicas may receive from it. An order without an answer
 stays pending until its timeout even then: the target may be replaced meanwhile, and the
--- a/mallowpass/core/proxy/promotion.py
+++ b/mallowpass/core/proxy/promotion.py
@@ -203,16 +203,16 @@
     def _query_primary(self, attempt: Replacement) -> None:
         """Query the primary's log position, if the comparison needs it.
 
-        It is needed if writes are stalled, to find out whether replicas receive. It is
-        also needed if members are missing that may have acknowledged commits: the next
-        primary must then have what the primary's log shows. A primary that does not
-        answer is waited for in the first round only.
+        The position is needed if writes are stalled, to find out whether replicas
+        receive. The position is also needed if members are missing that may have
+        acknowledged commits: the next primary must then have all that the primary's log
+        shows. A primary that does not answer is waited for in the first round only.
         """
         primary = attempt.group.endpoints.get(attempt.primary)
         if primary is None or attempt.rounds > 1 or not attempt.reason.is_failure:
             return
-        settled = self._durability.is_missing_bound_reached(attempt.group)
-        if settled and attempt.reason is not Reason.STALLED:
+        is_bound_reached = self._durability.is_missing_bound_reached(attempt.group)
+        if is_bound_reached and attempt.reason is not Reason.STALLED:
             return
         attempt.outstanding += 1
         round_number = attempt.rounds
@@ -286,9 +286,9 @@
     ) -> None:
         """Have a former primary step down before the round is decided.
 
-        If its term is the newest that was known before this attempt, it may be the same
-        primary under another name, so it is left alone in the first rounds: its entry
-        in the store shows that soon.
+        An endpoint with the newest term that was known before the last change of
+        primary may be the same primary under another name. Such an endpoint is left
+        alone in the first rounds, as its entry in the store soon shows which it is.
         """
         del attempt.received[endpoint.name]
         attempt.paused.discard(endpoint.name)
@@ -336,10 +336,10 @@
         if attempt.is_survey:
             self._finish_survey(attempt)
             return
-        stalled = (
+        is_stalled = (
             attempt.reason is Reason.STALLED and attempt.primary_position is not None
         )
-        if stalled and furthest >= attempt.primary_position:
+        if is_stalled and furthest >= attempt.primary_position:
             # A replica has received what the primary's log had at the start of the
             # round.
             self._give_up(attempt, "a replica receives from the primary")
@@ -411,8 +411,10 @@
         """
         candidates = self._candidates(attempt.group, attempt.primary)
         remaining = [replica for replica in candidates if not replica.is_leaving]
-        settled = self._floors.settled_position(attempt.group)
-        receiving = [r for r in remaining if attempt.received[r.name] >= settled]
+        settled_position = self._floors.settled_position(attempt.group)
+        receiving = [
+            r for r in remaining if attempt.received[r.name] >= settled_position
+        ]
         if attempt.reason is Reason.OVERLOADED and not receiving:
             self._give_up(attempt, "no replica that stays receives")
             return
--- a/mallowpass/core/proxy/promotionorders.py
+++ b/mallowpass/core/proxy/promotionorders.py
@@ -160,8 +160,8 @@
     def _demote_primary(self, attempt: Replacement) -> None:
         """Have a failed primary step down while its successor is being promoted.
 
-        It starts this early so that, when replicas may be resumed, it is known whether
-        the primary answers.
+        The demotion starts this early so that its outcome is known by the time at which
+        replicas may be resumed.
         """
         primary = attempt.group.endpoints.get(attempt.primary)
         if attempt.reason.is_failure and primary is not None:
--- a/mallowpass/core/proxy/resumption.py
+++ b/mallowpass/core/proxy/resumption.py
@@ -220,7 +220,7 @@
         )
 
     def _demote_former_primaries(self, task: _Task) -> None:
-        """Have former primaries step down, then resume the replicas."""
+        """Have former primaries step down one by one, then resume the replicas."""
         former = task.primaries - task.demoted - {task.group.primary}
         former &= task.group.endpoints.keys()
         if not former or self.tables.promotion_fences_primary:
@@ -229,9 +229,8 @@
         name = min(former)
         task.demoted.add(name)
         endpoint = task.group.endpoints[name]
-        # The term is never above the one that the successor leads. If this host is
-        # wrong about which of the two leads, the order has no effect on the newer
-        # primary.
+        # The term is never above that of the successor. If this host is wrong about
+        # which of the two leads, the order has no effect on the newer primary.
         is_target = task.target == task.group.primary
         term = task.term if is_target else task.group.term
         self._demotion.demote(endpoint, term, lambda: self._run_round(task))
--- a/tests/core/proxy/test_pending_orders.py
+++ b/tests/core/proxy/test_pending_orders.py
@@ -45,9 +45,9 @@
 
     A primary crashes and a replica is ordered to lead. Before the order is carried out
     the primary is back with its log, under the same or another name, and its entry
-    names it as primary. That ended the attempt and resumed all replicas. A commit was
-    then acknowledged through the other replica, just before the target led without it.
-    Here the target is cut off from the returned primary.
+    names it as primary. The entry ended the attempt and resumed all replicas. A commit
+    was then acknowledged through the other replica, just before the target led without
+    it. Here the target is cut off from the returned primary.
     """
     world = world_with_promotion_time(promotion)
     world.crash(OLD)
--- a/tests/core/proxy/test_promotion.py
+++ b/tests/core/proxy/test_promotion.py
@@ -247,7 +247,7 @@
     """Acknowledged commits are lost after a second replacement.
 
     One replica receives nothing, and the other one acknowledges all commits and leads
-    after the loss of the primary. Its writes get no answer, since its only replica
+    after the loss of the primary. Writes get no answer, since the only replica left
     receives nothing, and hosts took that for a failure. Four seconds later the entry of
     the first primary expired, so the replica that lacks the commits was the only one to
     compare, and was promoted. The position from the first comparison was not kept.
--- a/tests/core/proxy/test_replacement.py
+++ b/tests/core/proxy/test_replacement.py
@@ -169,8 +169,8 @@
 def test_target_that_restarts_empty_is_not_ordered_again(after: float):
     """All acknowledged commits are lost, as an empty endpoint leads.
 
-    The target restarts with its name and an empty log before it leads. It was ordered
-    once more, because of the log position that it had before the restart.
+    The target restarts with its name and an empty log before it leads. The target was
+    ordered once more, because of the log position that it had before the restart.
     """
     world = ProxyWorld()
     _write(world, 5)
--- a/tests/core/proxy/test_resumption.py
+++ b/tests/core/proxy/test_resumption.py
@@ -18,7 +18,7 @@
 
 
 def run_until_promoted(world: ProxyWorld) -> Host:
-    """Run until another member leads; return the host that ordered it."""
+    """Run until another member leads; return the host that ordered the promotion."""
     world.run_until(lambda: world.group.promotions == 1, 6.0)
     assert world.group.promotions == 1
     return next(host for host in world.hosts if host.logged("promotion_ordered"))
@@ -35,10 +35,11 @@
 
 
 def test_replica_that_was_unreachable_is_resumed_later():
-    """One in six statements is refused for hours after a replacement.
+    """One in six statements is refused for a day, also after a restart of all hosts.
 
     The replica that was paused for the comparison is unreachable for two seconds when
-    the target leads. It was ordered to resume once, and the outcome was not checked.
+    the target leads. The replica was ordered to resume once, without a check of the
+    outcome.
     """
     world = ProxyWorld()
     keep_working(world)
