--- a/mallowpass/core/systems/closing.py
+++ b/mallowpass/core/systems/closing.py
@@ -1,10 +1,10 @@
-"""Close connections, and tell who used one that is lost."""
+"""Close connections, and notify the users of connections that are lost."""
 
 from __future__ import annotations
 
 from mallowpass.core.effects import CloseConnection
 from mallowpass.core.events import ConnectionLost
-from mallowpass.core.systems.connections import LIFE_MARGIN, EndpointPool
+from mallowpass.core.systems.connections import LIFETIME_MARGIN, EndpointPool
 from mallowpass.core.systems.poolpart import PoolPart
 from mallowpass.core.tables import ConnectionRow
 
@@ -12,29 +12,29 @@
 
 
 class Closer(PoolPart):
-    """Take connections out of use, whoever had them."""
+    """Close connections and remove them from the pools."""
 
     __slots__ = ()
 
     def on_lost(self, event: ConnectionLost) -> None:
-        """Take in that a connection broke."""
+        """Remove a connection that broke, and notify its user."""
         connection = self._connections.get(event.connection)
         if connection is None:
             return
         pool = self._pooling.by_address[connection.address]
         self._node.count("connections_lost", reason="broken")
-        self._tell_lost(pool, connection, event.message)
+        self._notify_user(pool, connection, event.message)
         self._pooling.granting.pump(pool)
 
     def close_and_notify(
         self, pool: EndpointPool, connection: ConnectionRow, why: str
     ) -> None:
-        """Close a connection and tell who used it."""
+        """Close a connection and notify its user."""
         self._node.count("connections_lost", reason=why)
         self._node.emit(CloseConnection(connection.number))
-        self._tell_lost(pool, connection, why)
+        self._notify_user(pool, connection, why)
 
-    def _tell_lost(
+    def _notify_user(
         self, pool: EndpointPool, connection: ConnectionRow, why: str
     ) -> None:
         number, transaction = connection.request, connection.transaction
@@ -46,32 +46,35 @@
             self._pooling.transactions.on_connection_lost(connection, why)
 
     def on_unsent(
-        self, pool: EndpointPool, connection: ConnectionRow, known: bool
+        self, pool: EndpointPool, connection: ConnectionRow, was_open: bool
     ) -> None:
-        """Tell of a call that was not sent; `known`: its connection was there then."""
+        """Report that a call was not sent.
+
+        `was_open`: the connection was open when the call was to be sent.
+        """
         if connection.number in self._connections:
             self._node.emit(CloseConnection(connection.number))
-        elif known:
-            return  # lost in between, and told then
-        self._tell_lost(pool, connection, "expired, call not sent")
+        elif was_open:
+            return  # lost in the meantime: its user has been notified
+        self._notify_user(pool, connection, "expired, call not sent")
         self._pooling.granting.pump(pool)
 
     def close_expired(self, pool: EndpointPool, connection: ConnectionRow) -> None:
-        """Close a connection that the endpoint has closed by now.
+        """Close a connection whose time to live is over at the endpoint.
 
-        It may be a transaction's, between two of its calls: that is over then too.
+        If a transaction between two calls uses the connection, the transaction ends.
         """
         self.close_and_notify(pool, connection, "expired")
 
     def close(self, pool: EndpointPool, connection: ConnectionRow) -> None:
-        """Close a connection that nobody uses."""
+        """Close a connection that is not in use."""
         if connection.number not in self._connections:
             return
         self._node.emit(CloseConnection(connection.number))
         self.remove(pool, connection)
 
     def remove(self, pool: EndpointPool, connection: ConnectionRow) -> None:
-        """Take a connection out of all tables."""
+        """Remove a connection from all tables."""
         number = connection.number
         if self._connections.pop(number, None) is None:
             return
@@ -88,7 +91,7 @@
         pool.opening.remove(number)
         pool.internal_calls.pop(number, None)
         if not connection.loan:
-            pool.closing_slots.append((self.now, connection.expires + LIFE_MARGIN))
+            pool.closing_slots.append((self.now, connection.expires + LIFETIME_MARGIN))
             return
         loan = pool.borrowed.get(connection.loan)
         if loan is not None:
--- a/mallowpass/core/systems/connections.py
+++ b/mallowpass/core/systems/connections.py
@@ -1,4 +1,4 @@
-"""Hold the connections to one endpoint and the times by which they must answer."""
+"""The connection pool of one endpoint, and the timeouts of the calls in flight."""
 
 from __future__ import annotations
 
@@ -18,19 +18,21 @@
 
 __all__ = ["EndpointPool", "BorrowedLoan", "BusyKeepAlive", "TimeoutTracker"]
 
-PAUSE = 0.5  # a timer that runs so many seconds late proves that the host stood still
-HOLD_SMOOTHING = 0.1
-LIFE_MARGIN = 0.5  # seconds of a connection's time to live that are left unused
-# What was heard from an endpoint so many seconds after a connection to it was closed
-# proves that the path was open: the endpoint has seen the closing.
-SETTLE = 0.5
+# Seconds. A timer that runs later than this shows that the host was paused.
+PAUSE_THRESHOLD = 0.5
+HOLD_TIME_SMOOTHING = 0.1  # weight of a new measurement in the moving average
+LIFETIME_MARGIN = 0.5  # seconds of a connection's time to live that are left unused
+# Seconds. A reply that an endpoint sends this long after a connection to it was closed
+# shows that the network path was up: the endpoint has seen the close.
+CLOSE_SETTLE_TIME = 0.5
 
 
 class TimeoutTracker:
-    """Tell which of many things took longer than one common time.
+    """Track many numbered operations that share one timeout.
 
-    All wait equally long, so they fall due in the order they were added, and one
-    timer does for all: a timer for each statement would cost more than the rest.
+    Since the timeout is the same for all, the operations become due in the order in
+    which they were added, and one timer is enough. A timer for each statement would
+    cost more than the rest of its handling.
     """
 
     __slots__ = ("_callback", "_timeout", "_timer", "_timers", "entries")
@@ -51,52 +53,55 @@
         return number in self.entries
 
     def add(self, number: int) -> None:
-        """Watch a number from now on."""
+        """Start the timeout of a number."""
         self.entries[number] = self._timers.now
         if self._timer is None:
-            self._timer = self._timers.after(self._timeout, self._run)
+            self._timer = self._timers.after(self._timeout, self._on_timer)
 
     def remove(self, number: int) -> float | None:
-        """Stop watching; return since when it was watched, None if it was not."""
+        """Stop the timeout of a number; return when it started, None if it did not."""
         return self.entries.pop(number, None)
 
     def restart(self, number: int) -> None:
-        """Watch a number anew from now."""
+        """Start the timeout of a number again."""
         self.entries.pop(number, None)
         self.add(number)
 
     def numbers(self) -> list[int]:
-        """Return all numbers that are watched, oldest first."""
+        """Return all tracked numbers, oldest first."""
         return list(self.entries)
 
-    def _run(self) -> None:
-        late = self._timers.now - self._timer.when
+    def _on_timer(self) -> None:
+        delay = self._timers.now - self._timer.when
         self._timer = None
-        if late > PAUSE:
-            self._excuse_all()
-        for number in list(self._due()):
-            # One callback may end what another was to be called for.
+        if delay > PAUSE_THRESHOLD:
+            self._restart_all()
+        for number in list(self._due_numbers()):
+            # The callback of an earlier number may have removed this one.
             if self.entries.pop(number, None) is not None:
                 self._callback(number)
         if self.entries and self._timer is None:
             oldest = next(iter(self.entries.values()))
-            self._timer = self._timers.at(oldest + self._timeout, self._run)
+            self._timer = self._timers.at(oldest + self._timeout, self._on_timer)
 
-    def _due(self) -> Iterator[int]:
+    def _due_numbers(self) -> Iterator[int]:
         for number, since in self.entries.items():
             if since + self._timeout > self._timers.now:
                 return
             yield number
 
-    def _excuse_all(self) -> None:
-        # The host was paused: answers lie unread in its sockets. To close their
-        # connections now would turn a short pause into lost statements.
+    def _restart_all(self) -> None:
+        # The host was paused, and replies may be unread in its sockets. Closing these
+        # connections now would lose statements because of a short pause.
         for number in self.entries:
             self.entries[number] = self._timers.now
 
 
 class BorrowedLoan:
-    """Hold the connections that another host lends at one endpoint."""
+    """A loan of connection slots to one endpoint, by another host to this host.
+
+    A slot is the right to one of the connections that the endpoint accepts.
+    """
 
     __slots__ = (
         "close_at",
@@ -111,16 +116,20 @@
     def __init__(self, loan: str, connections: int) -> None:
         self.loan = loan
         self.connections = connections
-        self.open_until = 0.0  # none is opened after this
-        self.close_at = 0.0  # nothing is sent after this; idle ones are closed
-        self.ends_at = 0.0  # all are closed
+        # Times in seconds.
+        self.open_until = 0.0  # no connection is opened after this time
+        self.close_at = 0.0  # idle connections are closed, and no call is sent
+        self.ends_at = 0.0  # all connections are closed
         self.renew_at = 0.0
-        self.numbers: set[int] = set()
+        self.numbers: set[int] = set()  # of the connections
 
 
 @dataclass(slots=True)
 class BusyKeepAlive:
-    """Hold the newest keep-alive beside a call; one not asked for has sequence 0."""
+    """The last keep-alive sent on a connection with a call in flight.
+
+    Its sequence is 0 if none has been sent.
+    """
 
     sequence: int = 0
     asked_at: float = float("-inf")
@@ -128,100 +137,99 @@
 
     @property
     def is_outstanding(self) -> bool:
-        """Tell whether it was asked for and is not answered."""
+        """Tell whether the keep-alive was sent and has not been answered."""
         return self.sequence != 0 and not self.answered
 
 
 class EndpointPool:
-    """Hold one endpoint's connections at this host, its queue and its limits."""
+    """The connections of this host to one endpoint, their limits and the wait queue."""
 
     __slots__ = (
         "active_count",
-        "in_flight",
+        "average_hold_time",
         "backoff_exponent",
         "borrowed",
+        "busy_keep_alives",
         "check_timer",
-        "internal_in_flight",
+        "closing_slots",
         "concurrency",
-        "statement_share",
         "connections",
         "database",
         "deferred_calls",
         "endpoint",
-        "silent_slots",
-        "average_hold_time",
         "idle",
         "idle_borrowed",
-        "min_idle",
+        "in_flight",
         "internal_calls",
-        "overdue",
-        "lent_count",
+        "internal_in_flight",
+        "is_dispatching",
         "lendable_share",
+        "lent_count",
+        "min_idle",
         "open_limit",
         "opening",
+        "overdue",
         "own_share",
         "patient_classes",
         "peak_in_use",
-        "previous_peak_in_use",
         "pinned",
-        "busy_keep_alives",
-        "is_dispatching",
+        "previous_peak_in_use",
         "queue",
         "retry_at",
         "retry_timer",
-        "closing_slots",
+        "silent_slots",
+        "statement_share",
         "withheld_count",
     )
 
     def __init__(
-        self, endpoint: EndpointRow, database: DatabaseRow, tally: QueueCounter
+        self, endpoint: EndpointRow, database: DatabaseRow, counter: QueueCounter
     ) -> None:
         self.endpoint = endpoint
         self.database = database
-        # How many connections are this host's.
-        self.own_share = 0  # static share
-        self.lent_count = 0  # of it, lent to others
-        self.withheld_count = 0  # of it, not used before old loans are surely over
-        self.open_limit: int | None = None  # while the endpoint says: too many
-        self.borrowed: dict[str, BorrowedLoan] = {}
-        self.silent_slots: list[float] = []  # places of silent ones, until when
-        self.closing_slots: list[
-            tuple[float, float]
-        ] = []  # closed ones: when, until when
-        self.lendable_share = 0  # of the static share, at most lent at one time
-        # The connections.
+        # Slots of this host.
+        self.own_share = 0  # static share of the connection limit
+        self.lent_count = 0  # slots of the own share that are lent
+        # Slots of the own share that stay unused until all loans that a previous run of
+        # this host may have made have ended.
+        self.withheld_count = 0
+        # Set while the endpoint refuses connections beyond its limit.
+        self.open_limit: int | None = None
+        self.borrowed: dict[str, BorrowedLoan] = {}  # by name of the loan
+        # Connections that this host has closed but the endpoint may still count. Of a
+        # silent one: when the endpoint drops it at the latest. Of any other: when it
+        # was closed, and when the endpoint drops it at the latest.
+        self.silent_slots: list[float] = []
+        self.closing_slots: list[tuple[float, float]] = []
+        self.lendable_share = 0  # slots of the own share that may be lent at a time
+        # Connections, by number.
         self.connections: dict[int, ConnectionRow] = {}
         self.idle: dict[int, ConnectionRow] = {}  # least recently used first
         self.idle_borrowed: dict[int, ConnectionRow] = {}
         self.pinned: dict[int, ConnectionRow] = {}  # without a statement, oldest first
-        self.min_idle = 0  # fewest idle ones lately
-        self.peak_in_use = (
-            0  # most in use at once, in this period and in the one before
-        )
+        self.min_idle = 0  # lowest number of idle connections in this period
+        self.peak_in_use = 0  # highest number of connections in use in this period
         self.previous_peak_in_use = 0
-        self.active_count = 0  # connections with a request's statement
-        self.internal_calls: dict[
-            int, str
-        ] = {}  # in flight, and no request waits for it
-        # Calls held until the one in flight is answered: its sequence, then their own.
+        self.active_count = 0  # connections on which a request's statement runs
+        # Calls that no request waits for: the purpose, by connection.
+        self.internal_calls: dict[int, str] = {}
+        # Calls that are sent once the call in flight on their connection has been
+        # answered: the sequence of the call in flight, the own sequence and the call.
         self.deferred_calls: dict[int, tuple[int, int, EndpointCall]] = {}
-        # Keep-alives beside a call in flight, by connection.
-        self.busy_keep_alives: dict[int, BusyKeepAlive] = {}
-        self.in_flight: TimeoutTracker  # calls in flight
-        self.overdue: (
-            TimeoutTracker  # of them, those unanswered for half of the silence
-        )
-        self.internal_in_flight: TimeoutTracker
+        self.busy_keep_alives: dict[int, BusyKeepAlive] = {}  # by connection
+        # Timeouts, by connection.
+        self.in_flight: TimeoutTracker  # calls of requests
+        self.overdue: TimeoutTracker  # those unanswered for half of `silence`
+        self.internal_in_flight: TimeoutTracker  # calls that no request waits for
         self.opening: TimeoutTracker
-        # Work.
-        self.queue = WaitQueue({}, tally)
+        # Requests.
+        self.queue = WaitQueue({}, counter)
         self.patient_classes: frozenset[str] = frozenset()
-        self.statement_share = 0  # 0: no limit
+        self.statement_share = 0  # statements at the same time; 0: no limit
         self.concurrency = ConcurrencyLimit()
-        self.average_hold_time = (
-            0.0  # moving average of how long a request keeps a connection
-        )
-        # Timers and pauses.
+        # Moving average, in seconds, of how long a request keeps a connection.
+        self.average_hold_time = 0.0
+        # Timers and backoff.
         self.check_timer = None
         self.retry_timer = None
         self.retry_at = float("-inf")
@@ -235,7 +243,7 @@
 
     @property
     def usable_share(self) -> int:
-        """Return how many connections of its own share this host may have now."""
+        """Return how many connections of the own share this host may have now."""
         usable_share = self.own_share - self.lent_count - self.withheld_count
         if self.open_limit is not None:
             usable_share = min(usable_share, self.open_limit)
@@ -243,13 +251,13 @@
 
     @property
     def share(self) -> int:
-        """Return how many connections this host may have, with borrowed ones."""
+        """Return how many connections this host may have, including borrowed ones."""
         borrowed = sum(loan.connections for loan in self.borrowed.values())
         return self.usable_share + borrowed
 
     @property
     def own_count(self) -> int:
-        """Return how many connections of the own share exist or are opening."""
+        """Return how many connections of the own share are open or being opened."""
         if not self.borrowed:
             return len(self.connections)
         borrowed = sum(len(loan.numbers) for loan in self.borrowed.values())
@@ -257,7 +265,7 @@
 
     @property
     def statement_limit(self) -> int:
-        """Return how many statements may run at once."""
+        """Return how many statements may run at the same time."""
         limit = self.concurrency.limit
         if self.statement_share:
             return min(limit, self.statement_share)
@@ -271,22 +279,22 @@
         return number not in self.internal_calls or number in self.deferred_calls
 
     def record_hold_time(self, seconds: float) -> None:
-        """Learn how long a request kept its connection."""
+        """Record how long a request kept its connection."""
         if self.average_hold_time:
-            self.average_hold_time += HOLD_SMOOTHING * (
+            self.average_hold_time += HOLD_TIME_SMOOTHING * (
                 seconds - self.average_hold_time
             )
         else:
             self.average_hold_time = seconds
 
     def drop_expired_slots(self, now: float) -> None:
-        """Forget places that are surely free again."""
+        """Drop the slots that the endpoint no longer counts."""
         if self.silent_slots:
             self.silent_slots = [until for until in self.silent_slots if until > now]
         if self.closing_slots:
-            heard = self.endpoint.heard_at - SETTLE
+            settled_before = self.endpoint.heard_at - CLOSE_SETTLE_TIME
             self.closing_slots = [
-                place
-                for place in self.closing_slots
-                if place[0] > heard and place[1] > now
+                slot
+                for slot in self.closing_slots
+                if slot[0] > settled_before and slot[1] > now
             ]
--- a/mallowpass/core/systems/endpointnotices.py
+++ b/mallowpass/core/systems/endpointnotices.py
@@ -1,8 +1,9 @@
-"""News of endpoints that are leaving, from their reports or from peers.
+"""Spread among the hosts which endpoints are leaving.
 
-A host that is cut off from an endpoint learns from its peers that the endpoint is
-leaving. Many hosts see the same report at the same moment: each waits a random
-moment before it tells, and keeps quiet when another was quicker.
+Leaving: the endpoint is about to stop and accepts no new work. A host that cannot reach
+an endpoint learns its state from notices of peers. Many hosts receive the same report
+at the same time. Each of them waits for a random time before it sends a notice, and
+sends none if it has received one in the meantime.
 """
 
 from __future__ import annotations
@@ -25,38 +26,42 @@
 
 __all__ = ["EndpointNotices"]
 
-TELL_DELAY = 0.3  # seconds, at most
-FRESH_REPORT = 1.0  # seconds for which an own report goes before a peer's notice
-SEEN_MAX = 4096
+# Times in seconds.
+NOTICE_DELAY_MAX = 0.3
+# Time for which a report of the endpoint itself takes precedence over peers' notices.
+REPORT_FRESH_TIME = 1.0
+SEEN_MAX = 4096  # notices and addresses that are remembered
 
 _NoticeKey = tuple[str, int, int]
 
 
 class EndpointNotices:
-    """Keep EndpointRow.leaving true, and tell peers."""
+    """Update EndpointRow.leaving from reports and notices, and notify peers."""
 
-    __slots__ = ("_membership", "_node", "_number", "_seen", "_telling", "_told")
+    __slots__ = ("_announced", "_membership", "_node", "_number", "_scheduled", "_seen")
 
     def __init__(self, node: Node, membership: Membership) -> None:
         self._node = node
         self._membership = membership
-        self._told: OrderedDict[str, bool] = OrderedDict()  # by address, by anyone
+        # Whether the last notice of any host said that the endpoint is leaving, by
+        # address.
+        self._announced: OrderedDict[str, bool] = OrderedDict()
         self._seen: OrderedDict[_NoticeKey, None] = OrderedDict()
-        self._telling: set[str] = set()
+        self._scheduled: set[str] = set()
         self._number = 0
 
     def start(self) -> None:
         """Subscribe to reports, notices and new rows."""
         self._node.subscribe(EndpointReported, self._on_reported)
-        self._node.subscribe(DatabaseAdded, self._on_rows)
-        self._node.subscribe(DatabaseChanged, self._on_rows)
+        self._node.subscribe(DatabaseAdded, self._on_database)
+        self._node.subscribe(DatabaseChanged, self._on_database)
         self._membership.on_message(EndpointNotice, self._on_notice)
 
     def sync_peer(self, host: str) -> None:
-        """Tell a host that has just linked up what it may have missed."""
-        for address, leaving in self._told.items():
+        """Send notices of all leaving endpoints to a host that has just connected."""
+        for address, leaving in self._announced.items():
             if leaving:
-                self._membership.send(host, self._notice(address, leaving))
+                self._membership.send(host, self._make_notice(address, leaving))
 
     # -- Own reports ---------------------------------------------------------
 
@@ -66,25 +71,25 @@
             return
         leaving = row.report.leaving
         self._mark(row, leaving)
-        if self._told.get(row.address, False) is not leaving:
-            self._tell_soon(row.address, leaving)
+        if self._announced.get(row.address, False) is not leaving:
+            self._schedule_notice(row.address, leaving)
 
-    def _tell_soon(self, address: str, leaving: bool) -> None:
-        # Reports come many times a second: one of them is enough to tell.
-        if address in self._telling:
+    def _schedule_notice(self, address: str, leaving: bool) -> None:
+        # Reports arrive many times a second. One notice is enough for all of them.
+        if address in self._scheduled:
             return
-        self._telling.add(address)
-        delay = self._node.random.uniform(0, TELL_DELAY)
-        self._node.timers.after(delay, self._tell, address, leaving)
+        self._scheduled.add(address)
+        delay = self._node.random.uniform(0, NOTICE_DELAY_MAX)
+        self._node.timers.after(delay, self._send_notice, address, leaving)
 
-    def _tell(self, address: str, leaving: bool) -> None:
-        self._telling.discard(address)
+    def _send_notice(self, address: str, leaving: bool) -> None:
+        self._scheduled.discard(address)
         row = self._node.tables.endpoints.get(address)
         if row is None or row.leaving is not leaving:
             return
-        if self._told.get(address, False) is not leaving:
-            self._remember(address, leaving)
-            self._membership.broadcast(self._notice(address, leaving))
+        if self._announced.get(address, False) is not leaving:
+            self._record_announced(address, leaving)
+            self._membership.broadcast(self._make_notice(address, leaving))
 
     # -- Peers' notices ------------------------------------------------------
 
@@ -92,12 +97,13 @@
         key = (notice.origin, notice.incarnation, notice.number)
         if key in self._seen:
             return
-        # Without the key, a notice and its revocation could chase each other round
-        # a cycle of links for ever, each new again wherever the other has been.
-        self._see(key)
-        if self._told.get(notice.address, False) is notice.leaving:
+        # Notices are identified by this key. Otherwise a notice and its revocation
+        # could circulate forever in a cycle of links, as each would look new at a host
+        # that has last received the other.
+        self._record_seen(key)
+        if self._announced.get(notice.address, False) is notice.leaving:
             return
-        self._remember(notice.address, notice.leaving)
+        self._record_announced(notice.address, notice.leaving)
         self._membership.broadcast(notice, but=host)
         self._apply(notice)
 
@@ -106,16 +112,16 @@
         if row is None:
             return
         age = self._node.timers.now - row.report_at
-        if row.report is None or age > FRESH_REPORT:
+        if row.report is None or age > REPORT_FRESH_TIME:
             self._mark(row, notice.leaving)
         elif row.report.leaving is not notice.leaving:
-            # The notice is old news: the endpoint itself says otherwise by now.
-            self._tell_soon(row.address, row.report.leaving)
+            # The notice is outdated: a later report of the endpoint contradicts it.
+            self._schedule_notice(row.address, row.report.leaving)
 
-    def _on_rows(self, signal: DatabaseAdded | DatabaseChanged) -> None:
+    def _on_database(self, signal: DatabaseAdded | DatabaseChanged) -> None:
         database = self._node.tables.databases[signal.database]
         for row in database.endpoints.values():
-            if row.report is None and self._told.get(row.address, False):
+            if row.report is None and self._announced.get(row.address, False):
                 self._mark(row, True)
 
     # -- Helpers -------------------------------------------------------------
@@ -124,27 +130,27 @@
         if row.leaving is leaving:
             return
         row.leaving = leaving
-        word = "leaving" if leaving else "back"
-        self._node.log("info", "endpoint_state", address=row.address, state=word)
-        self._node.decide("endpoint", row.address, f"is {word}")
+        state = "leaving" if leaving else "back"
+        self._node.log("info", "endpoint_state", address=row.address, state=state)
+        self._node.decide("endpoint", row.address, f"is {state}")
         self._node.publish(EndpointStateChanged(row.address))
 
-    def _notice(self, address: str, leaving: bool) -> EndpointNotice:
+    def _make_notice(self, address: str, leaving: bool) -> EndpointNotice:
         self._number += 1
         identity = self._node.identity
         notice = EndpointNotice(
             address, leaving, identity.name, identity.incarnation, self._number
         )
-        self._see((notice.origin, notice.incarnation, notice.number))
+        self._record_seen((notice.origin, notice.incarnation, notice.number))
         return notice
 
-    def _see(self, key: _NoticeKey) -> None:
+    def _record_seen(self, key: _NoticeKey) -> None:
         self._seen[key] = None
         if len(self._seen) > SEEN_MAX:
             self._seen.popitem(last=False)
 
-    def _remember(self, address: str, leaving: bool) -> None:
-        self._told[address] = leaving
-        self._told.move_to_end(address)
-        if len(self._told) > SEEN_MAX:
-            self._told.popitem(last=False)
+    def _record_announced(self, address: str, leaving: bool) -> None:
+        self._announced[address] = leaving
+        self._announced.move_to_end(address)
+        if len(self._announced) > SEEN_MAX:
+            self._announced.popitem(last=False)
--- a/mallowpass/core/systems/keepalive.py
+++ b/mallowpass/core/systems/keepalive.py
@@ -1,4 +1,4 @@
-"""Keep connections alive, find the silent ones, and clean up after their users."""
+"""Send keep-alives, detect silent connections, and reset released connections."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
     ResetCall,
 )
 from mallowpass.core.effects import SendEndpoint
-from mallowpass.core.systems.connections import LIFE_MARGIN, EndpointPool
+from mallowpass.core.systems.connections import LIFETIME_MARGIN, EndpointPool
 from mallowpass.core.systems.poolpart import PoolPart
 from mallowpass.core.tables import ConnectionRow, ConnectionState
 
 __all__ = ["CHECK_TIMEOUT", "KeepAlive"]
 
-WARM_MIN = 1  # idle connections that are kept whatever the demand
-CHECKS_PER_LIFE = 3  # connections prove themselves so often in a time to live
-CHECK_TIMEOUT = 0.5  # seconds for the answer to a keep-alive
+IDLE_MIN = 1  # idle connections that are kept regardless of demand
+CHECKS_PER_LIFETIME = 3  # keep-alives on an unused connection within its time to live
+CHECK_TIMEOUT = 0.5  # seconds for the reply to a keep-alive
 
 _CHECK = "keep-alive"
 _RESET = "reset"
@@ -28,67 +28,68 @@
 
 
 class KeepAlive(PoolPart):
-    """Send the calls that no request waits for, and judge their answers."""
+    """Send internal calls, which no request waits for, and handle their replies."""
 
     __slots__ = ()
 
     # -- Idle and pinned connections -------------------------------------------
 
     def schedule_check(self, pool: EndpointPool) -> None:
-        """Look at the pool's connections in a while."""
+        """Schedule the next check of the pool's connections, unless it is scheduled."""
         if pool.check_timer is None:
             pool.check_timer = self.timers.after(
-                self._check_period() / 2, self._check_idle, pool
+                self._check_interval() / 2, self._check_idle, pool
             )
 
     def _check_idle(self, pool: EndpointPool) -> None:
-        """Prolong the life of connections that were not used for a while."""
+        """Send keep-alives on connections that have not been used recently."""
         pool.check_timer = None
-        due = self.now - self._check_period() / 2
+        due = self.now - self._check_interval() / 2
         for connection in list(pool.idle.values()):
             if connection.last_used <= due:
                 del pool.idle[connection.number]
-                self._check(pool, connection)
+                self._send_keep_alive(pool, connection)
         self.check_pinned(pool)
         if pool.connections:
             self.schedule_check(pool)
 
     def check_pinned(self, pool: EndpointPool) -> None:
-        """Prolong the life of connections whose transaction is between statements."""
+        """Send keep-alives for transactions that are between two statements."""
         for connection in list(pool.pinned.values()):
-            life = self._pooling.loans.usable_time(connection.loan)
-            called_at = connection.expires - life
-            due = called_at + life / CHECKS_PER_LIFE <= self.now
-            if due and connection.number not in pool.internal_in_flight:
-                self._check(pool, connection)
+            usable_time = self._pooling.loans.usable_time(connection.loan)
+            last_call_at = connection.expires - usable_time
+            is_due = last_call_at + usable_time / CHECKS_PER_LIFETIME <= self.now
+            if is_due and connection.number not in pool.internal_in_flight:
+                self._send_keep_alive(pool, connection)
 
     def maintain_borrowed(self, pool: EndpointPool) -> None:
-        """Close borrowed connections that stood idle; keep the pinned ones alive."""
+        """Close expired idle borrowed connections; send keep-alives on pinned ones."""
         for connection in list(pool.idle_borrowed.values()):
             if connection.expires <= self.now:
                 self._pooling.closer.close(pool, connection)
         self.check_pinned(pool)
 
     def close_surplus_idle(self) -> None:
-        """Close what stood idle for a whole period, but for a few."""
+        """Close connections that were idle for a whole period, except `IDLE_MIN`."""
         for pool in list(self._pooling.by_address.values()):
-            if pool.min_idle > WARM_MIN:
-                surplus = min(pool.min_idle, len(pool.idle)) - WARM_MIN
+            if pool.min_idle > IDLE_MIN:
+                surplus = min(pool.min_idle, len(pool.idle)) - IDLE_MIN
                 self._pooling.close_idle(pool, surplus)
             pool.min_idle = len(pool.idle)
 
-    def _check(self, pool: EndpointPool, connection: ConnectionRow) -> None:
+    def _send_keep_alive(self, pool: EndpointPool, connection: ConnectionRow) -> None:
         self.send_internal(pool, connection, KeepAliveCall(), _CHECK)
 
-    def _check_period(self) -> float:
-        return self._node.tuning.connection_time_to_live / CHECKS_PER_LIFE
+    def _check_interval(self) -> float:
+        return self._node.tuning.connection_time_to_live / CHECKS_PER_LIFETIME
 
-    # -- Calls that no request waits for ---------------------------------------
+    # -- Internal calls --------------------------------------------------------
 
     def abandon(self, pool: EndpointPool, connection: ConnectionRow) -> None:
-        """Keep a connection from use until its abandoned call is answered.
+        """Keep a connection out of use until its abandoned call has been answered.
 
-        Given to the next request at once, its first answer would be the old one's.
+        If the next request got the connection at once, the first reply that it
+        received would be the one to the abandoned call.
         """
         number = connection.number
         if pool.is_active(connection):
@@ -102,7 +103,8 @@
             pool.internal_calls[number] = _ABANDONED
         proof = pool.busy_keep_alives.get(number)
         if proof is not None and proof.is_outstanding:
-            # Judged like an idle one: while it takes up a place of few, requests wait.
+            # Apply the short timeout of idle connections: while the connection occupies
+            # one of few slots, requests wait.
             pool.internal_in_flight.add(number)
         if pool.queue:
             self._pooling.granting.pump(pool)
@@ -114,10 +116,11 @@
         call: EndpointCall,
         purpose: str,
     ) -> None:
-        """Send a call that no request waits for."""
+        """Send a call that no request waits for, if the connection has not expired."""
         number = connection.number
         now = self.now
-        # Marked first: a connection closed right here is not a request's any more.
+        # Recorded first, so that a connection that is closed below no longer counts as
+        # running a request's statement.
         pool.internal_calls[number] = purpose
         if connection.expires <= now:
             self._pooling.closer.close_expired(pool, connection)
@@ -130,13 +133,13 @@
         self._node.emit(SendEndpoint(number, connection.sequence, call))
 
     def reset(self, pool: EndpointPool, connection: ConnectionRow) -> None:
-        """Have the endpoint forget what the last user left on a connection."""
+        """Reset the state that the last user left on a connection."""
         self.send_internal(pool, connection, ResetCall(), _RESET)
 
     def on_internal_reply(
         self, pool: EndpointPool, connection: ConnectionRow, reply: EndpointReply
     ) -> None:
-        """Go on with a connection once it has answered what it owed."""
+        """Handle a reply to an internal call, or to a call that others wait behind."""
         number = connection.number
         deferred = pool.deferred_calls.get(number)
         expected = connection.sequence if deferred is None else deferred[0]
@@ -171,10 +174,10 @@
             self._pooling.make_idle(pool, connection)
             self._pooling.granting.pump(pool)
 
-    # -- Silence ---------------------------------------------------------------
+    # -- Silent connections ----------------------------------------------------
 
     def close_silent(self, pool: EndpointPool, number: int) -> None:
-        """Close a connection that owes an answer for too long."""
+        """Close a connection on which a call has been unanswered for too long."""
         connection = self._connections.get(number)
         if connection is None:
             return
@@ -183,36 +186,38 @@
         node.decide("silent", pool.address, f"connection {number} gave no answer")
         node.log("warning", "connection_silent", address=pool.address, number=number)
         if not connection.loan:
-            pool.silent_slots.append(connection.expires + LIFE_MARGIN)
+            pool.silent_slots.append(connection.expires + LIFETIME_MARGIN)
         self._pooling.closer.close_and_notify(pool, connection, "silent")
         self.check_older_idle(pool, silent_since)
         self._pooling.granting.pump(pool)
 
     def on_check_timeout(self, pool: EndpointPool, number: int) -> None:
-        """Close a connection whose endpoint answers elsewhere, wait on otherwise.
+        """Close a connection if its endpoint replies on others; otherwise keep waiting.
 
-        An endpoint that stands still, or is cut off, answers nowhere. Its connections
-        are sound once it goes on, and to open them all anew would be a storm.
+        An endpoint that is paused or unreachable does not reply on any connection. Its
+        connections work again once it continues, and reopening all of them would
+        overload it.
         """
         connection = self._connections.get(number)
         if connection is None:
             return
         heard_at = pool.endpoint.heard_at
         since = self.now - CHECK_TIMEOUT
-        stalled = float("-inf") < heard_at < since
-        if stalled and self.now < connection.expires:
+        is_stalled = float("-inf") < heard_at < since
+        if is_stalled and self.now < connection.expires:
             pool.internal_in_flight.add(number)
         else:
             self.close_silent(pool, number)
 
     def check_older_idle(self, pool: EndpointPool, since: float) -> None:
-        """Have idle connections prove themselves that last did so before `since`.
+        """Send keep-alives on idle connections that were last used before `since`.
 
-        Whatever made one connection silent has likely hit those of the same age; each
-        would cost a request its whole wait. Younger ones serve meanwhile.
+        The cause that made one connection silent has probably affected connections of
+        the same age, and each of them would cost a request its full timeout. Requests
+        use more recent connections in the meantime.
         """
         for idle in (pool.idle, pool.idle_borrowed):
             for connection in list(idle.values()):
                 if connection.last_used <= since:
                     del idle[connection.number]
-                    self._check(pool, connection)
+                    self._send_keep_alive(pool, connection)
--- a/mallowpass/core/systems/loans.py
+++ b/mallowpass/core/systems/loans.py
@@ -1,13 +1,16 @@
-"""Lend idle connections of this host's share to hosts that need them for a while.
-
-A loan is over by the borrower's clock before it is over by the lender's, whatever
-is lost, late or paused:
-
-- the borrower counts from when it sent its call, the lender from when it got it,
-  and the lender adds a margin;
-- connections under a loan live so shortly at the endpoint, and are sent nothing so
-  long before the loan's end, that a borrower that stands still loses them in time;
-- a lender that forgot its loans leaves what it may have lent unused at first.
+"""Lend unused slots of this host's share temporarily to hosts that need them.
+
+A slot is the right to one of the connections that an endpoint accepts. A loan is a
+lease of slots: it ends for the borrower before it ends for the lender, even if messages
+are lost or late, or a host is paused:
+
+- the borrower counts the loan's time from sending its call, the lender from receiving
+  that call, and the lender adds a margin;
+- borrowed connections have a short time to live at the endpoint, and no call is sent
+  on them for that time before the loan ends, so the endpoint closes the connections of
+  a paused borrower in time;
+- a restarted lender does not know its loans, and at first leaves all slots unused that
+  it may have lent.
 """
 
 from __future__ import annotations
@@ -18,39 +21,48 @@
 from mallowpass.core.peering import LoanAnswer, LoanCall, LoanReturn
 from mallowpass.core.systems import membership as membership_module
 from mallowpass.core.systems import pooling as pooling_module
-from mallowpass.core.systems.connections import LIFE_MARGIN, BorrowedLoan, EndpointPool
+from mallowpass.core.systems.connections import (
+    LIFETIME_MARGIN,
+    BorrowedLoan,
+    EndpointPool,
+)
 from mallowpass.core.tables import HostRow
 from mallowpass.core.timers import Timer
 
 __all__ = ["Loans"]
 
-MARGIN = 1.0  # seconds that a lender waits longer than the loan lasts
-LIFE_PART = 0.25  # of a loan: time to live of its connections, and their timeout
-RENEWAL_PART = 0.4  # of a loan: when it is asked for again
-LIFE_USED = 0.8  # of that time to live: after this without a call it isn't used
-TICK = 0.2  # seconds between looks at a loan in use
-OUTSTANDING_MAX = 2  # calls without an answer, for each endpoint
+# Times in seconds; parts as fractions.
+LENDER_MARGIN = 1.0  # time for which a lender reserves the slots after the loan's end
+# Part of a loan's time: the time to live of borrowed connections, and the longest
+# timeout of opening them.
+LIFETIME_PART = 0.25
+RENEWAL_PART = 0.4  # part of a loan's time after which the loan is renewed
+# Part of that time to live for which a connection may be used after a call on it.
+USABLE_PART = 0.8
+MAINTENANCE_INTERVAL = 0.2
+OUTSTANDING_MAX = 2  # unanswered calls for one endpoint
 CALL_TIMEOUT = 0.5
-ASK_INTERVAL = 0.05  # seconds between calls for one endpoint, before jitter
-REFUSED_FOR = 1.0  # seconds before the same host is asked for the same endpoint again
-ASKED_MAX = 4  # connections in one call
+CALL_INTERVAL = 0.05  # time between calls for one endpoint, before jitter
+# Time without calls to a host that refused slots of an endpoint, before jitter.
+REFUSAL_BACKOFF = 1.0
+CONNECTIONS_PER_CALL_MAX = 4
 
 
 @dataclass(slots=True)
-class _Lent:
-    """Hold what was lent under one loan."""
+class _LentLoan:
+    """A loan that this host has made to another host."""
 
     host: str
     loan: str
     address: str
     connections: int
-    until: float
+    reserved_until: float
     timer: Timer | None = None
 
 
 @dataclass(slots=True)
-class _Call:
-    """Hold a call that may still be answered."""
+class _PendingCall:
+    """A call for a loan that may still be answered."""
 
     number: int
     loan: str
@@ -61,85 +73,88 @@
     answered: bool = False
 
 
-class _Asking:
-    """Hold how an endpoint's loans are being asked for."""
+class _BorrowState:
+    """The calls for loans at one endpoint: their number, times and refusals."""
 
     __slots__ = ("next_at", "outstanding", "refused", "timer")
 
     def __init__(self) -> None:
         self.next_at = float("-inf")
         self.outstanding = 0
-        self.refused: dict[str, float] = {}  # host -> until when it isn't asked
+        self.refused: dict[str, float] = {}  # host -> end of the backoff
         self.timer: Timer | None = None
 
 
 class Loans(System):
-    """Own what is lent and what is borrowed."""
+    """Own the loans that this host has made or taken."""
 
     __slots__ = (
-        "_asking",
+        "_borrow_states",
         "_calls",
-        "_fresh_until",
-        "_lent",
         "_lenders",
-        "_life",
+        "_lent",
+        "_lifetime",
         "_loan_seconds",
         "_membership",
         "_pooling",
         "_withheld",
+        "_withhold_until",
     )
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
         self._loan_seconds = node.tuning.loan
-        self._life = node.tuning.loan * LIFE_PART
-        self._fresh_until = node.timers.now + node.tuning.loan + MARGIN
-        self._lent: dict[tuple[str, str], _Lent] = {}  # by host and loan
+        self._lifetime = node.tuning.loan * LIFETIME_PART
+        self._withhold_until = node.timers.now + node.tuning.loan + LENDER_MARGIN
+        self._lent: dict[tuple[str, str], _LentLoan] = {}  # by borrower and loan
         self._lenders: dict[str, str] = {}  # loan -> host
-        self._calls: dict[int, _Call] = {}
-        self._asking: dict[str, _Asking] = {}  # by address
+        self._calls: dict[int, _PendingCall] = {}
+        self._borrow_states: dict[str, _BorrowState] = {}  # by address
         self._withheld: dict[str, EndpointPool] = {}
 
     def start(self) -> None:
-        """Subscribe to other hosts' messages."""
+        """Look up the other systems, and subscribe to messages about loans."""
         node = self._node
         self._membership = node.system(membership_module.Membership)
         self._pooling = node.system(pooling_module.Pooling)
         self._membership.on_message(LoanCall, self._on_call)
         self._membership.on_message(LoanAnswer, self._on_answer)
         self._membership.on_message(LoanReturn, self._on_return)
-        self.timers.at(self._fresh_until, self._end_withholding)
+        self.timers.at(self._withhold_until, self._end_withholding)
 
     def stop(self) -> None:
-        """Give all loans back."""
+        """Return all borrowed slots."""
         for loan in list(self._lenders):
             self._return(loan)
 
     # -- For pooling ---------------------------------------------------------
 
     def connection_timing(self, loan: str) -> tuple[float, float]:
-        """Return time to live and timeout of a connection opened under a loan."""
+        """Return the time to live and the opening timeout of a new connection.
+
+        `loan` is empty for a connection of the own share.
+        """
         tuning = self._node.tuning
         if not loan:
             return tuning.connection_time_to_live, tuning.connect_timeout
-        return self._life, min(tuning.connect_timeout, self._life)
+        return self._lifetime, min(tuning.connect_timeout, self._lifetime)
 
     def usable_time(self, loan: str) -> float:
-        """Return for how long a connection may be used after a call on it."""
+        """Return how many seconds after a call a connection may be used."""
         if loan:
-            return self._life * LIFE_USED
-        return self._node.tuning.connection_time_to_live - LIFE_MARGIN
+            return self._lifetime * USABLE_PART
+        return self._node.tuning.connection_time_to_live - LIFETIME_MARGIN
 
     def expiry(self, loan: BorrowedLoan | None, sent_at: float) -> float:
-        """Return until when a loan's connection may be used after a call on it."""
+        """Return when a borrowed connection expires after a call at `sent_at`."""
         if loan is None:
             return sent_at
-        return min(loan.close_at, sent_at + self._life * LIFE_USED)
+        return min(loan.close_at, sent_at + self._lifetime * USABLE_PART)
 
-    def withhold(self, pool: EndpointPool, places: int) -> None:
-        """Keep places unused that an earlier life of this host may have lent."""
-        if self.now < self._fresh_until:
-            pool.withheld_count = places
+    def withhold(self, pool: EndpointPool, slots: int) -> None:
+        """Keep slots unused that a previous run of this host may have lent."""
+        if self.now < self._withhold_until:
+            pool.withheld_count = slots
             self._withheld[pool.address] = pool
 
     def _end_withholding(self) -> None:
@@ -151,63 +166,63 @@
     # -- Borrowing -----------------------------------------------------------
 
     def request_loan(self, pool: EndpointPool) -> None:
-        """Ask another host for connections; the own share is in use."""
-        # Without a time to live, a borrower that stands still would keep the
-        # connections while the lender opens its own again.
+        """Request a loan from another host, as the own share is in use."""
+        # If the endpoint had no time to live for connections, a paused borrower would
+        # keep its connections open while the lender opens its own again.
         report = pool.endpoint.report
         if report is None or not report.time_to_live or pool.open_limit is not None:
             return
-        asking = self._asking.get(pool.address)
-        if asking is None:
-            asking = self._asking[pool.address] = _Asking()
-        if asking.outstanding >= OUTSTANDING_MAX:
+        state = self._borrow_states.get(pool.address)
+        if state is None:
+            state = self._borrow_states[pool.address] = _BorrowState()
+        if state.outstanding >= OUTSTANDING_MAX:
             return
-        if self.now < asking.next_at:
-            self._ask_later(pool, asking)
+        if self.now < state.next_at:
+            self._schedule_call(pool, state)
             return
-        host = self._choose_lender(asking)
-        asking.next_at = self.now + ASK_INTERVAL * self._jitter()
+        host = self._choose_lender(state)
+        state.next_at = self.now + CALL_INTERVAL * self._jitter()
         if host is not None:
             number = self._node.number()
             identity = self._node.identity
             loan = f"{identity.name}/{identity.incarnation}/{number}"
-            wanted = min(ASKED_MAX, len(pool.queue))
-            asking.outstanding += 1
+            wanted = min(CONNECTIONS_PER_CALL_MAX, len(pool.queue))
+            state.outstanding += 1
             self._send_call(number, loan, host.name, pool.address, wanted)
-        self._ask_later(pool, asking)
+        self._schedule_call(pool, state)
 
-    def _ask_later(self, pool: EndpointPool, asking: _Asking) -> None:
-        if asking.timer is None:
-            delay = max(0.0, asking.next_at - self.now)
-            asking.timer = self.timers.after(delay, self._ask_again, pool, asking)
+    def _schedule_call(self, pool: EndpointPool, state: _BorrowState) -> None:
+        if state.timer is None:
+            delay = max(0.0, state.next_at - self.now)
+            state.timer = self.timers.after(delay, self._on_call_due, pool, state)
 
-    def _ask_again(self, pool: EndpointPool, asking: _Asking) -> None:
-        asking.timer = None
+    def _on_call_due(self, pool: EndpointPool, state: _BorrowState) -> None:
+        state.timer = None
         if pool.queue:
             self._pooling.dispatch(pool)
 
-    def _choose_lender(self, asking: _Asking) -> HostRow | None:
-        """Choose a host of this failure domain, or else any, not refused lately."""
+    def _choose_lender(self, state: _BorrowState) -> HostRow | None:
+        """Choose a host that has not refused recently, first in this failure domain."""
         domain = self._node.identity.failure_domain
         for hosts in (
             self._membership.live_hosts(domain),
             self._membership.live_hosts(),
         ):
-            found = self._pick(hosts, asking)
+            found = self._choose_from(hosts, state)
             if found is not None:
                 return found
         return None
 
-    def _pick(self, hosts: list[HostRow], asking: _Asking) -> HostRow | None:
-        # Tried from a random place: hosts in need would else all ask the same one.
+    def _choose_from(self, hosts: list[HostRow], state: _BorrowState) -> HostRow | None:
+        # Start at a random host. Otherwise all borrowers would call the same one.
         count = len(hosts)
         if not count:
             return None
         first = self._node.random.randrange(count)
-        for offset in range(min(count, 2 * len(asking.refused) + 1)):
+        for offset in range(min(count, 2 * len(state.refused) + 1)):
             host = hosts[(first + offset) % count]
-            if asking.refused.get(host.name, float("-inf")) <= self.now:
-                asking.refused.pop(host.name, None)
+            if state.refused.get(host.name, float("-inf")) <= self.now:
+                state.refused.pop(host.name, None)
                 return host
         return None
 
@@ -220,55 +235,57 @@
         connections: int,
         renewal: bool = False,
     ) -> None:
-        self._calls[number] = _Call(number, loan, host, address, self.now, renewal)
-        # Kept as long as its answer could still be of use.
-        self.timers.after(CALL_TIMEOUT, self._call_timed_out, number)
+        self._calls[number] = _PendingCall(
+            number, loan, host, address, self.now, renewal
+        )
+        # The call is kept for as long as a late answer could still be used.
+        self.timers.after(CALL_TIMEOUT, self._on_call_timeout, number)
         self.timers.after(self._loan_seconds, self._calls.pop, number, None)
         message = LoanCall(loan, address, connections, number)
         if not self._membership.reach(host, message):
-            self._call_timed_out(number)
+            self._on_call_timeout(number)
 
-    def _call_timed_out(self, number: int) -> None:
+    def _on_call_timeout(self, number: int) -> None:
         call = self._calls.get(number)
         if call is None or call.answered:
             return
-        self._settle_call(call)
-        self._refused_by(call)
+        self._mark_answered(call)
+        self._back_off_from_host(call)
 
-    def _settle_call(self, call: _Call) -> None:
+    def _mark_answered(self, call: _PendingCall) -> None:
         if not call.answered:
             call.answered = True
             if not call.renewal:
-                self._asking[call.address].outstanding -= 1
+                self._borrow_states[call.address].outstanding -= 1
 
-    def _refused_by(self, call: _Call) -> None:
+    def _back_off_from_host(self, call: _PendingCall) -> None:
         if not call.renewal:
-            until = self.now + REFUSED_FOR * self._jitter()
-            self._asking[call.address].refused[call.host] = until
+            retry_at = self.now + REFUSAL_BACKOFF * self._jitter()
+            self._borrow_states[call.address].refused[call.host] = retry_at
 
     def _on_answer(self, host: str, answer: LoanAnswer) -> None:
         call = self._calls.pop(answer.call, None)
         pool = self._pooling.find_pool(answer.address)
         if call is None or call.loan != answer.loan or pool is None:
-            self._drop_answer(host, answer)
+            self._discard_answer(host, answer)
             return
-        self._settle_call(call)
+        self._mark_answered(call)
         if answer.connections <= 0:
-            self._refused_by(call)
+            self._back_off_from_host(call)
             self._pooling.dispatch(pool)
             return
         ends_at = call.sent_at + min(answer.seconds, self._loan_seconds)
         if call.renewal:
-            self._prolong(pool, answer.loan, ends_at)
+            self._extend(pool, answer.loan, ends_at)
         else:
-            self._begin(pool, host, answer, ends_at)
+            self._start_loan(pool, host, answer, ends_at)
 
-    def _drop_answer(self, host: str, answer: LoanAnswer) -> None:
-        # Lent, but the call was given up: the lender gets its places back early.
+    def _discard_answer(self, host: str, answer: LoanAnswer) -> None:
+        # The call was dropped. Return the slots, so that the lender can use them early.
         if answer.connections and answer.loan not in self._lenders:
             self._membership.reach(host, LoanReturn(answer.loan, answer.address))
 
-    def _begin(
+    def _start_loan(
         self, pool: EndpointPool, host: str, answer: LoanAnswer, ends_at: float
     ) -> None:
         loan = BorrowedLoan(answer.loan, answer.connections)
@@ -280,26 +297,26 @@
         pool.borrowed[loan.loan] = loan
         self._node.count("loans", direction="borrowed")
         self._node.decide(
-            "loan", pool.address, f"{loan.connections} borrowed from {host}"
+            "loan", pool.address, f"{loan.connections} slots borrowed from {host}"
         )
-        self.timers.after(TICK, self._tend, pool, loan)
+        self.timers.after(MAINTENANCE_INTERVAL, self._maintain, pool, loan)
         self._pooling.dispatch(pool)
 
-    def _prolong(self, pool: EndpointPool, name: str, ends_at: float) -> None:
+    def _extend(self, pool: EndpointPool, name: str, ends_at: float) -> None:
         loan = pool.borrowed.get(name)
         if loan is not None and ends_at > loan.ends_at:
             self._set_times(loan, ends_at)
 
     def _set_times(self, loan: BorrowedLoan, ends_at: float) -> None:
         loan.ends_at = ends_at
-        loan.close_at = ends_at - self._life
+        loan.close_at = ends_at - self._lifetime
         loan.open_until = loan.close_at - self.connection_timing(loan.loan)[1]
         loan.renew_at = ends_at - self._loan_seconds * (1 - RENEWAL_PART)
 
-    def _tend(self, pool: EndpointPool, loan: BorrowedLoan) -> None:
-        """Prolong a loan that is in use, give back one that isn't, end one in time."""
+    def _maintain(self, pool: EndpointPool, loan: BorrowedLoan) -> None:
+        """Renew a loan that is in use, return an unused one, and end one in time."""
         if loan.loan not in self._lenders:
-            return  # given back since the last look, as a drain does
+            return  # returned in the meantime, as in a drain
         now = self.now
         self._pooling.maintain_borrowed(pool)
         unused = not loan.numbers and not pool.queue
@@ -313,12 +330,17 @@
         if loan.renew_at <= now < loan.close_at:
             loan.renew_at = now + CALL_TIMEOUT
             self._renew(pool, loan)
-        self.timers.at(self._next_look(loan), self._tend, pool, loan)
+        self.timers.at(self._next_maintenance_at(loan), self._maintain, pool, loan)
 
-    def _next_look(self, loan: BorrowedLoan) -> float:
+    def _next_maintenance_at(self, loan: BorrowedLoan) -> float:
         now = self.now
         moments = (loan.close_at, loan.ends_at)
-        return min([now + TICK, *(moment for moment in moments if moment > now)])
+        return min(
+            [
+                now + MAINTENANCE_INTERVAL,
+                *(moment for moment in moments if moment > now),
+            ]
+        )
 
     def _renew(self, pool: EndpointPool, loan: BorrowedLoan) -> None:
         self._send_call(
@@ -331,7 +353,7 @@
         )
 
     def return_unused(self, pool: EndpointPool) -> None:
-        """Give back loans of which nothing is in use."""
+        """Return the loans without connections."""
         for loan in list(pool.borrowed.values()):
             if not loan.numbers:
                 self._return(loan.loan)
@@ -355,7 +377,7 @@
         if pool is None:
             connections = 0
         elif lent is not None:
-            connections = self._lend_on(pool, lent)
+            connections = self._extend_lent(pool, lent)
         else:
             connections = self._lend(pool, host, call)
         answer = LoanAnswer(
@@ -364,50 +386,51 @@
         self._membership.reach(host, answer)
 
     def _lend(self, pool: EndpointPool, host: str, call: LoanCall) -> int:
-        places = min(call.connections, self._spare(pool, call.connections))
-        if places <= 0:
+        slots = min(call.connections, self._spare_count(pool, call.connections))
+        if slots <= 0:
             return 0
-        lent = _Lent(host, call.loan, call.address, places, 0.0)
+        lent = _LentLoan(host, call.loan, call.address, slots, 0.0)
         self._lent[host, call.loan] = lent
-        pool.lent_count += places
-        self._keep_until(lent, self.now + self._loan_seconds + MARGIN)
+        pool.lent_count += slots
+        self._reserve_until(lent, self.now + self._loan_seconds + LENDER_MARGIN)
         self._node.count("loans", direction="lent")
-        self._node.decide("loan", pool.address, f"{places} lent to {host}")
-        return places
+        self._node.decide("loan", pool.address, f"{slots} slots lent to {host}")
+        return slots
 
-    def _lend_on(self, pool: EndpointPool, lent: _Lent) -> int:
-        """Prolong a loan, unless requests wait here for its places."""
+    def _extend_lent(self, pool: EndpointPool, lent: _LentLoan) -> int:
+        """Extend a loan, unless requests of this host wait for its slots."""
         if pool.queue:
             return 0
-        until = self.now + self._loan_seconds + MARGIN
-        self._keep_until(lent, max(lent.until, until))
+        reserved_until = self.now + self._loan_seconds + LENDER_MARGIN
+        self._reserve_until(lent, max(lent.reserved_until, reserved_until))
         return lent.connections
 
-    def _spare(self, pool: EndpointPool, wanted: int) -> int:
-        """Return how many places of the own share can be lent right now."""
-        # Before its first loan period is over, a host can't know what it has lent.
-        if self.now < self._fresh_until or pool.queue or pool.open_limit is not None:
+    def _spare_count(self, pool: EndpointPool, wanted: int) -> int:
+        """Return how many slots of the own share can be lent now."""
+        # Until this time, loans that a previous run of this host made may be in force.
+        if self.now < self._withhold_until or pool.queue or pool.open_limit is not None:
             return 0
-        most = pool.lendable_share - pool.lent_count
-        if most <= 0:
+        limit = pool.lendable_share - pool.lent_count
+        if limit <= 0:
             return 0
         pool.drop_expired_slots(self.now)
         needed = max(pool.peak_in_use, pool.previous_peak_in_use)
         free = pool.own_share - pool.lent_count - needed
         surplus = pool.own_count - needed
         if surplus > 0:
-            # Closed now, lent at the next call: the endpoint is to have seen it.
+            # These slots are lent at a later call: the endpoint has to see the close
+            # first.
             self._pooling.close_idle(pool, min(wanted, surplus))
         taken = pool.own_count + len(pool.silent_slots) + len(pool.closing_slots)
-        return min(most, free, pool.own_share - pool.lent_count - taken)
+        return min(limit, free, pool.own_share - pool.lent_count - taken)
 
-    def _keep_until(self, lent: _Lent, until: float) -> None:
-        lent.until = until
+    def _reserve_until(self, lent: _LentLoan, reserved_until: float) -> None:
+        lent.reserved_until = reserved_until
         if lent.timer is not None:
             lent.timer.cancel()
-        lent.timer = self.timers.at(until, self._end, lent)
+        lent.timer = self.timers.at(reserved_until, self._end_lent, lent)
 
-    def _end(self, lent: _Lent) -> None:
+    def _end_lent(self, lent: _LentLoan) -> None:
         if self._lent.pop((lent.host, lent.loan), None) is None:
             return
         pool = self._pooling.find_pool(lent.address)
@@ -419,10 +442,10 @@
         lent = self._lent.get((host, message.loan))
         if lent is None:
             return
-        # The borrower's closing may not have reached the endpoint; what it left
-        # there dies by itself within its time to live.
-        until = self.now + self._life + MARGIN
-        self._keep_until(lent, min(lent.until, until))
+        # The borrower's close may not have reached the endpoint. There the connections
+        # end when their time to live is over.
+        reserved_until = self.now + self._lifetime + LENDER_MARGIN
+        self._reserve_until(lent, min(lent.reserved_until, reserved_until))
 
     def _jitter(self) -> float:
         return 0.5 + self._node.random.random()
--- a/mallowpass/core/systems/opening.py
+++ b/mallowpass/core/systems/opening.py
@@ -1,4 +1,4 @@
-"""Open connections by demand, few at once, and back off from who refuses them."""
+"""Open connections on demand, few at a time, with backoff after refusals."""
 
 from __future__ import annotations
 
@@ -11,21 +11,26 @@
 
 __all__ = ["OPENING_GRACE", "Opener"]
 
-OPENING_MAX = 2  # connections that are being opened at once, for each endpoint
-OPENING_GRACE = 1.0  # seconds after its timeout that an opening may still report
+# Connections to one endpoint that are being opened at the same time. More would flood
+# an endpoint that comes back while many requests wait.
+OPENING_MAX = 2
+# Seconds after its timeout within which an attempt to connect may still report.
+OPENING_GRACE = 1.0
 BACKOFF_MIN = 0.05
 BACKOFF_MAX = 2.0
-BACKOFF_STEPS = 10
-LIMIT_BACKOFF = 2.0  # seconds until one more is tried after the endpoint's refusal
+BACKOFF_EXPONENT_MAX = 10
+# Seconds until one more connection is allowed after an endpoint has refused one
+# because of its limit.
+LIMIT_BACKOFF = 2.0
 
 
 class Opener(PoolPart):
-    """Decide when a connection is opened, and on whose share."""
+    """Decide when a connection is opened, and whether in the own share or a loan."""
 
     __slots__ = ()
 
     def open_for_queue(self, pool: EndpointPool) -> None:
-        """Open what waiting requests need, or ask other hosts for places."""
+        """Open connections for queued requests, or request a loan of slots."""
         now = self.now
         if pool.endpoint.leaving or now < pool.retry_at:
             return
@@ -35,18 +40,19 @@
         wanted = len(pool.queue) - len(pool.opening)
         wanted = min(wanted, OPENING_MAX - len(pool.opening))
         while wanted > 0:
-            loan = self._place_for_one(pool)
+            loan = self._find_slot(pool)
             if loan is None:
-                self._borrow(pool)
+                self._request_loan(pool)
                 return
             self._open(pool, loan)
             wanted -= 1
 
     def open_spare(self, pool: EndpointPool) -> None:
-        """Open a connection for the next request while the last idle one is in use.
+        """Open a spare connection for the next request when none is idle.
 
-        Only in the part of the share that is never lent: where connections are few,
-        other hosts need the place more than the next request needs its time.
+        Only in the part of the own share that is never lent: where connections are
+        scarce, another host's need of the slot outweighs the time to connect that the
+        next request would save.
         """
         if pool.opening.entries or self._pooling.draining:
             return
@@ -59,7 +65,7 @@
             self._open(pool, "")
 
     def on_opened(self, event: ConnectionOpened) -> None:
-        """Take a connection into use."""
+        """Add a connection that has been opened to the idle ones."""
         connection = self._connections.get(event.connection)
         if connection is None:
             self._node.emit(CloseConnection(event.connection))
@@ -78,7 +84,7 @@
         self._pooling.granting.pump(pool)
 
     def on_refused(self, event: ConnectionRefused) -> None:
-        """Forget a connection that could not be opened, and back off."""
+        """Remove a connection that could not be opened, and back off."""
         connection = self._connections.get(event.connection)
         if connection is None:
             return
@@ -86,11 +92,11 @@
         self._pooling.closer.remove(pool, connection)
         self._node.count("connections_refused", address=pool.address)
         if event.limit_reached:
-            self._lower_share(pool)
+            self._lower_open_limit(pool)
         self._back_off(pool, event.message)
 
     def on_timeout(self, pool: EndpointPool, number: int) -> None:
-        """Give up an opening of which nothing was heard."""
+        """Close a connection whose opening was neither confirmed nor refused."""
         connection = self._connections.get(number)
         if connection is not None:
             self._pooling.closer.close(pool, connection)
@@ -101,7 +107,7 @@
         now = self.now
         if pool.endpoint.leaving or now < pool.retry_at:
             return 0
-        own = pool.usable_share - pool.own_count - self._ghosts_in_the_way(pool)
+        own = pool.usable_share - pool.own_count - self._silent_slot_count(pool)
         borrowed = sum(
             max(0, loan.connections - len(loan.numbers))
             for loan in pool.borrowed.values()
@@ -109,27 +115,27 @@
         )
         return max(0, own) + borrowed
 
-    def _borrow(self, pool: EndpointPool) -> None:
-        # Patient classes are not given borrowed connections while there are others.
+    def _request_loan(self, pool: EndpointPool) -> None:
+        # Patient classes get borrowed connections only if this host has no own share.
         if not pool.usable_share or pool.queue.has_waiting_outside(
             pool.patient_classes
         ):
             self._pooling.loans.request_loan(pool)
 
-    def _place_for_one(self, pool: EndpointPool) -> str | None:
-        """Return the loan to open a connection under, empty for the own share."""
-        if pool.own_count + self._ghosts_in_the_way(pool) < pool.usable_share:
+    def _find_slot(self, pool: EndpointPool) -> str | None:
+        """Return the loan for a new connection: "" for the own share, None if full."""
+        if pool.own_count + self._silent_slot_count(pool) < pool.usable_share:
             return ""
         for loan in pool.borrowed.values():
             if len(loan.numbers) < loan.connections and self.now <= loan.open_until:
                 return loan.loan
         return None
 
-    def _ghosts_in_the_way(self, pool: EndpointPool) -> int:
+    def _silent_slot_count(self, pool: EndpointPool) -> int:
         """Return how many silent connections the endpoint may still count.
 
-        To open others in their place could take places of other hosts. The endpoint's
-        own count settles it as soon as it shows room.
+        Replacing them could take slots of other hosts. They no longer matter once the
+        endpoint's report shows fewer connections than its limit.
         """
         if not pool.silent_slots:
             return 0
@@ -143,7 +149,7 @@
         node = self._node
         number = node.number()
         now = self.now
-        life, timeout = self._pooling.loans.connection_timing(loan)
+        time_to_live, timeout = self._pooling.loans.connection_timing(loan)
         connection = ConnectionRow(
             number, pool.address, ConnectionState.OPENING, now, now, loan=loan
         )
@@ -154,47 +160,49 @@
             pool.borrowed[loan].numbers.add(number)
         pool.opening.add(number)
         node.emit(
-            OpenConnection(number, pool.address, node.identity.name, life, timeout)
+            OpenConnection(
+                number, pool.address, node.identity.name, time_to_live, timeout
+            )
         )
 
-    def _lower_share(self, pool: EndpointPool) -> None:
-        """Use fewer connections for a while: the endpoint has no room for more.
+    def _lower_open_limit(self, pool: EndpointPool) -> None:
+        """Use no more connections than now, as the endpoint has reached its limit.
 
-        Some host holds more than it should, or a dead one's connections have not run
-        out yet. Asking on would only take the places that others are entitled to.
+        Some host exceeds its share, or the connections of a failed host have not
+        expired yet. Further attempts would take slots that belong to other hosts.
         """
         if pool.open_limit is None:
             delay = LIMIT_BACKOFF * (0.5 + self._node.random.random())
-            self.timers.after(delay, self._raise_share, pool)
+            self.timers.after(delay, self._raise_open_limit, pool)
         pool.open_limit = pool.own_count
         self._node.decide(
             "share", pool.address, f"endpoint is full, {pool.open_limit} kept"
         )
 
-    def _raise_share(self, pool: EndpointPool) -> None:
+    def _raise_open_limit(self, pool: EndpointPool) -> None:
         if pool.open_limit is None:
             return
         pool.open_limit += 1
         if pool.open_limit >= pool.own_share:
             pool.open_limit = None
         else:
-            self.timers.after(LIMIT_BACKOFF, self._raise_share, pool)
+            self.timers.after(LIMIT_BACKOFF, self._raise_open_limit, pool)
         self._pooling.granting.pump(pool)
 
     def _back_off(self, pool: EndpointPool, why: str) -> None:
         delay = min(BACKOFF_MAX, BACKOFF_MIN * 2**pool.backoff_exponent)
-        pool.backoff_exponent = min(pool.backoff_exponent + 1, BACKOFF_STEPS)
+        pool.backoff_exponent = min(pool.backoff_exponent + 1, BACKOFF_EXPONENT_MAX)
         delay *= 0.5 + self._node.random.random()
         pool.retry_at = self.now + delay
         if pool.retry_timer is None:
-            pool.retry_timer = self.timers.at(pool.retry_at, self._retry, pool)
-        # Nothing is open and nothing can be: what waits here is better routed anew.
+            pool.retry_timer = self.timers.at(pool.retry_at, self._on_retry_due, pool)
+        # No connection is open and none can be opened: route the requests elsewhere.
         if not pool.connections:
             text = f"cannot connect to {pool.address}: {why}"
             self._pooling.granting.give_back(
                 pool, ErrorCode.CONNECTION_LOST, text, delay
             )
 
-    def _retry(self, pool: EndpointPool) -> None:
+    def _on_retry_due(self, pool: EndpointPool) -> None:
         pool.retry_timer = None
         self._pooling.granting.pump(pool)
--- a/mallowpass/core/systems/poolchanges.py
+++ b/mallowpass/core/systems/poolchanges.py
@@ -1,4 +1,4 @@
-"""Follow changes of services, databases, endpoints and this host in the pools."""
+"""Apply changes of services, databases, endpoints and this host to the pools."""
 
 from __future__ import annotations
 
@@ -30,20 +30,22 @@
 
 __all__ = ["PoolChanges"]
 
-DEMAND_PERIOD = 5.0  # seconds over which the most connections in use are noted
+# Seconds over which the peak number of connections in use is measured. A host lends
+# only slots that it needed neither in this period nor in the previous one.
+DEMAND_PERIOD = 5.0
 
 
 class PoolChanges(PoolPart):
-    """Make pools, and change or empty them when what they stand for changes."""
+    """Create pools, and update or empty them when their endpoints change."""
 
-    __slots__ = ("_tallies",)
+    __slots__ = ("_queue_counters",)
 
     def __init__(self, node: Node, pooling: Pooling) -> None:
         super().__init__(node, pooling)
-        self._tallies: dict[str, QueueCounter] = {}  # of waiting requests, by service
+        self._queue_counters: dict[str, QueueCounter] = {}  # by service
 
     def start(self) -> None:
-        """Subscribe to changes."""
+        """Subscribe to changes of services, databases, endpoints and this host."""
         node = self._node
         node.subscribe(EndpointStateChanged, self._on_endpoint_state)
         node.subscribe(PrimaryChanged, self._on_primary)
@@ -52,18 +54,18 @@
         node.subscribe(DatabaseRemoved, self._on_database_removed)
         node.subscribe(ServiceAccepted, self._on_service)
         node.subscribe(DrainBegan, self._on_drain)
-        self.timers.every(DEMAND_PERIOD, self._note_demand)
+        self.timers.every(DEMAND_PERIOD, self._start_demand_period)
 
     def queued_count_of_service(self, service: str) -> int:
-        """Return how many requests wait for a service's endpoints."""
-        tally = self._tallies.get(service)
-        return 0 if tally is None else tally.count
+        """Return how many requests are queued for the endpoints of a service."""
+        counter = self._queue_counters.get(service)
+        return 0 if counter is None else counter.count
 
     def create_pool(self, endpoint: EndpointRow) -> EndpointPool:
-        """Make the pool of an endpoint that work came for the first time."""
+        """Create the pool of an endpoint when it is needed for the first time."""
         database = self.tables.databases[endpoint.database]
-        tally = self._tallies.setdefault(database.service, QueueCounter())
-        pool = EndpointPool(endpoint, database, tally)
+        counter = self._queue_counters.setdefault(database.service, QueueCounter())
+        pool = EndpointPool(endpoint, database, counter)
         tuning = self._node.tuning
         pool.in_flight = TimeoutTracker(
             self.timers,
@@ -91,7 +93,7 @@
 
     def _apply_definition(self, pool: EndpointPool, database: DatabaseRow) -> None:
         identity = self._node.identity
-        place = (
+        share_arguments = (
             identity.domains,
             pool.address,
             identity.failure_domain,
@@ -99,7 +101,7 @@
         )
         definition = database.definition
         pool.database = database
-        pool.own_share = static_share(definition.connections, *place)
+        pool.own_share = static_share(definition.connections, *share_arguments)
         seats = sum(domain.hosts for domain in identity.domains)
         pool.lendable_share = lendable_share(
             pool.own_share, scarce=definition.connections < seats
@@ -107,10 +109,10 @@
         self._pooling.loans.withhold(pool, pool.lendable_share)
         pool.statement_share = 0
         if definition.concurrent_statements:
-            # Never none: a statement too many is refused with BUSY before it runs, but
-            # a host with none could not serve at all.
-            part = static_share(definition.concurrent_statements, *place)
-            pool.statement_share = max(1, part)
+            # At least 1: the endpoint refuses a statement beyond its limit with BUSY
+            # before it runs, but a host with a share of 0 could not serve at all.
+            share = static_share(definition.concurrent_statements, *share_arguments)
+            pool.statement_share = max(1, share)
         self._apply_classes(pool)
 
     def _apply_classes(self, pool: EndpointPool) -> None:
@@ -140,7 +142,7 @@
         self._refresh(signal.database)
 
     def _refresh(self, key: str) -> None:
-        """Take over a definition; an address may have come back with a new row."""
+        """Apply a definition; a removed address may be back with a new row."""
         database = self.tables.databases.get(key)
         if database is None:
             return
@@ -149,7 +151,7 @@
             if pool is not None:
                 pool.endpoint = endpoint
                 self._apply_definition(pool, database)
-                self._shed_surplus(pool)
+                self._close_surplus(pool)
                 self._pooling.granting.pump(pool)
 
     def _on_database_removed(self, signal: DatabaseRemoved) -> None:
@@ -163,33 +165,36 @@
         if pool is None:
             return
         pool.endpoint.leaving = True
-        self._leave(pool, f"{address} was removed")
+        self._empty(pool, f"{address} was removed")
 
     def _on_endpoint_state(self, signal: EndpointStateChanged) -> None:
         pool = self._pooling.by_address.get(signal.address)
         if pool is None:
             return
         if pool.endpoint.leaving:
-            self._leave(pool, f"{signal.address} is leaving")
+            self._empty(pool, f"{signal.address} is leaving")
         elif pool.endpoint.ejected_until > self.now:
-            self._give_back_reads(pool, f"{signal.address} was ejected")
+            self._refuse_reads(pool, f"{signal.address} was ejected")
         else:
             self._pooling.granting.pump(pool)
 
-    def _leave(self, pool: EndpointPool, why: str) -> None:
-        """Give back what waits and close what is idle; busy ones close when done."""
+    def _empty(self, pool: EndpointPool, why: str) -> None:
+        """Refuse queued requests and close idle connections.
+
+        Busy connections are closed when their users release them.
+        """
         for idle in (pool.idle, pool.idle_borrowed):
             for connection in list(idle.values()):
                 self._pooling.closer.close(pool, connection)
         self._pooling.granting.give_back(pool, ErrorCode.ENDPOINT_REFUSED, why, 0.0)
 
-    def _shed_surplus(self, pool: EndpointPool) -> None:
+    def _close_surplus(self, pool: EndpointPool) -> None:
         surplus = pool.own_count - pool.usable_share
         for connection in list(pool.idle.values())[: max(0, surplus)]:
             self._pooling.closer.close(pool, connection)
 
     def _on_primary(self, signal: PrimaryChanged) -> None:
-        """Give back writes that wait at a member that is no primary any more."""
+        """Refuse the writes that are queued for members other than the new primary."""
         database = self.tables.databases.get(signal.database)
         if database is None:
             return
@@ -201,13 +206,16 @@
                 pool, Access.WRITE, ErrorCode.ENDPOINT_REFUSED, "primary changed"
             )
 
-    def _give_back_reads(self, pool: EndpointPool, why: str) -> None:
+    def _refuse_reads(self, pool: EndpointPool, why: str) -> None:
         self._pooling.granting.give_back_some(
             pool, Access.READ, ErrorCode.ENDPOINT_REFUSED, why
         )
 
     def _on_drain(self, signal: DrainBegan) -> None:
-        """Hand back what nobody uses; requests in flight still get connections."""
+        """Close idle connections and return unused loans.
+
+        Requests in flight still get connections.
+        """
         self._pooling.draining = True
         for pool in self._pooling.by_address.values():
             for idle in (pool.idle, pool.idle_borrowed):
@@ -215,7 +223,7 @@
                     self._pooling.closer.close(pool, connection)
             self._pooling.loans.return_unused(pool)
 
-    def _note_demand(self) -> None:
+    def _start_demand_period(self) -> None:
         for pool in self._pooling.by_address.values():
             pool.previous_peak_in_use = pool.peak_in_use
             pool.peak_in_use = pool.active_count + len(pool.pinned)
--- a/mallowpass/core/systems/pooling.py
+++ b/mallowpass/core/systems/pooling.py
@@ -1,8 +1,8 @@
-"""Give requests connections to endpoints, and take the connections back.
+"""Pool the connections of this host to endpoints, and grant them to requests.
 
-One statement is acquire, send, reply, release. A connection has one user at a
-time, from the grant to the release; a reply reaches that user only if its number
-and sequence are those of the call in flight.
+The life of a statement is acquire, send, reply, release. From the grant to the
+release, a connection has one user. A reply is forwarded to that user only if the
+connection number and the sequence of the reply are those of the call in flight.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from mallowpass.core.systems import requests as requests_module
 from mallowpass.core.systems import transactions as transactions_module
 from mallowpass.core.systems.closing import Closer
-from mallowpass.core.systems.connections import LIFE_MARGIN, EndpointPool
+from mallowpass.core.systems.connections import LIFETIME_MARGIN, EndpointPool
 from mallowpass.core.systems.granting import Granting
 from mallowpass.core.systems.keepalive import KeepAlive
 from mallowpass.core.systems.opening import Opener
@@ -44,13 +44,13 @@
 class Pooling(System):
     """Own the connections of this host and the requests that wait for them.
 
-    The path of a statement is here. Its parts open connections, grant them to
-    waiting requests, keep them alive and follow changes.
+    This class implements the path of a statement. Its parts open connections, grant
+    connections to queued requests, send keep-alives and apply changes of services.
     """
 
     __slots__ = (
         "_connections",
-        "_rows",
+        "_request_rows",
         "admission",
         "by_address",
         "changes",
@@ -69,10 +69,10 @@
     def __init__(self, node: Node) -> None:
         super().__init__(node)
         self._connections = node.tables.connections
-        self._rows = node.tables.requests
+        self._request_rows = node.tables.requests
         self.by_address: dict[str, EndpointPool] = {}
         self.draining = False
-        self.lifetime = node.tuning.connection_time_to_live - LIFE_MARGIN
+        self.lifetime = node.tuning.connection_time_to_live - LIFETIME_MARGIN
         self.opener = Opener(node, self)
         self.granting = Granting(node, self)
         self.keepalive = KeepAlive(node, self)
@@ -81,7 +81,7 @@
         self.closer = Closer(node, self)
 
     def start(self) -> None:
-        """Subscribe to what concerns connections."""
+        """Look up the other systems, and subscribe to events of connections."""
         node = self._node
         self.requests = node.system(requests_module.Requests)
         self.transactions = node.system(transactions_module.Transactions)
@@ -97,7 +97,7 @@
         )
 
     def stop(self) -> None:
-        """Close all connections; the host leaves."""
+        """Close all connections before this host stops."""
         for pool in self.by_address.values():
             for connection in list(pool.connections.values()):
                 self.closer.close(pool, connection)
@@ -107,8 +107,8 @@
     def acquire(self, request: RequestRow, endpoint: EndpointRow) -> None:
         """Grant a connection now, or queue the request until one is free.
 
-        Requests.on_connection or Requests.on_refused follows, perhaps before this
-        returns.
+        The outcome is reported to Requests.on_connection or Requests.on_refused,
+        possibly before this method returns.
         """
         pool = self.by_address.get(endpoint.member.address)
         if pool is None:
@@ -132,11 +132,12 @@
         call: EndpointCall,
         request: RequestRow | None = None,
     ) -> int:
-        """Send a call on a connection that was granted or pinned; return its sequence.
+        """Send a call on a granted or pinned connection, and return its sequence.
 
-        Name the request when it is another than the one that acquired, as within a
-        transaction. A call on a connection that is gone, or that expired while the
-        host stood still, is not sent: Requests.on_connection_lost follows.
+        Within a transaction, `request` is the request that the call belongs to; by
+        default it is the request that acquired the connection. If the connection is
+        closed, or expired while this host was paused, the call is not sent, and
+        Requests.on_connection_lost is called.
         """
         number = connection.number
         pool = self.by_address[connection.address]
@@ -151,16 +152,16 @@
             number in pool.in_flight.entries
             or number in pool.internal_in_flight.entries
         ):
-            # One call at a time: an endpoint may refuse the second as out of order.
-            earlier = pool.deferred_calls.get(number)
-            in_flight = sequence - 1 if earlier is None else earlier[0]
-            pool.deferred_calls[number] = (in_flight, sequence, call)
+            # One call at a time: an endpoint may refuse a second call as out of order.
+            deferred = pool.deferred_calls.get(number)
+            blocking_sequence = sequence - 1 if deferred is None else deferred[0]
+            pool.deferred_calls[number] = (blocking_sequence, sequence, call)
             return sequence
         self.transmit(pool, connection, sequence, call)
         return sequence
 
     def release(self, connection: ConnectionRow, reset: bool = False) -> None:
-        """Take a connection back; `reset` when its user left state on it."""
+        """Return a connection to the pool; `reset` if its user left state on it."""
         number = connection.number
         if number not in self._connections:
             return
@@ -185,7 +186,7 @@
             self.granting.pump(pool)
 
     def pin(self, connection: ConnectionRow, transaction: str) -> None:
-        """Keep a granted connection for a transaction until it is released."""
+        """Reserve a granted connection for a transaction until its release."""
         pool = self.by_address[connection.address]
         connection.transaction = transaction
         if connection.number in pool.in_flight.entries or connection.state is not _BUSY:
@@ -199,7 +200,7 @@
             self.granting.pump(pool)
 
     def cancel(self, request: RequestRow) -> None:
-        """Give up a request's place in the queue, or its connection."""
+        """Remove a request from the queue, or release its connection."""
         pool = self.by_address.get(request.address)
         if pool is not None and pool.queue.cancel(request.number):
             return
@@ -207,13 +208,13 @@
         if connection is None or connection.request != request.number:
             return
         if connection.transaction:
-            # The transaction goes on; only this answer has nobody to go to.
+            # The transaction continues. Only the reply to this request is dropped.
             connection.request = 0
         else:
             self.release(connection)
 
     def discard(self, connection: ConnectionRow, why: str) -> None:
-        """Close a connection that must not be used again."""
+        """Close a connection that must not be reused."""
         if connection.number not in self._connections:
             return
         pool = self.by_address[connection.address]
@@ -222,37 +223,38 @@
         self.granting.pump(pool)
 
     def is_responsive(self, connection: ConnectionRow, within: float) -> bool:
-        """Tell whether a connection answers beside its call; ask it if need be.
+        """Tell whether a connection answers keep-alives while its call is in flight.
 
-        False once a keep-alive is unanswered for `within` seconds.
+        Sends a keep-alive if there is no recent one. False once a keep-alive has been
+        unanswered for `within` seconds.
         """
         return self.proving.is_responsive(connection, within)
 
     def check_older_idle(self, connection: ConnectionRow) -> None:
-        """Have idle connections prove themselves that may be as silent as this one."""
+        """Check the idle connections that may be as silent as this connection."""
         pool = self.by_address[connection.address]
         self.keepalive.check_older_idle(pool, connection.called_at)
         self.granting.pump(pool)
 
     def close_silent(self, connection: ConnectionRow) -> None:
-        """Close a connection that seems silent, and have others prove themselves."""
+        """Close a connection that seems silent, and check older idle connections."""
         pool = self.by_address[connection.address]
         self.keepalive.close_silent(pool, connection.number)
 
     def is_patient(self, request: RequestRow) -> bool:
-        """Tell whether a request's class is a patient one."""
+        """Tell whether a request is of a patient class."""
         pool = self.by_address.get(request.address)
         return pool is not None and request.request_class in pool.patient_classes
 
     def share(self, endpoint: EndpointRow) -> int:
-        """Return how many connections this host may have to an endpoint now."""
+        """Return how many connections to an endpoint this host may have now."""
         pool = self.by_address.get(endpoint.address)
         if pool is None:
             pool = self.changes.create_pool(endpoint)
         return pool.share
 
     def queued_count(self, database_key: str) -> int:
-        """Return how many requests wait for a database's endpoints."""
+        """Return how many requests are queued for the endpoints of a database."""
         database = self.tables.databases.get(database_key)
         if database is None:
             return 0
@@ -260,13 +262,13 @@
         return sum(len(pool.queue) for pool in pools if pool is not None)
 
     def queued_count_of_service(self, service: str) -> int:
-        """Return how many requests wait for a service's endpoints."""
+        """Return how many requests are queued for the endpoints of a service."""
         return self.changes.queued_count_of_service(service)
 
     # -- For loans and admission -----------------------------------------------
 
     def get_or_create_pool(self, address: str) -> EndpointPool | None:
-        """Return an endpoint's pool, made if the endpoint is known."""
+        """Return the pool of an endpoint; None if the endpoint is unknown."""
         pool = self.by_address.get(address)
         if pool is None:
             endpoint = self.tables.endpoints.get(address)
@@ -278,16 +280,16 @@
         return list(self.by_address.values())
 
     def find_pool(self, address: str) -> EndpointPool | None:
-        """Return an endpoint's pool if there is one."""
+        """Return the pool of an endpoint; None if it has not been created."""
         return self.by_address.get(address)
 
-    def close_idle(self, pool: EndpointPool, places: int) -> None:
-        """Close idle connections so that `places` of the own share come free."""
-        for connection in list(pool.idle.values())[: max(0, places)]:
+    def close_idle(self, pool: EndpointPool, slots: int) -> None:
+        """Close idle connections of the own share to free up to `slots` slots."""
+        for connection in list(pool.idle.values())[: max(0, slots)]:
             self.closer.close(pool, connection)
 
     def close_borrowed(self, pool: EndpointPool, number: int, force: bool) -> None:
-        """Close a connection whose loan ends; a busy one only by force."""
+        """Close a borrowed connection; if it is in use, only with `force`."""
         connection = self._connections.get(number)
         if connection is None:
             return
@@ -297,24 +299,27 @@
             self.closer.close_and_notify(pool, connection, "loan ended")
 
     def dispatch(self, pool: EndpointPool) -> None:
-        """Grant what can be granted and open what is needed."""
+        """Grant free connections to queued requests, and open more if needed."""
         self.granting.pump(pool)
 
     def maintain_borrowed(self, pool: EndpointPool) -> None:
-        """Close borrowed connections that stood idle; keep those in use alive."""
+        """Close expired idle borrowed connections, and keep the others alive."""
         self.keepalive.maintain_borrowed(pool)
         self.proving.keep_borrowed(pool)
 
     # -- From idle to busy and back --------------------------------------------
 
     def take_idle(self, pool: EndpointPool) -> ConnectionRow | None:
-        """Take the connection that was used last: it proved itself last."""
+        """Take the most recently used idle connection; None if there is none.
+
+        It is the connection that was most recently known to work.
+        """
         now = self.now
         for idle in (pool.idle, pool.idle_borrowed):
             while idle:
                 connection = idle.popitem()[1]
-                # A host that was paused wakes with connections that the endpoint has
-                # closed, and given to others, meanwhile.
+                # While this host was paused, the endpoint may have closed the
+                # connection and given its slot to another host.
                 if connection.expires <= now:
                     self.closer.close_expired(pool, connection)
                     continue
@@ -326,7 +331,7 @@
     def grant(
         self, pool: EndpointPool, connection: ConnectionRow, request: RequestRow
     ) -> None:
-        """Give a connection to a request."""
+        """Grant a connection to a request."""
         connection.state = _BUSY
         connection.request = request.number
         connection.last_used = self._node.timers.now
@@ -341,7 +346,7 @@
         self.requests.on_connection(request, connection)
 
     def make_idle(self, pool: EndpointPool, connection: ConnectionRow) -> None:
-        """Keep a connection for the next request, unless it is one too many."""
+        """Keep a connection for the next request, or close it if it is surplus."""
         now = self._node.timers.now
         connection.state = _IDLE
         if connection.expires <= now or self.is_surplus(pool, connection):
@@ -352,12 +357,12 @@
             self.keepalive.schedule_check(pool)
 
     def put_idle(self, pool: EndpointPool, connection: ConnectionRow) -> None:
-        """Put a connection where it is taken from first."""
+        """Add a connection to the idle ones as the most recently used."""
         idle = pool.idle_borrowed if connection.loan else pool.idle
         idle[connection.number] = connection
 
     def is_surplus(self, pool: EndpointPool, connection: ConnectionRow) -> bool:
-        """Tell whether a connection is to be closed once it is free."""
+        """Tell whether a connection must be closed once it is free."""
         if pool.endpoint.leaving or (self.draining and not pool.queue):
             return True
         if connection.loan:
@@ -374,14 +379,15 @@
         sequence: int,
         call: EndpointCall,
     ) -> None:
-        """Send a call now, if the connection may still be used."""
+        """Send a call now if the connection is open and has not expired."""
         number = connection.number
         node = self._node
         now = node.timers.now
-        known = number in self._connections
-        if connection.expires <= now or not known:
-            # Told later: the caller of send still has to note that it sent.
-            self.timers.at(now, self.closer.on_unsent, pool, connection, known)
+        is_open = number in self._connections
+        if connection.expires <= now or not is_open:
+            # Reported from a timer, since the caller of send() first has to record
+            # the returned sequence.
+            self.timers.at(now, self.closer.on_unsent, pool, connection, is_open)
             return
         if connection.loan:
             connection.expires = self.expiry(pool, connection, now)
@@ -394,7 +400,7 @@
     def expiry(
         self, pool: EndpointPool, connection: ConnectionRow, now: float
     ) -> float:
-        """Return until when a connection may be used after a call at `now`."""
+        """Return when a connection expires after a call at `now`."""
         if not connection.loan:
             return now + self.lifetime
         return self.loans.expiry(pool.borrowed.get(connection.loan), now)
@@ -424,7 +430,7 @@
             pool.overdue.remove(number)
         else:
             self._finish_call(pool, connection, reply)
-        self._hand_on(pool, connection, reply)
+        self._forward_reply(pool, connection, reply)
 
     def _finish_call(
         self, pool: EndpointPool, connection: ConnectionRow, reply: EndpointReply
@@ -436,16 +442,16 @@
         if reply.code is EndpointCode.BUSY:
             pool.concurrency.overloaded(pool.active_count)
         elif reply.code is EndpointCode.OK:
-            # Refusals come quickly: taken for statements, they would make the first
-            # real ones look like contention.
+            # Refusals are fast: counted as statements, they would lower the baseline
+            # latency, and the first real statements would look like contention.
             pool.concurrency.record(now, now - connection.called_at, pool.active_count)
 
-    def _hand_on(
+    def _forward_reply(
         self, pool: EndpointPool, connection: ConnectionRow, reply: EndpointReply
     ) -> None:
-        request = self._rows.get(connection.request)
+        request = self._request_rows.get(connection.request)
         if reply.last and connection.transaction:
-            self._rest_pinned(pool, connection)
+            self._pin_idle(pool, connection)
         if request is None:
             self.count_dropped_reply("request-gone")
             if reply.last and not connection.transaction:
@@ -453,7 +459,7 @@
             return
         self.requests.on_reply(request, connection, reply)
 
-    def _rest_pinned(self, pool: EndpointPool, connection: ConnectionRow) -> None:
+    def _pin_idle(self, pool: EndpointPool, connection: ConnectionRow) -> None:
         connection.state = _PINNED
         connection.request = 0
         pool.active_count -= 1
@@ -462,5 +468,5 @@
             self.keepalive.schedule_check(pool)
 
     def count_dropped_reply(self, reason: str) -> None:
-        """Count a reply that goes to nobody."""
+        """Count a reply that is not forwarded to any request."""
         self._node.count("replies_dropped", reason=reason)
--- a/mallowpass/core/systems/poolpart.py
+++ b/mallowpass/core/systems/poolpart.py
@@ -1,4 +1,4 @@
-"""The common base of the parts that Pooling is made of."""
+"""Base class of the parts of Pooling."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PoolPart:
-    """Hold what each part of Pooling works with."""
+    """Base class of the parts of Pooling; holds what each of them works with."""
 
     __slots__ = ("_connections", "_node", "_pooling")
 
--- a/mallowpass/core/systems/positionawaits.py
+++ b/mallowpass/core/systems/positionawaits.py
@@ -1,7 +1,7 @@
-"""Ask members for the places that this host's own writes wait for.
+"""Ask members to report when they reach the positions that writes wait for.
 
-To watch every move of a log costs with the writes of all hosts together. A host that
-asks for a place pays for its own writes alone.
+The cost of watching each change of a log position grows with the writes of all hosts.
+The cost of asking for positions grows with the writes of this host only.
 """
 
 from __future__ import annotations
@@ -23,25 +23,29 @@
 
 __all__ = ["PositionAwaits"]
 
-GAP = 0.005  # seconds between two calls to a member; one stands for all before it
-OUTSTANDING_MAX = 16  # at a member; more have to wait for an answer
-# An answer comes later than a watch's report would by at most the shorter one of the
-# ways to the primary and to the member and back: the call leaves when the primary
-# has answered. Seconds that a round trip may take, much of it inside the two ends.
-NEAR = 0.004
+# Seconds between two calls to a member. A call covers all positions before its own.
+CALL_INTERVAL = 0.005
+OUTSTANDING_MAX = 16  # unanswered calls to a member
+# Round trip, in seconds, up to which a host or member counts as near; much of a short
+# round trip is spent inside the two ends. A call leaves when the primary has replied.
+# Its reply is therefore later than the report to a watch, by at most the shorter of the
+# round trips to the primary and to the member.
+NEAR_ROUND_TRIP = 0.004
 
 
 @dataclass(slots=True)
 class _Member:
+    """The positions that one member was asked for; `wanted` may not be sent yet."""
+
     wanted: LogPosition = ZERO_POSITION
-    asked: LogPosition = ZERO_POSITION
-    asked_at: float = float("-inf")
+    requested: LogPosition = ZERO_POSITION
+    requested_at: float = float("-inf")
     outstanding: int = 0
     timer: Timer | None = None
 
 
 class PositionAwaits:
-    """Keep what one group's members were asked for, and ask no more than needed."""
+    """Ask the members of one group for positions, with as few calls as needed."""
 
     __slots__ = ("_control", "_members", "_node", "_view")
 
@@ -53,29 +57,29 @@
 
     @property
     def is_as_fast_as_watching(self) -> bool:
-        """Tell whether a majority can be asked without acknowledging later."""
+        """Tell whether asking a majority delays no acknowledgement."""
         row = self._view.row
-        is_near = self._control.round_trip(row.primary) <= NEAR
-        able = sum(
+        is_near = self._control.round_trip(row.primary) <= NEAR_ROUND_TRIP
+        eligible_count = sum(
             endpoint.address == row.primary
-            or (self._knows(endpoint) and (is_near or self._is_near(endpoint)))
+            or (self._can_await(endpoint) and (is_near or self._is_near(endpoint)))
             for endpoint in row.endpoints.values()
         )
-        return bool(row.primary) and able >= row.definition.majority
+        return bool(row.primary) and eligible_count >= row.definition.majority
 
-    def request(self, place: LogPosition) -> None:
-        """Have all members report once they have reached a place."""
+    def request(self, position: LogPosition) -> None:
+        """Ask all members to report when they have reached a position."""
         for endpoint in self._view.row.endpoints.values():
-            self._want(endpoint, place)
+            self._request(endpoint, position)
 
     def stop(self) -> None:
-        """Ask nothing more."""
+        """Cancel the calls that have not been sent."""
         for member in self._members.values():
             if member.timer is not None:
                 member.timer.cancel()
 
-    def _knows(self, endpoint: EndpointRow) -> bool:
-        """Tell whether a member answers the call, and is there to answer it."""
+    def _can_await(self, endpoint: EndpointRow) -> bool:
+        """Tell whether a member supports the call and has replied recently."""
         report = endpoint.report
         if report is None or not report.await_position:
             return False
@@ -85,46 +89,48 @@
         )
 
     def _is_near(self, endpoint: EndpointRow) -> bool:
-        return self._control.round_trip(endpoint.address) <= NEAR
+        return self._control.round_trip(endpoint.address) <= NEAR_ROUND_TRIP
 
-    def _want(self, endpoint: EndpointRow, place: LogPosition) -> None:
+    def _request(self, endpoint: EndpointRow, position: LogPosition) -> None:
         if endpoint.report is None or not endpoint.report.await_position:
             return
         member = self._members.setdefault(endpoint.address, _Member())
-        member.wanted = max(member.wanted, place)
+        member.wanted = max(member.wanted, position)
         self._review(endpoint.address, member)
 
     def _review(self, address: str, member: _Member) -> None:
         if member.timer is not None or member.outstanding >= OUTSTANDING_MAX:
             return
-        if member.wanted <= member.asked or self._has(address, member.wanted):
+        if member.wanted <= member.requested or self._has_reached(
+            address, member.wanted
+        ):
             return
-        wait = member.asked_at + GAP - self._node.timers.now
-        if wait > 0:
-            due = partial(self._on_gap, address, member)
-            member.timer = self._node.timers.after(wait, due)
+        delay = member.requested_at + CALL_INTERVAL - self._node.timers.now
+        if delay > 0:
+            due = partial(self._on_interval_over, address, member)
+            member.timer = self._node.timers.after(delay, due)
         else:
-            self._ask(address, member)
+            self._send(address, member)
 
-    def _on_gap(self, address: str, member: _Member) -> None:
+    def _on_interval_over(self, address: str, member: _Member) -> None:
         member.timer = None
         self._review(address, member)
 
-    def _has(self, address: str, place: LogPosition) -> bool:
-        """Tell whether a member is known to hold a place of the present term."""
+    def _has_reached(self, address: str, position: LogPosition) -> bool:
+        """Tell whether a member is known to hold a position of the current term."""
         view = self._view
         held = view.holders.get(address, 0)
-        return place.term == view.row.term and held >= place.position
+        return position.term == view.row.term and held >= position.position
 
-    def _ask(self, address: str, member: _Member) -> None:
-        member.asked = member.wanted
-        member.asked_at = self._node.timers.now
+    def _send(self, address: str, member: _Member) -> None:
+        member.requested = member.wanted
+        member.requested_at = self._node.timers.now
         member.outstanding += 1
 
-        def answered(reply: ControlReply | None) -> None:
-            # What it proves stands in its report, which liveness has taken already.
+        def on_reply(reply: ControlReply | None) -> None:
+            # Liveness has already handled the report that the reply contains.
             member.outstanding -= 1
             self._review(address, member)
 
-        call = AwaitPositionCall(member.asked)
-        self._control.call(address, call, answered, self._node.tuning.silence)
+        call = AwaitPositionCall(member.requested)
+        self._control.call(address, call, on_reply, self._node.tuning.silence)
--- a/mallowpass/core/systems/promotionturn.py
+++ b/mallowpass/core/systems/promotionturn.py
@@ -1,4 +1,7 @@
-"""When it is this host's turn to promote: stewards act one after another."""
+"""The time at which this host may promote a member of a group.
+
+The hosts that may do so, the stewards of the group, act one after another.
+"""
 
 from __future__ import annotations
 
@@ -8,59 +11,68 @@
 
 __all__ = ["PromotionTurn"]
 
-TURN_MAX = 8  # turns above share one place in time, spread by jitter
+TURN_MAX = 8  # stewards from this index on share one turn, spread by jitter
+# Seconds before another attempt. The maximum is for the first steward; it grows with
+# the steward's index.
 RETRY_MIN = 0.03
 RETRY_MAX = 0.3
 
 
 class PromotionTurn:
-    """Tell how long this host has to wait before it promotes in one group."""
+    """Compute how long this host waits before it promotes a member of one group."""
 
-    __slots__ = ("_liveness", "_node", "_row", "_taken_at", "_turn_at")
+    __slots__ = ("_liveness", "_node", "_row", "_yielding_since", "_turn_at")
 
     def __init__(self, node: Node, liveness: Liveness, row: DatabaseRow) -> None:
         self._node = node
         self._liveness = liveness
         self._row = row
-        self._turn_at: float | None = None  # when it comes, in this suspicion
-        self._taken_at: float | None = None  # a higher term's proposer acts since
+        # When the turn of this host begins, in the current suspicion of the primary.
+        self._turn_at: float | None = None
+        # Since when this host has yielded to a host that proposed a higher term.
+        self._yielding_since: float | None = None
 
     def reset(self) -> None:
-        """Begin from new: there is a primary."""
-        self._turn_at = self._taken_at = None
+        """Reset the turn, as the group has a primary."""
+        self._turn_at = self._yielding_since = None
 
     def seconds_left(self) -> float:
-        """Return in how many seconds it is this host's turn; first call: begin."""
+        """Return the seconds until the turn of this host; the first call starts it."""
         now = self._node.timers.now
         if self._turn_at is None:
             self._turn_at = now + self._delay
         return max(self._turn_at - now, 0.0)
 
     def seconds_to_yield(self) -> float:
-        """Return for how long a higher term's proposer has the turn; 0: no longer."""
+        """Return how many seconds to yield to the proposer of a higher term.
+
+        0 if this host has yielded for two promise timeouts.
+        """
         now = self._node.timers.now
-        if self._taken_at is None:
-            self._taken_at = now
-        patience = 2 * self._node.tuning.promise_timeout
-        if now - self._taken_at >= patience:
-            self._taken_at = None
+        if self._yielding_since is None:
+            self._yielding_since = now
+        yield_timeout = 2 * self._node.tuning.promise_timeout
+        if now - self._yielding_since >= yield_timeout:
+            self._yielding_since = None
             return 0.0
-        return patience / 2 + self._node.random.uniform(patience / 4, patience / 2)
+        return yield_timeout / 2 + self._node.random.uniform(
+            yield_timeout / 4, yield_timeout / 2
+        )
 
     def next_retry_delay(self) -> float:
-        """Return after how many seconds to try again."""
-        # Jitter parts stewards that met in one term, or they meet again.
+        """Return the seconds to wait after a failed attempt, and reset the turn."""
+        # Without jitter, stewards that proposed the same term would collide again.
         self._turn_at = None
-        return self._node.random.uniform(RETRY_MIN, RETRY_MAX * (1 + self._place))
+        return self._node.random.uniform(RETRY_MIN, RETRY_MAX * (1 + self._index))
 
     @property
-    def _place(self) -> int:
+    def _index(self) -> int:
         return min(self._liveness.steward_turn(self._row), TURN_MAX)
 
     @property
     def _delay(self) -> float:
-        place, stagger = self._place, self._node.tuning.steward_stagger
-        if place < TURN_MAX:
-            return place * stagger
+        index, stagger = self._index, self._node.tuning.steward_stagger
+        if index < TURN_MAX:
+            return index * stagger
         spread = TURN_MAX * stagger
         return spread + self._node.random.uniform(spread / 2, spread)
--- a/mallowpass/core/systems/requestreuse.py
+++ b/mallowpass/core/systems/requestreuse.py
@@ -1,4 +1,4 @@
-"""Tell when a caller uses one request id for two different requests."""
+"""Detect request ids that a caller uses for two different requests."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 __all__ = ["RecentRequests", "digest_of_begin", "digest_of_statement"]
 
-RECENT_MAX = 4096  # request ids remembered with what was asked
-DIGEST_SIZE = 16  # bytes; of two different statements, no two are likely ever equal
+RECENT_MAX = 4096  # request ids whose digest is kept
+DIGEST_SIZE = 16  # bytes; makes equal digests of different statements very unlikely
 
 _STATEMENT = b"statement"
 _BEGIN = b"begin"
 
 
 class RecentRequests:
-    """Remember what was asked under the newest request ids."""
+    """Keep the digests of the requests with the most recent ids."""
 
     __slots__ = ("_digests",)
 
@@ -27,7 +27,7 @@
         self._digests = digests
 
     def is_reused(self, record_id: str, digest: bytes) -> bool:
-        """Tell whether something else was asked under an id; note it if nothing was."""
+        """Tell whether an id was used for another request; record it if it is new."""
         digests = self._digests
         if digests.setdefault(record_id, digest) != digest:
             return True
@@ -37,24 +37,24 @@
 
 
 def digest_of_statement(database: str, request: ExecuteRequest) -> bytes:
-    """Return what is equal for copies of one statement only."""
+    """Return the digest of a statement, which only copies of the statement share."""
     fields = [_STATEMENT, database.encode(), request.sql.encode()]
-    fields += map(_encoded, request.parameters)
+    fields += map(_encode, request.parameters)
     return _digest(fields)
 
 
 def digest_of_begin(database: str) -> bytes:
-    """Return what is equal for begins on one database only."""
+    """Return the digest of a begin, which all begins on the same database share."""
     return _digest((_BEGIN, database.encode()))
 
 
-def _encoded(value: Any) -> bytes:
-    """Encode a parameter, which is a message of the schema unless a test made it."""
+def _encode(value: Any) -> bytes:
+    """Encode a parameter: a message of the schema, or any value in tests."""
     serialize = getattr(value, "SerializeToString", None)
     return repr(value).encode() if serialize is None else serialize()
 
 
 def _digest(fields: Iterable[bytes]) -> bytes:
-    # Each with its length: ("ab", "c") and ("a", "bc") are not the same.
+    # The length of each field is included, so that ("ab", "c") and ("a", "bc") differ.
     joined = b"".join([b"%d:%b" % (len(field), field) for field in fields])
     return blake2b(joined, digest_size=DIGEST_SIZE).digest()
--- a/mallowpass/core/systems/shares.py
+++ b/mallowpass/core/systems/shares.py
@@ -1,8 +1,9 @@
-"""Split an endpoint's limit over the seats of all hosts, without agreement.
+"""Split the connection limit of an endpoint among all hosts, without coordination.
 
-Every host computes the same split from the same settings, so the sum of what
-hosts use cannot exceed the limit whatever they believe of each other: no
-partition, restart or lagging host list changes a seat's part.
+A seat is the fixed position of a host in its failure domain, which the settings name.
+All hosts compute the same split from the same settings. A network partition, a restart
+or an outdated list of hosts does not change the share of a seat, so the hosts together
+cannot exceed the limit.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 __all__ = ["lendable_share", "static_share"]
 
-LENDABLE_DIVISOR = 2  # at most one in so many of a share is ever lent
+LENDABLE_DIVISOR = 2  # at most a share divided by this is lent, unless it is scarce
 
 
 def static_share(
@@ -25,32 +26,32 @@
     failure_domain: str,
     seat: int,
 ) -> int:
-    """Return the part of `limit` at `address` that belongs to one seat.
+    """Return the share of one seat in the `limit` of the endpoint at `address`.
 
-    What does not divide evenly goes to the seats that hash highest for this
-    address, so that each endpoint favours other hosts, and a higher limit never
-    takes a connection from anybody. An unknown seat has nothing.
+    The remainder of an uneven division goes to the seats that hash highest for this
+    address. Endpoints therefore favour different hosts, and raising the limit never
+    lowers the share of a seat. The share of an unknown seat is 0.
     """
     seats = list(_seats(domains))
-    own = (failure_domain, seat)
-    if limit <= 0 or own not in seats:
+    own_seat = (failure_domain, seat)
+    if limit <= 0 or own_seat not in seats:
         return 0
     base, remainder = divmod(limit, len(seats))
     if not remainder:
         return base
-    own_weight = _weight(address, own)
-    ahead = sum(1 for other in seats if _weight(address, other) > own_weight)
-    return base + (ahead < remainder)
+    own_weight = _weight(address, own_seat)
+    higher_count = sum(1 for other in seats if _weight(address, other) > own_weight)
+    return base + (higher_count < remainder)
 
 
 def lendable_share(share: int, scarce: bool) -> int:
-    """Return how much of a share may ever be lent at one time.
+    """Return how many connections of a share may be lent at the same time.
 
-    A share of one is lent only where connections are so scarce that some seats have
-    none of their own.
+    Connections are scarce if the limit is lower than the number of seats, so that some
+    seats have a share of 0. Only then may a share of 1 be lent.
 
-    A restarted host does not remember its loans. It leaves this part unused until
-    every loan it can have made is over; the rest is its own from the first moment.
+    A restarted host does not know the loans of its previous run. It leaves the lendable
+    share unused until all of these loans have ended, and uses the rest at once.
     """
     if scarce:
         return share
@@ -58,7 +59,8 @@
 
 
 def _seats(domains: Iterable[FailureDomain]) -> Iterator[tuple[str, int]]:
-    # A domain listed twice counts once: its seats would else be given out twice.
+    # A domain that is listed twice counts once. Otherwise each of its seats would get
+    # two shares.
     sizes = {domain.name: domain.hosts for domain in domains}
     for name, hosts in sizes.items():
         for seat in range(hosts):
@@ -66,8 +68,8 @@
 
 
 def _weight(address: str, seat: tuple[str, int]) -> tuple[int, tuple[str, int]]:
-    # The seat itself breaks a tie of hashes: two hosts that both took themselves
-    # for the higher one would go over the limit.
+    # The seat breaks ties of hashes. Two hosts that both assumed to rank higher would
+    # exceed the limit together.
     name, number = seat
     key = f"{len(address)}:{address}:{len(name)}:{name}:{number}"
     return xxhash.xxh64_intdigest(key.encode()), seat
--- a/mallowpass/core/systems/transactioncalls.py
+++ b/mallowpass/core/systems/transactioncalls.py
@@ -1,4 +1,4 @@
-"""The calls of an open transaction: sent one at a time, and what their replies mean."""
+"""Send the calls of open transactions one at a time, and handle their replies."""
 
 from __future__ import annotations
 
@@ -33,17 +33,20 @@
 
 __all__ = ["TransactionCalls"]
 
-_GOES_ON = frozenset({EndpointCode.SQL_ERROR, EndpointCode.BUSY, EndpointCode.BAD_CALL})
+# Refusals after which the transaction stays open.
+_NOT_ENDING = frozenset(
+    {EndpointCode.SQL_ERROR, EndpointCode.BUSY, EndpointCode.BAD_CALL}
+)
 _ROLLED_BACK = ErrorCode.TRANSACTION_ROLLED_BACK
 
 
 class TransactionCalls(System):
-    """Run the calls of transactions in order; a part of Transactions."""
+    """Run the calls of each transaction in order; a part of Transactions."""
 
     __slots__ = ("_pooling", "_requests", "_sessions", "_transactions")
 
     def start(self) -> None:
-        """Find the systems that are asked."""
+        """Look up the other systems."""
         from mallowpass.core.systems.requests import Requests
         from mallowpass.core.systems.transactions import Transactions
 
@@ -55,7 +58,7 @@
     # -- Statements ----------------------------------------------------------
 
     def run_next(self, transaction: TransactionRow) -> None:
-        """Send the next call, unless one is in flight."""
+        """Send the next queued call, unless a call is in flight."""
         while transaction.queue and not transaction.running:
             request = self.tables.requests.get(transaction.queue.popleft())
             if request is not None:
@@ -69,7 +72,7 @@
         request.connection = connection.number
         request.sent_at = self.now
         request.sent_term = transaction.term
-        call = self._call(request.request, transaction)
+        call = self._make_call(request.request, transaction)
         if isinstance(call, CommitCall):
             transaction.state = TransactionState.ENDING
             request.record_id = transaction.request_id
@@ -79,12 +82,12 @@
         self._pooling.send(connection, call, request)
 
     @singledispatchmethod
-    def _call(
+    def _make_call(
         self, request: CallerRequest, transaction: TransactionRow
     ) -> EndpointCall:
         raise TypeError(f"no call for {type(request).__name__}")
 
-    @_call.register
+    @_make_call.register
     def _(self, request: ExecuteRequest, transaction: TransactionRow) -> EndpointCall:
         writes = request.access is Access.WRITE
         return ExecuteCall(
@@ -95,11 +98,11 @@
             chunk_rows=request.chunk_rows,
         )
 
-    @_call.register
+    @_make_call.register
     def _(self, request: CommitRequest, transaction: TransactionRow) -> EndpointCall:
         return CommitCall()
 
-    @_call.register
+    @_make_call.register
     def _(self, request: RollbackRequest, transaction: TransactionRow) -> EndpointCall:
         return RollbackCall()
 
@@ -108,22 +111,22 @@
     def on_reply(
         self, request: RequestRow, transaction: TransactionRow, reply: EndpointReply
     ) -> None:
-        """Take in the reply to the call in flight."""
+        """Handle the reply to the call in flight."""
         if reply.code is EndpointCode.OK and not reply.last:
-            self._pass_part(request, reply)
+            self._forward_part(request, reply)
             return
         transaction.running = 0
         transaction.last_used = self.now
         request.connection = 0
-        self._take_reply(request.request, request, transaction, reply)
+        self._finish_call(request.request, request, transaction, reply)
 
-    def _pass_part(self, request: RequestRow, reply: EndpointReply) -> None:
+    def _forward_part(self, request: RequestRow, reply: EndpointReply) -> None:
         name = request.request.request_id
         part = CallerAnswer(request_id=name, outcome=None, rows=reply.rows)
         self._requests.part(request, part)
 
     @singledispatchmethod
-    def _take_reply(
+    def _finish_call(
         self,
         kind: CallerRequest,
         request: RequestRow,
@@ -132,7 +135,7 @@
     ) -> None:
         raise TypeError(f"no reply for {type(kind).__name__}")
 
-    @_take_reply.register
+    @_finish_call.register
     def _(
         self,
         kind: ExecuteRequest,
@@ -144,7 +147,7 @@
         if reply.code is EndpointCode.OK:
             self._raise_floor(request, reply)
             self.finish(request, reply.rows)
-        elif reply.code in _GOES_ON:
+        elif reply.code in _NOT_ENDING:
             self._requests.not_run(request, code_of_refusal(reply), why)
         else:
             request.transaction = ""
@@ -156,12 +159,13 @@
 
     def _raise_floor(self, request: RequestRow, reply: EndpointReply) -> None:
         session = self.tables.sessions.get(request.stream)
-        # Only a known floor rises: the primary of a write transaction may have been
-        # replaced, and what it has applied would pass for all the session's writes.
+        # Only an existing floor is raised. The primary of a write transaction may have
+        # been replaced, and a floor set from what it has applied would seem to cover
+        # all writes of the session.
         if session is not None and request.database in session.floors:
             self._sessions.raise_floor(session, request.database, reply.applied)
 
-    @_take_reply.register
+    @_finish_call.register
     def _(
         self,
         kind: CommitRequest,
@@ -189,7 +193,7 @@
             writes = self._requests.writes
             writes.await_majority(request, reply.applied, reply.rows)
 
-    @_take_reply.register
+    @_finish_call.register
     def _(
         self,
         kind: RollbackRequest,
@@ -198,12 +202,12 @@
         reply: EndpointReply,
     ) -> None:
         request.transaction = ""
-        self._transactions.end(transaction, _ROLLED_BACK, "its caller rolled it back")
+        self._transactions.end(transaction, _ROLLED_BACK, "rolled back by the caller")
         self._transactions.release(transaction, reset=reply.code is not EndpointCode.OK)
         self.finish(request, None)
 
     def finish(self, request: RequestRow, rows: object, name: str = "") -> None:
-        """Answer a call of a transaction that ran."""
+        """Answer a request of a transaction whose call has run."""
         endpoint = self.tables.endpoints.get(request.address)
         database = self.tables.databases.get(request.database)
         primary = database.primary if database is not None else ""
--- a/mallowpass/core/systems/transactions.py
+++ b/mallowpass/core/systems/transactions.py
@@ -1,4 +1,4 @@
-"""Callers' transactions: one connection each, from begin to end."""
+"""Transactions of callers. Each uses one pinned connection from begin to end."""
 
 from __future__ import annotations
 
@@ -34,14 +34,14 @@
 
 __all__ = ["Transactions"]
 
-ENDED_MAX = 4096  # ended transactions whose end is remembered
+ENDED_MAX = 4096  # ended transactions whose result is kept for late requests
 
 _ROLLED_BACK = ErrorCode.TRANSACTION_ROLLED_BACK
 
 
 @record
-class _Ended:
-    """Remember how a transaction ended; no code: it may have committed."""
+class _EndedTransaction:
+    """How a transaction ended. The code is None if it may have been committed."""
 
     stream: int
     code: ErrorCode | None
@@ -49,14 +49,14 @@
 
 
 class Transactions(System):
-    """Own the transaction rows; run their statements one at a time, in order."""
+    """Own the transaction rows, and run the statements of each in order."""
 
     __slots__ = ("_calls", "_ended", "_pooling", "_requests", "_sessions")
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
         self._calls = calls_module.TransactionCalls(node)
-        self._ended: OrderedDict[str, _Ended] = OrderedDict()
+        self._ended: OrderedDict[str, _EndedTransaction] = OrderedDict()
 
     @property
     def open_count(self) -> int:
@@ -64,7 +64,7 @@
         return len(self.tables.transactions)
 
     def start(self) -> None:
-        """Subscribe to promotions, which end transactions."""
+        """Look up the other systems, and subscribe to changes of primaries."""
         node = self._node
         self._pooling = node.system(pooling_module.Pooling)
         self._requests = node.system(requests_module.Requests)
@@ -75,7 +75,7 @@
     # -- Arrival -------------------------------------------------------------
 
     def begin(self, session: SessionRow, request: BeginRequest) -> None:
-        """Take in a transaction's begin; routed like a statement that stands alone."""
+        """Accept the begin of a transaction; it is routed like a single statement."""
         if request.request_id in session.requests:
             self._requests.answers.refuse(session, request, ErrorCode.REQUEST_ID_REUSED)
             return
@@ -112,11 +112,11 @@
             self._queue(session, request, transaction, request.access)
 
     def commit(self, session: SessionRow, request: CommitRequest) -> None:
-        """Queue a transaction's commit."""
+        """Queue the commit of a transaction."""
         self._queue_end(session, request)
 
     def roll_back(self, session: SessionRow, request: RollbackRequest) -> None:
-        """Queue a transaction's rollback."""
+        """Queue the rollback of a transaction."""
         self._queue_end(session, request)
 
     def _queue_end(
@@ -152,8 +152,9 @@
         elif ended is not None and ended.code is not None:
             self._requests.answers.refuse(session, request, ended.code, ended.why)
         elif isinstance(request, CommitRequest):
-            # It may be the copy of a commit that ran, here or through another host:
-            # "not run" would be a lie. Begin with the same id tells its outcome.
+            # The commit may have run before, through this host or another one, so that
+            # "not run" could be wrong. A begin with the same request id returns the
+            # outcome.
             code = ErrorCode.UNKNOWN_TRANSACTION
             self._requests.answers.refuse(
                 session, request, code, outcome=Outcome.UNKNOWN
@@ -184,22 +185,22 @@
     def on_opened(
         self, request: RequestRow, connection: ConnectionRow, reply: EndpointReply
     ) -> None:
-        """Keep the connection that an endpoint opened a transaction on."""
+        """Pin the connection on which an endpoint has begun a transaction."""
         request.connection = 0
         session = self.tables.sessions.get(request.stream)
         if session is None:
             self._pooling.release(connection, reset=True)
             code = ErrorCode.UNKNOWN_SESSION
-            self._requests.not_run(request, code, "the caller left")
+            self._requests.not_run(request, code, "the caller disconnected")
             return
-        transaction = self._make(request, connection)
+        transaction = self._create(request, connection)
         session.transactions.add(transaction.name)
         self._pooling.pin(connection, transaction.name)
         if transaction.access is Access.READ:
             self._sessions.raise_floor(session, request.database, reply.applied)
         self._calls.finish(request, None, transaction.name)
 
-    def _make(self, request: RequestRow, connection: ConnectionRow) -> TransactionRow:
+    def _create(self, request: RequestRow, connection: ConnectionRow) -> TransactionRow:
         identity = self._node.identity
         name = f"{identity.name}.{identity.incarnation}.{self._node.number()}"
         transaction = TransactionRow(
@@ -221,8 +222,8 @@
         return transaction
 
     def _on_idle(self, transaction: TransactionRow) -> None:
-        # A transaction that stands idle keeps a connection, and locks, from all
-        # others: one sees their writes wait although nothing runs.
+        # An idle transaction holds a connection and locks. Writes of other callers wait
+        # for the locks although no statement runs.
         idle = self._node.tuning.transaction_idle
         due = transaction.last_used + idle
         if transaction.running or due > self.now:
@@ -231,27 +232,29 @@
             return
         self._node.log("warning", "transaction_idle", transaction=transaction.name)
         self._node.decide("rollback", transaction.name, f"idle for {idle}s")
-        self.end(transaction, ErrorCode.TRANSACTION_IDLE, "it stood idle")
+        self.end(
+            transaction, ErrorCode.TRANSACTION_IDLE, f"transaction idle for {idle}s"
+        )
         self.release(transaction, reset=True)
 
     def roll_back_session(self, stream: int) -> None:
-        """Roll back what a session that ended left open."""
+        """Roll back the open transactions of a session that has ended."""
         session = self.tables.sessions.get(stream)
         if session is None:
             return
         for name in list(session.transactions):
             transaction = self.tables.transactions[name]
             if transaction.state is TransactionState.ENDING:
-                continue  # its commit or rollback is under way already
-            self._node.decide("rollback", name, "the caller left")
-            self.end(transaction, _ROLLED_BACK, "the caller left")
+                continue  # its commit or rollback is in flight
+            self._node.decide("rollback", name, "the caller disconnected")
+            self.end(transaction, _ROLLED_BACK, "the caller disconnected")
             self.release(transaction, reset=True)
 
     def end(
         self, transaction: TransactionRow, code: ErrorCode | None, why: str
     ) -> None:
-        """Forget a transaction, and answer what waited in it."""
-        self._forget(transaction, code, why)
+        """Remove a transaction, and answer its running and queued requests."""
+        self._remove(transaction, code, why)
         numbers = [transaction.running, *transaction.queue]
         transaction.running = 0
         transaction.queue.clear()
@@ -276,7 +279,7 @@
         else:
             self._requests.not_run(request, code, why)
 
-    def _forget(
+    def _remove(
         self, transaction: TransactionRow, code: ErrorCode | None, why: str
     ) -> None:
         name = transaction.name
@@ -286,12 +289,12 @@
         session = self.tables.sessions.get(transaction.stream)
         if session is not None:
             session.transactions.discard(name)
-        self._ended[name] = _Ended(transaction.stream, code, why)
+        self._ended[name] = _EndedTransaction(transaction.stream, code, why)
         while len(self._ended) > ENDED_MAX:
             self._ended.popitem(last=False)
 
     def release(self, transaction: TransactionRow, reset: bool) -> None:
-        """Give a transaction's connection back; `reset` unless it ended well."""
+        """Release the connection of a transaction; `reset` if it may still be open."""
         connection = self.tables.connections.get(transaction.connection)
         if connection is not None:
             self._pooling.release(connection, reset=reset)
@@ -304,56 +307,57 @@
     def on_reply(
         self, request: RequestRow, connection: ConnectionRow, reply: EndpointReply
     ) -> None:
-        """Take in the reply to a call within a transaction."""
+        """Handle the reply to a call within a transaction."""
         transaction = self.tables.transactions.get(request.transaction)
         if transaction is not None and transaction.running == request.number:
             self._calls.on_reply(request, transaction, reply)
 
-    # -- What goes wrong -----------------------------------------------------
+    # -- Failures ------------------------------------------------------------
 
     def on_statement_lost(self, request: RequestRow, why: str) -> None:
-        """End a transaction whose connection was lost with a call in flight."""
+        """End a transaction whose connection was lost during a call."""
         transaction = self.tables.transactions.get(request.transaction)
         if transaction is not None:
-            self._lost(transaction, why)
+            self._end_lost(transaction, why)
 
     def on_connection_lost(self, connection: ConnectionRow, why: str) -> None:
-        """End a transaction whose connection was lost between its calls."""
+        """End a transaction whose connection was lost between two calls."""
         transaction = self.tables.transactions.get(connection.transaction)
         if transaction is not None:
-            self._lost(transaction, why)
+            self._end_lost(transaction, why)
 
-    def _lost(self, transaction: TransactionRow, why: str) -> None:
-        # The endpoint rolls back what was not committed. Only a commit that was
-        # sent leaves a doubt, and is looked up.
+    def _end_lost(self, transaction: TransactionRow, why: str) -> None:
+        # The endpoint rolls back a transaction without a commit. Only the outcome of a
+        # commit that was sent is unknown, and is looked up.
         code = None if transaction.state is TransactionState.ENDING else _ROLLED_BACK
         self._node.decide("rollback", transaction.name, f"connection lost: {why}")
         self.end(transaction, code, f"connection lost: {why}")
 
     def on_deadline(self, request: RequestRow) -> None:
-        """Give up a call whose deadline passed; one in flight ends its transaction."""
+        """Answer a call whose deadline has passed; end the transaction if it ran."""
         transaction = self.tables.transactions.get(request.transaction)
         if transaction is None or transaction.running != request.number:
-            why = "it waited for its turn"
+            why = "it waited for an earlier call of its transaction"
             self._requests.not_run(request, ErrorCode.DEADLINE_PASSED, why)
             return
         why = "the deadline of a statement passed"
         self._node.decide("rollback", transaction.name, why)
         if isinstance(request.request, CommitRequest):
             transaction.running = 0
-            self._requests.unknown(request, "the deadline passed while committing")
+            self._requests.unknown(request, "the deadline passed during the commit")
             self.end(transaction, None, why)
         else:
             self.end(transaction, _ROLLED_BACK, why)
         self._discard(transaction, why)
 
     def on_commit_overdue(self, request: RequestRow, why: str) -> None:
-        """Look up a commit whose connection seems silent, and close that."""
+        """Look up a commit whose connection seems silent, and close the connection."""
         transaction = self.tables.transactions.get(request.transaction)
         if transaction is not None:
             connection = self.tables.connections[transaction.connection]
             self.end(transaction, None, why)
-            # If the commit never arrived, only this ends the transaction there.
+            # If the commit never arrived, only the close ends the transaction at the
+            # endpoint.
             self._pooling.close_silent(connection)
 
     def _on_primary_changed(self, signal: PrimaryChanged) -> None:
--- a/tests/core/systems/test_loans.py
+++ b/tests/core/systems/test_loans.py
@@ -30,7 +30,7 @@
 from mallowpass.core.node import Tuning
 from mallowpass.core.peering import LoanAnswer, LoanCall, LoanReturn, PeerMessage
 from mallowpass.core.signals import DrainBegan
-from mallowpass.core.systems.loans import MARGIN
+from mallowpass.core.systems.loans import LENDER_MARGIN
 from mallowpass.core.tables import HostRow
 from tests.fakes.poolpath import ADDRESS, DOMAINS, PoolHost
 
@@ -240,7 +240,7 @@
     answer = _lend_one(host)
     assert (answer.connections, answer.call) == (1, 7)
     assert host.pooling.share(host.endpoint) == 3
-    host.wait(host.node.tuning.loan + MARGIN - 0.1)
+    host.wait(host.node.tuning.loan + LENDER_MARGIN - 0.1)
     assert host.pooling.share(host.endpoint) == 3
     host.wait(0.2)
     assert host.pooling.share(host.endpoint) == 4
@@ -319,7 +319,7 @@
     host = _host(warmed=False)
     assert host.pooling.share(host.endpoint) == 2
     assert _lend_one(host).connections == 0
-    host.wait(host.node.tuning.loan + MARGIN + 0.1)
+    host.wait(host.node.tuning.loan + LENDER_MARGIN + 0.1)
     assert host.pooling.share(host.endpoint) == 4
 
 
--- a/tests/core/systems/test_waitqueue.py
+++ b/tests/core/systems/test_waitqueue.py
@@ -5,7 +5,7 @@
 from collections import Counter
 
 from mallowpass.core.calls import Access, CallerRequest
-from mallowpass.core.systems.waitqueue import DEAD_MAX, WaitQueue
+from mallowpass.core.systems.waitqueue import CANCELLED_MAX, WaitQueue
 from mallowpass.core.tables import RequestRow
 
 WEIGHTS = {"caseworker": 3, "reconciliation": 1}
@@ -102,13 +102,13 @@
         queue.push(_request(number), "a", 0.0)
         assert queue.cancel(number)
     assert len(queue) == 0 and queue.pop() is None
-    line = queue._lines["caseworker"]
-    assert sum(map(len, line.callers.values())) <= DEAD_MAX + 1
+    line = queue._class_queues["caseworker"]
+    assert sum(map(len, line.callers.values())) <= CANCELLED_MAX + 1
 
 
 def test_made_up_class_names_share_one_line():
     queue = WaitQueue(WEIGHTS)
     for number in range(50):
         queue.push(_request(number, f"made-up-{number}"), "a", 0.0)
-    assert len(queue._lines) == 1
+    assert len(queue._class_queues) == 1
     assert _pop_all(queue) == list(range(50))
