--- a/tests/core/systems/bench_pooling.py
+++ b/tests/core/systems/bench_pooling.py
@@ -1,4 +1,7 @@
-"""Measure the pooling path alone: python -m tests.core.systems.bench_pooling."""
+"""Benchmark the path of a statement through the pool.
+
+Run with: python -m tests.core.systems.bench_pooling
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 
 class _Requests(System):
-    """Send at once and release at once."""
+    """Send a call when a connection is granted, and release it after the reply."""
 
     def on_connection(self, request: RequestRow, connection: ConnectionRow) -> None:
         self.sequence = self.pooling.send(connection, poolpath.CALL)
--- a/tests/core/systems/test_loans.py
+++ b/tests/core/systems/test_loans.py
@@ -34,17 +34,19 @@
 from mallowpass.core.tables import HostRow
 from tests.fakes.poolpath import ADDRESS, DOMAINS, PoolHost
 
-# Most draws of a fault hit nobody: hosts that fail all the time lend nothing.
-VICTIMS = st.sampled_from([0, 1, 2, 3, *[None] * 8])
-TICK = 0.05  # seconds; also what a statement takes
-LIMIT = 16  # four for each of four seats; two of them can be lent
+# Most draws of a fault affect no host: hosts that fail all the time lend nothing.
+AFFECTED_HOSTS = st.sampled_from([0, 1, 2, 3, *[None] * 8])
+TICK = 0.05  # seconds; also the duration of a statement
+LIMIT = 16  # connections: four for each of the four seats, two of which may be lent
 SEATS = [(domain.name, seat) for domain in DOMAINS for seat in range(domain.hosts)]
 
 
-def _host(place: tuple[str, int] = SEATS[0], **options: object) -> PoolHost:
-    host = PoolHost(limit=LIMIT, domain=place[0], seat=place[1], **options)
+def _host(seat_of_host: tuple[str, int] = SEATS[0], **options: object) -> PoolHost:
+    host = PoolHost(
+        limit=LIMIT, domain=seat_of_host[0], seat=seat_of_host[1], **options
+    )
     for domain, seat in SEATS:
-        if (domain, seat) != place:
+        if (domain, seat) != seat_of_host:
             name = f"{domain}-{seat}"
             host.node.tables.hosts[name] = HostRow(name, domain, seat, "")
     host.report(connections=0, limit=LIMIT)
@@ -55,14 +57,14 @@
     return [entry for entry in host.membership.sent if isinstance(entry[1], kind)]
 
 
-def _tell(host: PoolHost, name: str, message: PeerMessage) -> None:
+def _deliver(host: PoolHost, name: str, message: PeerMessage) -> None:
     host.node.timers.advance(host.now)
     host.membership.handlers[type(message)](name, message)
     host.flush()
 
 
-def _use_up(host: PoolHost) -> tuple[str, LoanCall]:
-    """Have a host use its whole share; return its first call for more."""
+def _use_whole_share(host: PoolHost) -> tuple[str, LoanCall]:
+    """Use the whole share of a host; return the host's first call for a loan."""
     while not _sent(host, LoanCall):
         host.request()
         host.open_all()
@@ -70,8 +72,8 @@
     return calls[0]
 
 
-def _lend_one(host: PoolHost, loan: str = "x") -> LoanAnswer:
-    _tell(host, "tanger-ksar-0", LoanCall(loan, ADDRESS, 1, 7))
+def _borrow_one(host: PoolHost, loan: str = "x") -> LoanAnswer:
+    _deliver(host, "tanger-ksar-0", LoanCall(loan, ADDRESS, 1, 7))
     ((_, answer),) = _sent(host, LoanAnswer)
     host.membership.sent.clear()
     return answer
@@ -80,21 +82,21 @@
 # -- Borrowing ---------------------------------------------------------------
 
 
-def test_a_host_asks_its_own_failure_domain_once_its_share_is_in_use():
+def test_host_first_borrows_in_its_own_failure_domain():
     host = _host()
-    name, call = _use_up(host)
+    name, call = _use_whole_share(host)
     assert host.pool.own_count == host.pool.own_share == 4
     assert name == "casa-ainsebaa-1"
-    _tell(host, name, LoanAnswer(call.loan, ADDRESS, 0, 0.0, call.call))
+    _deliver(host, name, LoanAnswer(call.loan, ADDRESS, 0, 0.0, call.call))
     host.wait_until(lambda: _sent(host, LoanCall))
     assert _sent(host, LoanCall)[0][0].startswith("tanger-ksar")
 
 
-def test_a_borrowed_place_is_opened_with_a_short_life_and_given_back_unused():
+def test_borrowed_connection_has_a_short_time_to_live_and_is_returned_unused():
     host = _host()
-    name, call = _use_up(host)
+    name, call = _use_whole_share(host)
     host.effects.clear()
-    _tell(host, name, LoanAnswer(call.loan, ADDRESS, 1, 5.0, call.call))
+    _deliver(host, name, LoanAnswer(call.loan, ADDRESS, 1, 5.0, call.call))
     (opening,) = host.all(OpenConnection)
     assert opening.time_to_live < host.node.tuning.loan
     host.open_all()
@@ -105,15 +107,15 @@
 
 
 def test_a_long_statement_on_a_borrowed_connection_is_kept_alive():
-    """
-    Symptom: reports on borrowed connections break off after a second or two.
-    Sequence: the statement takes longer than a borrowed connection's time to live.
-    Cause: nothing was sent on it meanwhile, so the endpoint closed it.
+    """Long statements on borrowed connections failed after a second or two.
+
+    They took longer than a borrowed connection's time to live. No call was sent on the
+    connection in the meantime, so the endpoint closed it.
     """
     host = _host()
     host.report(connections=0, limit=LIMIT, keep_alive_while_busy=True)
-    name, call = _use_up(host)
-    _tell(host, name, LoanAnswer(call.loan, ADDRESS, 1, 5.0, call.call))
+    name, call = _use_whole_share(host)
+    _deliver(host, name, LoanAnswer(call.loan, ADDRESS, 1, 5.0, call.call))
     host.open_all()
     (loan,) = host.pool.borrowed.values()
     (number,) = loan.numbers
@@ -129,54 +131,54 @@
     assert sent_at > host.now - 1.0
 
 
-def test_a_loan_counts_from_when_its_call_was_sent():
-    """
-    Symptom: borrower and lender use the same places for a while.
-    Sequence: the answer to the call is late by most of the loan's time.
-    Cause: the loan counted from when the answer came.
+def test_time_of_a_loan_counts_from_the_sending_of_its_call():
+    """Borrower and lender used the same slots for a while.
+
+    The answer to the call was late by most of the loan's time, and the borrower counted
+    the time from the answer.
     """
     host = _host()
-    name, call = _use_up(host)
+    name, call = _use_whole_share(host)
     host.wait(4.0)
     host.effects.clear()
-    _tell(host, name, LoanAnswer(call.loan, ADDRESS, 1, 5.0, call.call))
+    _deliver(host, name, LoanAnswer(call.loan, ADDRESS, 1, 5.0, call.call))
     assert host.all(OpenConnection) == []
     assert (name, LoanReturn(call.loan, ADDRESS)) in host.membership.sent
 
 
-def test_an_answer_to_an_earlier_call_does_not_stretch_a_loan():
-    """
-    Symptom: a borrower goes on after the lender counts the loan as over.
-    Sequence: the renewal's answer is lost; the first call's answer comes again.
-    Cause: an answer matched by its loan alone.
+def test_answer_to_an_earlier_call_does_not_extend_a_loan():
+    """A borrower used slots after the loan had ended for the lender.
+
+    The answer to the renewal was lost, and the answer to the first call arrived again.
+    Answers were matched by their loan only.
     """
     host = _host()
-    name, call = _use_up(host)
+    name, call = _use_whole_share(host)
     answer = LoanAnswer(call.loan, ADDRESS, 1, 5.0, call.call)
-    _tell(host, name, answer)
+    _deliver(host, name, answer)
     host.open_all()
     (loan,) = host.pool.borrowed.values()
     ends_at = loan.ends_at
     host.wait_until(
         lambda: call.loan in [entry.loan for _, entry in _sent(host, LoanCall)]
     )
-    _tell(host, name, answer)
+    _deliver(host, name, answer)
     assert loan.ends_at == ends_at
     renewal = _sent(host, LoanCall)[-1][1]
-    _tell(host, name, LoanAnswer(call.loan, ADDRESS, 1, 5.0, renewal.call))
+    _deliver(host, name, LoanAnswer(call.loan, ADDRESS, 1, 5.0, renewal.call))
     assert loan.ends_at > ends_at
 
 
 def test_nothing_is_sent_on_a_borrowed_connection_after_a_pause():
-    """
-    Symptom: a statement runs on a place that its owner has filled again.
-    Sequence: the borrower stands still past the loan's end and wakes.
-    Cause: the loan's end looked at by timers only.
+    """A statement ran in a slot that the lender used again.
+
+    The borrower had been paused until after the end of the loan, which only its timers
+    checked.
     """
     host = _host()
-    name, call = _use_up(host)
+    name, call = _use_whole_share(host)
     host.requests.hold = True
-    _tell(host, name, LoanAnswer(call.loan, ADDRESS, 1, 5.0, call.call))
+    _deliver(host, name, LoanAnswer(call.loan, ADDRESS, 1, 5.0, call.call))
     host.open_all()
     (number,) = next(iter(host.pool.borrowed.values())).numbers
     connection = host.node.tables.connections[number]
@@ -190,10 +192,10 @@
     assert [name for name, _ in host.transactions.lost] == ["t1"]
 
 
-def test_a_loan_in_use_is_asked_for_again_and_ends_without_an_answer():
+def test_loan_in_use_is_renewed_and_ends_without_an_answer():
     host = _host(tuning=Tuning(silence=30.0))
-    name, call = _use_up(host)
-    _tell(host, name, LoanAnswer(call.loan, ADDRESS, 1, 5.0, call.call))
+    name, call = _use_whole_share(host)
+    _deliver(host, name, LoanAnswer(call.loan, ADDRESS, 1, 5.0, call.call))
     host.open_all()
     (loan,) = host.pool.borrowed.values()
     (number,) = loan.numbers
@@ -202,17 +204,16 @@
     assert number in host.closed() and not host.pool.borrowed
 
 
-def test_a_loan_that_a_drain_gave_back_is_not_prolonged():
-    """
-    Symptom: KeyError from a timer of a host that drains.
-    Sequence: a borrowed place can't be opened; the drain gives it back, and requests
-    still wait when the loan would be prolonged.
-    Cause: a loan's looks went on after its end, and took waiting requests for use.
+def test_loan_that_was_returned_in_a_drain_is_not_renewed():
+    """A timer raised KeyError at a draining host.
+
+    A borrowed connection could not be opened, and the drain returned its loan. The
+    maintenance of the loan continued, and renewed it since requests were queued.
     """
     host = _host()
-    name, call = _use_up(host)
+    name, call = _use_whole_share(host)
     host.effects.clear()
-    _tell(host, name, LoanAnswer(call.loan, ADDRESS, 1, 5.0, call.call))
+    _deliver(host, name, LoanAnswer(call.loan, ADDRESS, 1, 5.0, call.call))
     (opening,) = host.all(OpenConnection)
     host.handle(ConnectionRefused(opening.connection, "refused"))
     host.publish(DrainBegan(host.now + 9.0))
@@ -223,7 +224,7 @@
     assert call.loan not in [message.loan for _, message in _sent(host, LoanCall)]
 
 
-def test_nothing_is_borrowed_where_connections_have_no_time_to_live():
+def test_nothing_is_borrowed_at_an_endpoint_without_time_to_live():
     host = _host()
     host.report(connections=0, limit=LIMIT, time_to_live=False)
     for _ in range(12):
@@ -235,9 +236,9 @@
 # -- Lending -----------------------------------------------------------------
 
 
-def test_a_lender_waits_longer_than_the_loan_lasts():
+def test_lender_reserves_the_slots_for_longer_than_the_loan_lasts():
     host = _host()
-    answer = _lend_one(host)
+    answer = _borrow_one(host)
     assert (answer.connections, answer.call) == (1, 7)
     assert host.pooling.share(host.endpoint) == 3
     host.wait(host.node.tuning.loan + LENDER_MARGIN - 0.1)
@@ -246,35 +247,35 @@
     assert host.pooling.share(host.endpoint) == 4
 
 
-def test_a_returned_place_waits_for_the_borrowers_connections_to_die():
-    """
-    Symptom: the lender is refused within its share.
-    Sequence: the borrower, cut off from the endpoint, gives its loan back.
-    Cause: the place used at once; the closing never reached the endpoint.
+def test_returned_slot_is_not_used_until_borrowed_connections_have_expired():
+    """An endpoint refused a connection to the lender within its share.
+
+    The borrower was cut off from the endpoint when it returned its loan, so the close
+    had not reached the endpoint. The lender used the slot at once.
     """
     host = _host()
-    _lend_one(host)
-    _tell(host, "tanger-ksar-0", LoanReturn("x", ADDRESS))
+    _borrow_one(host)
+    _deliver(host, "tanger-ksar-0", LoanReturn("x", ADDRESS))
     host.wait(host.node.tuning.loan / 4)
     assert host.pooling.share(host.endpoint) == 3
     host.wait(host.node.tuning.loan / 2)
     assert host.pooling.share(host.endpoint) == 4
 
 
-def test_a_lender_keeps_what_it_needs_itself():
+def test_lender_keeps_the_slots_that_it_needs():
     host = _host()
     for _ in range(3):
         host.request()
         host.open_all()
     host.reply_all()
-    assert [_lend_one(host, name).connections for name in "ab"] == [1, 0]
+    assert [_borrow_one(host, name).connections for name in "ab"] == [1, 0]
 
 
-def test_a_lender_keeps_what_it_needed_a_moment_ago():
-    """
-    Symptom: a busy host borrows back what it has just lent.
-    Sequence: three connections are in use at once, then closed for a while.
-    Cause: places taken for spare because they are not open right now.
+def test_lender_keeps_the_slots_that_it_needed_recently():
+    """A busy host borrowed slots right after it had lent some.
+
+    Three connections had been in use at the same time and were then closed for a while.
+    Their slots were lent because they were not in use at that moment.
     """
     host = _host()
     for _ in range(3):
@@ -284,17 +285,17 @@
     host.pooling.close_idle(host.pool, 3)
     host.wait(1.0)
     host.report(connections=0, limit=LIMIT)
-    assert [_lend_one(host, name).connections for name in "ab"] == [1, 0]
+    assert [_borrow_one(host, name).connections for name in "ab"] == [1, 0]
 
 
-def test_a_host_never_lends_more_than_its_successor_would_withhold():
+def test_host_lends_at_most_what_it_withholds_after_a_restart():
     host = _host()
-    _tell(host, "tanger-ksar-0", LoanCall("x", ADDRESS, 4, 7))
+    _deliver(host, "tanger-ksar-0", LoanCall("x", ADDRESS, 4, 7))
     ((_, answer),) = _sent(host, LoanAnswer)
     assert answer.connections == host.pool.lendable_share == 2
 
 
-def test_idle_connections_are_closed_first_and_lent_when_the_endpoint_saw_it():
+def test_slots_of_idle_connections_are_lent_once_the_endpoint_saw_the_close():
     host = _host()
     for _ in range(4):
         host.request()
@@ -303,22 +304,22 @@
     for _ in range(100):
         host.wait(0.1)
         host.reply_all()
-    assert _lend_one(host, "a").connections == 0
+    assert _borrow_one(host, "a").connections == 0
     host.wait(1.0)
-    assert _lend_one(host, "b").connections == 0
+    assert _borrow_one(host, "b").connections == 0
     host.report(connections=0, limit=LIMIT)
-    assert _lend_one(host, "c").connections == 1
+    assert _borrow_one(host, "c").connections == 1
 
 
-def test_a_restarted_lender_leaves_unused_what_it_may_have_lent():
-    """
-    Symptom: an endpoint's limit is passed after a host was restarted.
-    Sequence: a host lends, dies, and its successor starts within the loan's time.
-    Cause: loans are kept in memory only; the successor takes its whole share.
+def test_restarted_lender_withholds_the_slots_that_it_may_have_lent():
+    """The connections to an endpoint exceeded its limit after a restart of a host.
+
+    The host had made a loan, and restarted within the loan's time. Loans are kept in
+    memory only, and the restarted host used its whole share.
     """
     host = _host(warmed=False)
     assert host.pooling.share(host.endpoint) == 2
-    assert _lend_one(host).connections == 0
+    assert _borrow_one(host).connections == 0
     host.wait(host.node.tuning.loan + LENDER_MARGIN + 0.1)
     assert host.pooling.share(host.endpoint) == 4
 
@@ -327,17 +328,19 @@
 
 
 class Fleet(RuleBasedStateMachine):
-    """Lose, delay and repeat messages; pause, cut off and restart hosts."""
+    """Hosts that share an endpoint, with faults of messages, hosts and network."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 100.0
-        self.hosts = [_host(place) for place in SEATS]
+        self.hosts = [_host(seat_of_host) for seat_of_host in SEATS]
         self.now = self.hosts[0].now
-        self.open: dict[tuple[int, int], tuple[float, float]] = {}  # last call, life
+        # Connections by host and number: the time of the last call, and the time to
+        # live.
+        self.open: dict[tuple[int, int], tuple[float, float]] = {}
         self.opening: list[tuple[int, OpenConnection, float]] = []
-        self.owners: dict[tuple[int, int], int] = {}  # whose place it takes
-        self.closing: list[tuple[int, int]] = []  # not seen by the endpoint yet
+        self.owners: dict[tuple[int, int], int] = {}  # host whose slot is used
+        self.closing: list[tuple[int, int]] = []  # not yet seen by the endpoint
         self.statements: list[tuple[int, SendEndpoint]] = []
         self.messages: list[tuple[int, int, PeerMessage]] = []
         self.paused: set[int] = set()
@@ -346,10 +349,10 @@
         self.slow_opening = False
         self.slow_messages = False
 
-    # -- What hosts do -------------------------------------------------------
+    # -- Effects of hosts ----------------------------------------------------
 
-    def carry(self) -> None:
-        """Carry out the hosts' effects until there are none."""
+    def apply_effects(self) -> None:
+        """Apply the effects of the hosts until there are none."""
         again = True
         while again:
             again = False
@@ -357,13 +360,13 @@
                 host.flush()
                 effects, host.effects = host.effects, []
                 for effect in effects:
-                    again = self.carry_one(index, effect) or again
+                    again = self.apply_effect(index, effect) or again
                 names = [f"{domain}-{seat}" for domain, seat in SEATS]
                 for name, message in host.membership.sent:
                     self.messages.append((index, names.index(name), message))
                 host.membership.sent = []
 
-    def carry_one(self, index: int, effect: object) -> bool:
+    def apply_effect(self, index: int, effect: object) -> bool:
         if isinstance(effect, OpenConnection):
             self.opening.append((index, effect, self.now))
             self.owners[index, effect.connection] = self.owner(index, effect.connection)
@@ -389,7 +392,7 @@
         return False
 
     def owner(self, index: int, number: int) -> int:
-        """Return the seat on whose share a connection is opened."""
+        """Return the host in whose share a connection is opened."""
         host = self.hosts[index]
         row = host.node.tables.connections.get(number)
         if row is None or not row.loan:
@@ -406,10 +409,10 @@
     # -- Time ----------------------------------------------------------------
 
     def step(self) -> None:
-        """Run what is due now, at the endpoint and at hosts that are awake."""
+        """Run what is due now, at the endpoint and at hosts that are not paused."""
         self.serve()
-        for key, (called_at, life) in list(self.open.items()):
-            if called_at + life <= self.now:
+        for key, (last_call_at, time_to_live) in list(self.open.items()):
+            if last_call_at + time_to_live <= self.now:
                 del self.open[key]
                 if key[0] not in self.paused | self.cut:
                     self.hosts[key[0]].now = self.now
@@ -421,7 +424,7 @@
             if index not in self.cut:
                 host.report(connections=len(self.open), limit=LIMIT)
             host.take(host.node.wake(self.now))
-        self.carry()
+        self.apply_effects()
         if not self.slow_opening:
             self.open_connections()
         for _ in range(0 if self.slow_messages else len(self.messages)):
@@ -437,19 +440,19 @@
 
     @initialize(index=st.integers(0, 3))
     def load_one_host(self, index: int) -> None:
-        """Begin with one host that borrows all it can."""
+        """Start with one host that borrows as much as it can."""
         self.load({index})
 
     # -- Load ----------------------------------------------------------------
 
     @rule(busy=st.sets(st.integers(0, 3)))
     def load(self, busy: set[int]) -> None:
-        """Have these hosts always have requests waiting, and the others none."""
+        """Keep requests queued at these hosts, and none at the others."""
         self.busy = busy
         self.wait(0.6)
 
     def serve(self) -> None:
-        """Answer all statements, and have busy hosts ask again."""
+        """Reply to all statements, and queue more requests at busy hosts."""
         statements, self.statements = self.statements, []
         for index, sent in statements:
             self.answer(index, sent)
@@ -458,7 +461,7 @@
             host.now = self.now
             for _ in range(8 - len(host.pool.queue)):
                 host.request(deadline=60.0)
-        self.carry()
+        self.apply_effects()
 
     @precondition(lambda self: self.opening)
     @rule()
@@ -470,12 +473,12 @@
                 continue
             if effect.host != host.node.identity.name:
                 continue
-            # It arrives whatever became of a paused host; the host hears later.
+            # The endpoint accepts the connection even if the host is paused.
             self.open[index, effect.connection] = (self.now, effect.time_to_live)
             if index not in self.paused:
                 host.now = self.now
                 host.handle(ConnectionOpened(effect.connection))
-        self.carry()
+        self.apply_effects()
 
     # -- Messages ------------------------------------------------------------
 
@@ -490,8 +493,8 @@
             del self.messages[index]
         self.hosts[target].now = self.now
         domain, seat = SEATS[source]
-        _tell(self.hosts[target], f"{domain}-{seat}", message)
-        self.carry()
+        _deliver(self.hosts[target], f"{domain}-{seat}", message)
+        self.apply_effects()
 
     @precondition(lambda self: self.messages)
     @rule()
@@ -500,20 +503,20 @@
 
     @rule()
     def slow_down(self) -> None:
-        """Have messages and openings wait for their rules, or end that."""
+        """Toggle the delay of messages and openings until the rules for them run."""
         self.slow_messages = not self.slow_messages
         self.slow_opening = self.slow_messages
 
     # -- Faults --------------------------------------------------------------
 
-    @rule(index=VICTIMS)
+    @rule(index=AFFECTED_HOSTS)
     def pause(self, index: int | None) -> None:
         if index is not None:
             self.paused ^= {index}
 
-    @rule(index=VICTIMS)
+    @rule(index=AFFECTED_HOSTS)
     def cut_off(self, index: int | None) -> None:
-        """Cut a host off from the endpoint, or end that; closings arrive then."""
+        """Toggle the partition of a host from the endpoint; then deliver its closes."""
         if index is None:
             return
         self.cut ^= {index}
@@ -522,10 +525,10 @@
                 self.closing.remove(key)
                 self.open.pop(key, None)
 
-    @rule(index=VICTIMS)
+    @rule(index=AFFECTED_HOSTS)
     @precondition(lambda self: not self.cut)
     def restart(self, index: int | None) -> None:
-        """Replace a host; its sockets close with its process."""
+        """Restart a host; its sockets close with its process."""
         if index is None:
             return
         self.open = {key: at for key, at in self.open.items() if key[0] != index}
@@ -538,10 +541,9 @@
 
     @invariant()
     def the_limit_holds(self) -> None:
-        """
-        Symptom: the endpoint refuses connections, also to hosts within their share.
-        Sequence: whatever the rules do.
-        Cause: a place counted as free by one host and as its own by another.
+        """The endpoint refused connections to hosts within their share.
+
+        Two hosts used the same slot.
         """
         assert len(self.open) <= LIMIT
         taken = Counter(self.owners[key] for key in self.open)
--- a/tests/core/systems/test_pooling.py
+++ b/tests/core/systems/test_pooling.py
@@ -33,7 +33,7 @@
 
 
 def _warm(host: PoolHost, connections: int) -> list[int]:
-    """Have a host open connections by demand; return their numbers."""
+    """Open connections of a host by demand; return their numbers."""
     for _ in range(connections):
         host.request()
     host.open_all()
@@ -50,7 +50,7 @@
 # -- Statements --------------------------------------------------------------
 
 
-def test_a_statement_waits_for_the_first_connection_and_the_next_one_reuses_it():
+def test_first_statement_opens_a_connection_and_the_second_reuses_it():
     host = PoolHost()
     first = host.request()
     host.open_all()
@@ -63,10 +63,10 @@
 
 
 def test_late_crossed_and_repeated_replies_reach_nobody():
-    """
-    Symptom: a caller gets rows that belong to another's statement.
-    Sequence: replies come with an old sequence, on a closed connection and twice.
-    Cause: a reply handed on by its connection alone.
+    """A caller received rows of another caller's statement.
+
+    Replies arrived with an old sequence, on a closed connection and twice, and were
+    forwarded to the user of their connection.
     """
     host = PoolHost()
     _warm(host, 1)
@@ -87,11 +87,11 @@
     }
 
 
-def test_a_connection_whose_statement_was_given_up_waits_for_its_reply():
-    """
-    Symptom: a caller gets the answer of a request that another gave up.
-    Sequence: a request is cancelled after it was sent; another one is waiting.
-    Cause: the connection given to the next one while it still owes a reply.
+def test_connection_of_a_cancelled_statement_is_not_reused_before_the_reply():
+    """A caller received the reply to a request that another caller had cancelled.
+
+    The request was cancelled after it had been sent, and its connection was granted to
+    the next request before the reply.
     """
     host = PoolHost(limit=4)
     _warm(host, 1)
@@ -107,7 +107,7 @@
     assert host.requests.replies[-1][0] != given_up.number
 
 
-def test_a_given_up_connection_that_never_answers_is_closed():
+def test_connection_of_a_cancelled_statement_without_a_reply_is_closed():
     host = PoolHost(limit=4)
     (number,) = _warm(host, 1)
     host.pooling.cancel(host.request())
@@ -117,10 +117,10 @@
 
 
 def test_statements_of_a_transaction_keep_its_connection_to_themselves():
-    """
-    Symptom: statements of two transactions run in one.
-    Sequence: a transaction is between two statements; another request comes.
-    Cause: a pinned connection taken for an idle one.
+    """Statements of two transactions ran in one.
+
+    A transaction was between two statements when another request came. Its pinned
+    connection was treated as idle.
     """
     host = PoolHost(limit=4)
     (number,) = _warm(host, 1)
@@ -150,11 +150,11 @@
     assert host.requests.granted[-1] == (waiting.number, number)
 
 
-def test_a_statement_behind_a_keep_alive_is_sent_when_that_is_answered():
-    """
-    Symptom: a transaction breaks with BAD_CALL though its caller did all right.
-    Sequence: a statement is sent while a keep-alive is in flight.
-    Cause: two calls at once on a connection that takes one.
+def test_statement_during_a_keep_alive_is_sent_after_the_reply():
+    """A transaction failed with BAD_CALL although its caller had made no error.
+
+    A statement was sent while a keep-alive was in flight on the connection, which takes
+    one call at a time.
     """
     host = PoolHost(limit=4)
     (number,) = _warm(host, 1)
@@ -175,11 +175,13 @@
 
 
 @pytest.mark.parametrize("ending", ["given up", "rolled back", "held back"])
-def test_a_connection_that_ends_in_an_odd_way_is_not_counted_as_in_use(ending: str):
-    """
-    Symptom: a host runs fewer and fewer statements at once, at last none.
-    Sequence: a connection runs out before its reset, or is lost with a call held.
-    Cause: the count of connections in use lowered twice, or not at all.
+def test_connection_that_ends_during_an_internal_call_is_not_counted_active(
+    ending: str,
+):
+    """A host ran fewer and fewer statements at the same time, in the end none.
+
+    The connection expired before its reset, or was lost with a deferred call. The count
+    of active connections was then lowered twice or not at all.
     """
     host = PoolHost(limit=4)
     (number,) = _warm(host, 1)
@@ -208,11 +210,11 @@
 # -- Opening -----------------------------------------------------------------
 
 
-def test_many_waiting_requests_open_few_connections_at_once():
-    """
-    Symptom: an endpoint that comes back is flooded with connections.
-    Sequence: fifty requests wait; the host's share has room for sixteen.
-    Cause: one opening for each waiting request.
+def test_many_queued_requests_open_few_connections_at_a_time():
+    """An endpoint that came back was flooded with connections.
+
+    One connection was opened for each of fifty queued requests, up to the host's share
+    of sixteen.
     """
     host = PoolHost(limit=64)
     for _ in range(50):
@@ -223,14 +225,14 @@
     assert len(host.pool.opening) == 0
 
 
-def test_one_more_waiting_request_than_opening_opens_one_more():
+def test_one_queued_request_opens_one_connection():
     host = PoolHost(limit=64)
     host.request()
     assert len(host.opened()) == 1
 
 
 def _in_use_with_spares(host: PoolHost, statements: int) -> int:
-    """Begin statements one after another; return how many connections are open."""
+    """Start statements one after another; return the number of open connections."""
     for _ in range(statements):
         host.request()
         host.open_all()
@@ -238,10 +240,10 @@
 
 
 def test_one_connection_is_opened_ahead_of_demand():
-    """
-    Symptom: whenever load rises, single statements take a connection's setup longer.
-    Sequence: all connections are in use; one more request comes.
-    Cause: a connection was opened only once a request waited for it.
+    """Whenever the load rose, single statements waited for a connection to be opened.
+
+    All connections were in use when one more request came, and only then another
+    connection was opened.
     """
     host = PoolHost(limit=64)
     assert _in_use_with_spares(host, 3) == 4
@@ -251,18 +253,18 @@
     assert not host.pool.opening.entries
 
 
-def test_no_connection_is_opened_ahead_of_statements_that_may_not_run():
+def test_no_spare_connection_is_opened_beyond_the_statement_limit():
     assert _in_use_with_spares(PoolHost(limit=64, concurrent=8), 2) == 2
 
 
-def test_no_connection_is_opened_ahead_from_the_part_that_others_may_borrow():
+def test_no_spare_connection_is_opened_in_the_lendable_share():
     host = PoolHost(limit=16)
     kept = host.pool.own_share - host.pool.lendable_share
     assert _in_use_with_spares(host, kept) == kept
 
 
 def _open_first(host: PoolHost) -> int:
-    """Open a first connection; return the number of the spare that is being opened."""
+    """Open a connection; return the number of the spare one that is being opened."""
     host.request()
     (first,) = host.pool.opening.numbers()
     host.handle(ConnectionOpened(first))
@@ -279,7 +281,7 @@
     assert host.pool.opening.numbers() == [spare]
 
 
-def test_nothing_is_opened_ahead_in_a_drain_or_in_the_place_of_a_silent_one():
+def test_no_spare_connection_is_opened_in_a_drain_or_a_silent_slot():
     host = PoolHost(limit=64)
     _warm(host, 1)
     host.pool.silent_slots.append(host.now + 1.0)
@@ -291,17 +293,17 @@
     host.publish(DrainBegan(host.now + 20.0))
     host.reply_all()
     host.request()
-    (opening,) = host.pool.opening.numbers()  # for the request that waits
+    (opening,) = host.pool.opening.numbers()  # for the queued request
     host.handle(ConnectionOpened(opening))
     assert not host.pool.opening.entries
 
 
 @pytest.mark.parametrize("full", [False, True])
-def test_nothing_is_opened_ahead_at_an_endpoint_that_refuses(full: bool):
-    """
-    Symptom: an endpoint that has no room is asked again with each statement.
-    Sequence: the opening of a spare connection is refused.
-    Cause: the pause after refusals held for waiting requests only.
+def test_no_spare_connection_is_opened_during_the_backoff(full: bool):
+    """Each statement opened a connection to an endpoint that refused connections.
+
+    The endpoint had refused a spare connection, and the backoff applied only to
+    connections for queued requests.
     """
     host = PoolHost(limit=64)
     spare = _open_first(host)
@@ -314,11 +316,11 @@
     assert host.opened() == []
 
 
-def test_a_full_endpoint_is_left_alone_for_a_while():
-    """
-    Symptom: hosts keep asking a full endpoint and none of them gets on.
-    Sequence: an opening is refused because of the limit; requests still wait.
-    Cause: the share taken as a right to try again at once.
+def test_no_connection_is_opened_for_a_while_after_the_limit_was_reached():
+    """Hosts kept opening connections to an endpoint that had reached its limit.
+
+    Requests were queued after a refusal, and since the host was within its share it
+    tried again at once.
     """
     host = PoolHost(limit=16)
     _warm(host, 2)
@@ -335,7 +337,7 @@
     assert host.opened() != []
 
 
-def test_requests_at_an_endpoint_that_cannot_be_reached_are_given_back():
+def test_requests_queued_for_an_unreachable_endpoint_are_refused():
     host = PoolHost()
     request = host.request()
     (number,) = host.opened()
@@ -344,7 +346,7 @@
     assert (refused, code) == (request.number, ErrorCode.CONNECTION_LOST.code)
 
 
-def test_an_opening_that_is_never_answered_is_given_up():
+def test_connection_whose_opening_is_never_answered_is_closed():
     host = PoolHost()
     host.request()
     (number,) = host.opened()
@@ -353,14 +355,14 @@
     assert host.requests.refused
 
 
-# -- Silence and expiry ------------------------------------------------------
+# -- Silent and expired connections -------------------------------------------
 
 
 def test_a_paused_host_does_not_use_connections_that_ran_out_meanwhile():
-    """
-    Symptom: a statement goes to a connection that the endpoint gave to another.
-    Sequence: the host stands still for longer than the time to live, then wakes.
-    Cause: idle connections trusted without a look at the clock.
+    """A statement was sent on a connection whose slot already belonged to another host.
+
+    The host had been paused for longer than the time to live, and used its idle
+    connections without a check of their expiry.
     """
     host = PoolHost()
     numbers = _warm(host, 2)
@@ -370,7 +372,7 @@
     assert host.calls(ExecuteCall) == []
 
 
-def test_a_statement_in_a_transaction_is_not_sent_after_a_pause():
+def test_statement_in_a_transaction_is_not_sent_on_an_expired_connection():
     host = PoolHost()
     (number,) = _warm(host, 1)
     host.requests.hold = True
@@ -385,12 +387,11 @@
     assert host.requests.lost == [(request.number, "expired, call not sent")]
 
 
-def test_a_transaction_whose_connection_ran_out_between_its_calls_is_told():
-    """
-    Symptom: KeyError at the next statement of a transaction; no answer to it.
-    Sequence: the host stands still for a connection's whole life, then wakes and is
-    about to send the transaction's keep-alive.
-    Cause: an expired connection was closed as one that nobody uses.
+def test_transaction_whose_connection_expires_between_its_calls_is_ended():
+    """The next statement of a transaction raised KeyError and was not answered.
+
+    The host had been paused for the connection's time to live. When it was about to
+    send the transaction's keep-alive, it closed the connection as an unused one.
     """
     host = PoolHost()
     (number,) = _warm(host, 1)
@@ -402,18 +403,18 @@
     assert host.transactions.lost == [("t1", "expired")]
 
 
-def test_a_silent_connection_is_replaced_and_others_of_its_age_prove_themselves():
-    """
-    Symptom: request after request waits in vain on connections that are dead.
-    Sequence: a device between both ends forgets its connections; new ones work.
-    Cause: the other old connections used as if nothing had been learnt.
+def test_silent_connection_is_replaced_and_others_of_its_age_are_checked():
+    """Several requests in turn timed out on dead connections.
+
+    A network device dropped the state of its connections; new ones worked. After the
+    first silent connection, the others of the same age were used without a check.
     """
     host = PoolHost(limit=16)
     numbers = _warm(host, 3)
     request = host.request()
     used = host.requests.granted[-1][1]
     host.effects.clear()
-    # Keep-alives of idle ones go unanswered as well: only the finding counts here.
+    # Keep-alives on the idle connections are not answered either.
     host.wait_until(lambda: host.requests.lost)
     assert host.requests.lost == [(request.number, "silent")]
     host.request()
@@ -423,11 +424,11 @@
     assert host.requests.granted[-1][1] not in numbers
 
 
-def test_old_idle_connections_are_checked_before_use_after_a_silence():
-    """
-    Symptom: each old connection costs one more request its whole wait.
-    Sequence: one connection goes silent before any keep-alive was due.
-    Cause: as above; this is the check at the moment of the finding.
+def test_old_idle_connections_are_checked_once_a_connection_is_silent():
+    """Each old connection cost one more request its full timeout.
+
+    As in the previous test, but the first silent connection was detected before any
+    keep-alive was due.
     """
     host = PoolHost(limit=16)
     numbers = _warm(host, 3)
@@ -442,11 +443,11 @@
     assert set(numbers) <= host.closed()
 
 
-def test_connections_outlast_an_endpoint_that_stands_still_for_a_moment():
-    """
-    Symptom: a storm of openings after each short stall of an endpoint.
-    Sequence: nothing is heard from the endpoint, on any stream, then all answers.
-    Cause: an unanswered keep-alive taken for the loss of that one connection.
+def test_connections_are_kept_during_a_short_pause_of_the_endpoint():
+    """Hosts reopened all connections after each short pause of an endpoint.
+
+    For a while the endpoint replied on no connection and no stream, and each unanswered
+    keep-alive was treated as the loss of its connection.
     """
     host = PoolHost(limit=16)
     host.report(connections=2, limit=16)
@@ -456,11 +457,10 @@
     assert set(host.pool.idle) == set(numbers)
 
 
-def test_a_silent_connection_keeps_its_place_until_the_endpoint_shows_room():
-    """
-    Symptom: another host is refused within its share.
-    Sequence: a connection goes silent; the endpoint still counts it.
-    Cause: its place filled again before the endpoint has let go of it.
+def test_slot_of_a_silent_connection_is_not_reused_while_the_endpoint_counts_it():
+    """An endpoint refused a connection to another host within its share.
+
+    This host replaced a silent connection that the endpoint still counted.
     """
     host = PoolHost(limit=4)
     (number,) = _warm(host, 1)
@@ -473,11 +473,11 @@
     assert len(host.opened()) == 1
 
 
-def test_a_short_pause_does_not_make_answered_connections_silent():
-    """
-    Symptom: statements are lost when a host was stopped for some seconds.
-    Sequence: the host stands still past the silence limit; replies wait unread.
-    Cause: timers run before the replies are read.
+def test_short_pause_of_a_host_does_not_make_its_connections_silent():
+    """Statements were lost when a host was paused for some seconds.
+
+    The pause was longer than the limit of silence. After the pause, the host ran its
+    timers before it read the replies.
     """
     host = PoolHost()
     _warm(host, 1)
@@ -488,7 +488,7 @@
     assert host.requests.replies[-1][0] == request.number
 
 
-def test_idle_connections_are_prolonged_before_they_run_out():
+def test_idle_connections_are_kept_alive_before_they_expire():
     host = PoolHost()
     numbers = _warm(host, 1)
     for _ in range(300):
@@ -498,7 +498,7 @@
     assert host.opened() == []
 
 
-def test_connections_that_demand_left_are_closed_but_for_a_warm_one():
+def test_unused_connections_are_closed_except_one():
     host = PoolHost(limit=32)
     _warm(host, 4)
     for _ in range(10 * int(host.node.tuning.connection_idle)):
@@ -507,7 +507,7 @@
     assert len(host.pool.connections) == 1
 
 
-def test_a_broken_connection_tells_the_request_that_used_it():
+def test_user_of_a_broken_connection_is_notified():
     host = PoolHost()
     (number,) = _warm(host, 1)
     request = host.request()
@@ -520,7 +520,7 @@
 # -- Limits and classes ------------------------------------------------------
 
 
-def test_statements_in_flight_stay_within_the_part_of_the_limit():
+def test_statements_in_flight_stay_within_the_share_of_the_limit():
     host = PoolHost(limit=32, concurrent=8)
     _warm(host, 4)
     for _ in range(5):
@@ -528,11 +528,11 @@
     assert len(host.calls(ExecuteCall)) == 2
 
 
-def test_a_patient_class_leaves_the_last_connection_to_others_but_runs():
-    """
-    Symptom: a caseworker waits for a whole reconciliation statement.
-    Sequence: reconciliation has more requests than there are connections.
-    Cause: the patient class takes the last free connection.
+def test_patient_class_runs_but_leaves_the_last_connection_to_others():
+    """A request waited for a whole statement of a patient class.
+
+    The patient class had more requests than there were connections, and took the last
+    free connection.
     """
     host = PoolHost(limit=8)
     _warm(host, 2)
@@ -543,11 +543,11 @@
     assert len(host.calls(ExecuteCall)) == 2
 
 
-def test_a_patient_class_runs_where_there_is_one_connection_in_all():
-    """
-    Symptom: reconciliation never runs through hosts with a share of one.
-    Sequence: only the patient class asks; the one connection is free.
-    Cause: the last free connection kept for others also when nothing runs.
+def test_patient_class_runs_where_there_is_only_one_connection():
+    """Requests of a patient class never ran at hosts with a share of one.
+
+    The only connection was free, and no other class had requests. The last free
+    connection was kept for other classes even when no statement ran.
     """
     host = PoolHost(limit=4)
     _warm(host, 1)
@@ -555,7 +555,7 @@
     assert len(host.calls(ExecuteCall)) == 1
 
 
-# -- Endpoints and this host leave -------------------------------------------
+# -- Leaving endpoints, and drain ----------------------------------------------
 
 
 def test_a_leaving_endpoint_gets_no_new_work_and_gives_back_what_waits():
@@ -575,7 +575,7 @@
     assert host.opened() == [] and len(host.requests.refused) == 2
 
 
-def test_writes_that_wait_at_a_replaced_primary_are_given_back():
+def test_writes_queued_for_a_replaced_primary_are_refused():
     host = PoolHost(limit=4)
     _warm(host, 1)
     host.request()
@@ -585,7 +585,7 @@
     assert [number for number, *_ in host.requests.refused] == [write.number]
 
 
-def test_a_drain_closes_idle_connections_and_still_serves_what_is_in_flight():
+def test_drain_closes_idle_connections_but_serves_requests_in_flight():
     host = PoolHost(limit=16)
     _warm(host, 2)
     host.request()
@@ -599,7 +599,7 @@
 
 
 @pytest.mark.parametrize("deadline", [0.5])
-def test_a_request_that_expired_in_the_queue_is_not_sent(deadline: float):
+def test_request_that_expires_in_the_queue_is_not_sent(deadline: float):
     host = PoolHost(limit=4)
     _warm(host, 1)
     host.request()
--- a/tests/core/systems/test_pooling_machine.py
+++ b/tests/core/systems/test_pooling_machine.py
@@ -1,4 +1,4 @@
-"""Fuzz one host's pool against a simple oracle: who may be told what, and counts."""
+"""Fuzz the pool of one host: recipients of replies, and counts of connections."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 
 class Pool(RuleBasedStateMachine):
-    """Use, lose, pause and give up; replies come late, twice and crossed."""
+    """A pool whose replies arrive late, twice or on other connections, with faults."""
 
     def __init__(self) -> None:
         super().__init__()
         self.host = PoolHost(limit=12, queue_length=40)
         self.rows: dict[int, RequestRow] = {}
-        self.sends: list[tuple[SendEndpoint, int]] = []  # and for whom
+        self.sends: list[tuple[SendEndpoint, int]] = []  # with the request, or 0
         self.answered: list[SendEndpoint] = []
 
     def take_sends(self) -> None:
-        """Note for whom each statement was sent, as the endpoint would see it."""
+        """Record the calls that were sent, with the requests of statements."""
         host = self.host
         host.flush()
         for sent in host.calls():
@@ -44,7 +44,7 @@
 
     @initialize()
     def warm_up(self) -> None:
-        """Begin with open connections, all in use, at a member that can be asked."""
+        """Start with open connections, all in use; keep-alives work during calls."""
         self.host.report(connections=0, limit=12, keep_alive_while_busy=True)
         for _ in range(2):
             self.request("caseworker", "a", 3)
@@ -78,8 +78,8 @@
         before = len(requests.replies)
         for _ in range(1 + again):
             self.host.reply(sent, last=last)
-        told = {number for number, _ in requests.replies[before:]}
-        assert told <= {request}, "a reply reached another request than its own"
+        recipients = {number for number, _ in requests.replies[before:]}
+        assert recipients <= {request}, "a reply was forwarded to another request"
         if last:
             self.sends.remove((sent, request))
         self.take_sends()
@@ -114,7 +114,7 @@
         self.take_sends()
 
     def statement(self) -> RequestRow:
-        """Make a request that goes to a connection without waiting for one."""
+        """Return a request that is sent on a connection without being queued."""
         row = self.host.request()
         self.host.pooling.cancel(row)
         row.connection = 0
@@ -134,8 +134,8 @@
 
     @precondition(lambda self: self.host.pool.in_flight.entries)
     @rule(pick=PICK)
-    def ask(self, pick: int) -> None:
-        """Ask a connection beside its call, as a request that waits long does."""
+    def check_connection(self, pick: int) -> None:
+        """Check a connection with a call in flight, as for an overdue request."""
         numbers = self.host.pool.in_flight.numbers()
         connection = self.host.node.tables.connections[numbers[pick % len(numbers)]]
         self.host.node.timers.advance(self.host.now)
@@ -143,27 +143,27 @@
         self.take_sends()
 
     @invariant()
-    def only_calls_in_flight_are_late(self) -> None:
+    def only_calls_in_flight_are_overdue(self) -> None:
         pool = self.host.pool
         assert set(pool.busy_keep_alives) <= set(pool.in_flight.entries)
         assert set(pool.overdue.entries) <= set(pool.in_flight.entries)
 
     @invariant()
-    def each_connection_is_in_one_place(self) -> None:
+    def each_connection_is_in_one_state(self) -> None:
         pool = self.host.pool
         counted = [row for row in pool.connections.values() if pool.is_active(row)]
         assert pool.active_count == len(counted)
         for number, row in pool.connections.items():
-            places = [
+            states = [
                 number in pool.idle,
                 number in pool.pinned,
                 number in pool.opening,
                 row.state is ConnectionState.BUSY,
             ]
-            assert sum(places) == 1, (row, places)
+            assert sum(states) == 1, (row, states)
         users = [row.request for row in pool.connections.values() if row.request]
-        waiting = list(pool.queue.entries)
-        assert not set(users) & set(waiting)
+        queued = list(pool.queue.entries)
+        assert not set(users) & set(queued)
         assert pool.own_count <= pool.own_share
 
 
--- a/tests/core/systems/test_positionawaits.py
+++ b/tests/core/systems/test_positionawaits.py
@@ -1,4 +1,4 @@
-"""Waiting for a majority by asking members for places, in place of watching moves."""
+"""Tests of mallowpass.core.systems.positionawaits."""
 
 from __future__ import annotations
 
@@ -29,19 +29,19 @@
     return scene
 
 
-def answer(scene: Scene, place: LogPosition, **fields) -> None:
+def answer(scene: Scene, position: LogPosition, **fields) -> None:
     reply = EndpointReply(
-        sequence=1, code=EndpointCode.OK, applied=place, term=place.term
+        sequence=1, code=EndpointCode.OK, applied=position, term=position.term
     )
     for name, value in fields.items():
         object.__setattr__(reply, name, value)
     scene.host.handle(EndpointReplied(9, reply))
 
 
-def wait_held(scene: Scene, place: LogPosition) -> list[bool]:
+def wait_held(scene: Scene, position: LogPosition) -> list[bool]:
     results: list[bool] = []
     liveness = scene.host.system(Liveness)
-    scene.host.do(liveness.wait_held, scene.row(), place, results.append)
+    scene.host.do(liveness.wait_held, scene.row(), position, results.append)
     return results
 
 
@@ -49,27 +49,29 @@
     return scene.host.system(Liveness).traffic.calls
 
 
-def sent(scene: Scene, monkeypatch) -> list[tuple[str, LogPosition]]:
-    """Note from now on who is asked for which place."""
-    asked: list[tuple[str, LogPosition]] = []
+def record_calls(scene: Scene, monkeypatch) -> list[tuple[str, LogPosition]]:
+    """Record the calls for positions from now on: the member and the position."""
+    calls: list[tuple[str, LogPosition]] = []
     control = scene.host.system(Liveness)._control
     call = type(control).call
 
-    def noting(self, address, message, callback, timeout) -> None:
+    def recording_call(self, address, message, callback, timeout) -> None:
         if isinstance(message, AwaitPositionCall):
-            asked.append((address, message.place))
+            calls.append((address, message.place))
         call(self, address, message, callback, timeout)
 
-    monkeypatch.setattr(type(control), "call", noting)
-    return asked
+    monkeypatch.setattr(type(control), "call", recording_call)
+    return calls
 
 
-def test_write_is_held_by_its_answer_and_one_members(scene, monkeypatch):
-    asked = sent(scene, monkeypatch)
-    place = write(scene)
-    answer(scene, place)
-    results = wait_held(scene, place)
-    assert [address for address, _ in asked] == ["b:1", "c:1"]
+def test_write_is_held_after_the_replies_of_the_primary_and_one_replica(
+    scene, monkeypatch
+):
+    calls = record_calls(scene, monkeypatch)
+    position = write(scene)
+    answer(scene, position)
+    results = wait_held(scene, position)
+    assert [address for address, _ in calls] == ["b:1", "c:1"]
     scene.world.run_till(lambda: results, 0.005)
     assert results == [True]
 
@@ -77,34 +79,35 @@
 @pytest.mark.parametrize(
     "fields", [{"term": 2}, {"code": EndpointCode.ALREADY_RUN}, {"sequence": 7}]
 )
-def test_only_a_members_own_word_in_its_term_counts(scene, fields):
-    """Symptom: an acknowledged write is gone after a promotion.
-    Sequence: a primary that promised a higher term, or another call's late answer,
-    names a place; one replica has it.
-    Cause: an answer that proves less than a report was counted as one.
+def test_only_a_reply_to_the_write_in_its_term_counts_as_a_report(scene, fields):
+    """An acknowledged write was lost in a promotion.
+
+    A reply that proves less than a report counted as a report: one of a primary that
+    had promised a higher term, or a late one to another call.
     """
     scene.links.cut("h0", "a")
     scene.links.cut("h0", "c")
-    place = write(scene)
+    position = write(scene)
     scene.world.run(0.01)
-    answer(scene, place, **fields)
-    results = wait_held(scene, place)
+    answer(scene, position, **fields)
+    results = wait_held(scene, position)
     scene.world.run(0.05)
     assert not results
 
 
-def test_others_writes_cost_a_writing_host_nothing(scene):
-    """Symptom: a host that writes once a second gets 27 KB/s of reports.
-    Sequence: other hosts write 100 times a second to the same group.
-    Cause: it watched each move of the log for the sake of its own write.
+def test_writes_of_other_hosts_cause_no_traffic_to_a_writing_host(scene):
+    """A host that wrote once a second received 27 KB/s of reports.
+
+    Other hosts wrote 100 times a second to the same group, and the host watched each
+    change of the log position to acknowledge its own writes.
     """
     spent = []
     for others in (0, 100):
         before = scene.host.system(Liveness).traffic.bytes
         for _ in range(10):
-            place = write(scene)
-            answer(scene, place)
-            wait_held(scene, place)
+            position = write(scene)
+            answer(scene, position)
+            wait_held(scene, position)
             for _ in range(others):
                 write(scene)
                 scene.world.run(1.0 / others)
@@ -114,79 +117,83 @@
     assert spent[1] <= spent[0] * 1.1
 
 
-def test_member_is_asked_for_the_highest_place_once_in_a_while(scene, monkeypatch):
-    asked = sent(scene, monkeypatch)
+def test_calls_to_a_member_are_combined_into_one_for_the_highest_position(
+    scene, monkeypatch
+):
+    calls = record_calls(scene, monkeypatch)
     results = []
     for _ in range(20):
-        place = write(scene)
-        answer(scene, place)
-        results.append(wait_held(scene, place))
+        position = write(scene)
+        answer(scene, position)
+        results.append(wait_held(scene, position))
         scene.world.run(0.0005)
     scene.world.run_till(lambda: all(results), 0.05)
-    assert len([place for address, place in asked if address == "b:1"]) <= 4
+    assert len([position for address, position in calls if address == "b:1"]) <= 4
+
 
+def test_number_of_unanswered_calls_to_a_member_is_limited(scene):
+    """A replica that was cut off ran out of memory.
 
-def test_cut_off_member_is_asked_no_more_than_it_may_have_to_remember(scene):
-    """Symptom: a replica that is cut off runs out of memory.
-    Sequence: hosts write for hours; it never reaches what they ask it for.
-    Cause: each write left one more call with it.
+    Hosts wrote for hours. Each write left a call at the replica, which never reached
+    the position.
     """
     scene.links.cut("a", "b")
     for _ in range(100):
-        place = write(scene)
-        answer(scene, place)
-        wait_held(scene, place)
+        position = write(scene)
+        answer(scene, position)
+        wait_held(scene, position)
         scene.world.run(0.006)
     streams = scene.group._streams.values()
     waiting = [len(stream.awaited) for stream in streams if stream.member.name == "b"]
     assert sum(waiting) == positionawaits.OUTSTANDING_MAX
 
 
-def test_members_that_do_not_know_the_call_are_watched(scene):
+def test_members_that_do_not_support_the_call_are_watched(scene):
     for member in scene.group.members.values():
         member.answers_await = False
     scene.world.run(5.0)
     for _ in range(2):
-        place = write(scene)
-        results = wait_held(scene, place)
+        position = write(scene)
+        results = wait_held(scene, position)
         scene.world.run_till(lambda results=results: results, 0.02)
     view = scene.host.system(Liveness)._views[KEY]
     assert not view.awaits_places
 
 
-def test_writes_are_not_awaited_where_that_takes_longer():
-    """Symptom: acknowledgements 16 ms later than by watching.
-    Sequence: five members; only one is near this host, and the primary is not: the
-    call to the others leaves when the primary's answer has come.
-    Cause: asking was taken to be as fast everywhere.
+def test_members_are_watched_where_asking_takes_longer():
+    """Acknowledgements came 16 ms later than with watching.
+
+    Of five members, only one was near this host, and the primary was not: calls to the
+    other members leave when the primary has replied.
     """
     scene = Scene(hosts=3, members=5, between=0.008)
     scene.run_till_serving()
-    ways = {}
+    results = {}
     for name, host in scene.world.hosts.items():
-        place = write(scene)
-        host.do(host.system(Liveness).wait_held, scene.row(name), place, bool)
-        ways[name] = host.system(Liveness)._views[KEY].awaits_places
-    assert ways == {"h0": True, "h1": True, "h2": False}
+        position = write(scene)
+        host.do(host.system(Liveness).wait_held, scene.row(name), position, bool)
+        results[name] = host.system(Liveness)._views[KEY].awaits_places
+    assert results == {"h0": True, "h1": True, "h2": False}
 
 
-def test_member_that_is_down_does_not_count_as_near():
+def test_crashed_member_does_not_count_as_near():
     scene = Scene(hosts=3, between=0.012)
     scene.run_till_serving()
     scene.group.crash("b")
     scene.world.run(5.0)
     host = scene.world.hosts["h1"]  # in b's domain
-    place = write(scene)
-    host.do(host.system(Liveness).wait_held, scene.row("h1"), place, bool)
+    position = write(scene)
+    host.do(host.system(Liveness).wait_held, scene.row("h1"), position, bool)
     assert not host.system(Liveness)._views[KEY].awaits_places
 
 
-def test_waits_from_before_the_members_were_asked_are_asked_for(scene, monkeypatch):
-    """Symptom: one write is acknowledged half a second after the next.
-    Sequence: it waits by watching; then members are asked, for a lower place.
-    Cause: they were asked for the newest wait's place, not for the highest.
+def test_members_are_asked_for_positions_that_were_watched_before(scene, monkeypatch):
+    """A write was acknowledged half a second after the next one.
+
+    It waited by watching, then the members were asked for a lower position: that of
+    the newest wait, not the highest.
     """
-    asked = sent(scene, monkeypatch)
+    calls = record_calls(scene, monkeypatch)
     low, high = write(scene), write(scene)
     with monkeypatch.context() as patched:
         patched.setattr(
@@ -195,6 +202,6 @@
             property(lambda _: False),
         )
         wait_held(scene, high)
-    assert not asked
+    assert not calls
     wait_held(scene, low)
-    assert {place for _, place in asked} == {high}
+    assert {position for _, position in calls} == {high}
--- a/tests/core/systems/test_requestreuse.py
+++ b/tests/core/systems/test_requestreuse.py
@@ -52,7 +52,7 @@
     assert one != other
 
 
-def test_memory_of_ids_is_bounded_and_keeps_the_newest():
+def test_number_of_kept_ids_is_bounded_and_the_newest_are_kept():
     recent = RecentRequests(OrderedDict())
     for number in range(RECENT_MAX + 1):
         assert not recent.is_reused(str(number), b"first")
--- a/tests/core/systems/test_shares.py
+++ b/tests/core/systems/test_shares.py
@@ -29,10 +29,10 @@
 def test_the_shares_of_all_seats_are_the_limit_and_differ_by_one(
     limit: int, domains: list[FailureDomain], address: str
 ):
-    """
-    Symptom: an endpoint refuses a host that is within its share.
-    Sequence: each host computes its share by itself, from the same settings.
-    Cause: shares that overlap, through rounding, ties or a domain listed twice.
+    """An endpoint refused a connection to a host within its share.
+
+    Each host computes its share by itself. The shares overlapped because of rounding,
+    ties or a domain that was listed twice.
     """
     shares = _all_shares(limit, domains, address)
     if shares:
@@ -41,7 +41,7 @@
 
 
 @given(st.integers(0, 100), DOMAINS, ADDRESSES)
-def test_a_higher_limit_takes_a_connection_from_no_seat(
+def test_higher_limit_lowers_the_share_of_no_seat(
     limit: int, domains: list[FailureDomain], address: str
 ):
     before = _all_shares(limit, domains, address)
@@ -49,13 +49,13 @@
     assert all(old <= new for old, new in zip(before, after, strict=True))
 
 
-def test_a_seat_beyond_the_settings_has_nothing():
+def test_seat_outside_the_settings_has_no_share():
     domains = [FailureDomain("casa-ainsebaa", "", 2)]
     assert static_share(9, domains, "a", "casa-ainsebaa", 2) == 0
     assert static_share(9, domains, "a", "elsewhere", 0) == 0
 
 
-def test_endpoints_favour_different_seats():
+def test_remainder_goes_to_different_seats_at_different_endpoints():
     domains = [FailureDomain(name, "", 3) for name in NAMES[:3]]
     favoured = {
         tuple(_all_shares(1, domains, f"127.0.0.1:{port}")).index(1)
@@ -65,5 +65,5 @@
 
 
 @given(st.integers(0, 100), st.booleans())
-def test_what_may_be_lent_is_part_of_the_share(share: int, scarce: bool):
+def test_lendable_share_is_part_of_the_share(share: int, scarce: bool):
     assert 0 <= lendable_share(share, scarce) <= share
--- a/tests/core/systems/test_transactions.py
+++ b/tests/core/systems/test_transactions.py
@@ -1,4 +1,4 @@
-"""Transactions: one connection from begin to end, and one way to end."""
+"""Tests of mallowpass.core.systems.transactions and transactioncalls."""
 
 from __future__ import annotations
 
@@ -35,9 +35,10 @@
 
 
 def test_statements_run_one_at_a_time_on_one_connection(path):
-    """Symptom: statements of one transaction run in another order, or mixed.
-    Sequence: a caller sends three without waiting for the answers.
-    Cause: sent at once, the endpoint has two calls in flight on a connection.
+    """Statements of a transaction ran in the wrong order.
+
+    The caller sent three without waiting for the answers, and they were in flight on
+    the connection at the same time.
     """
     name = path.begin(1, "t")
     connection = path.sent.connection.number
@@ -53,9 +54,10 @@
 
 
 def test_commit_is_acknowledged_once_a_majority_holds_it(path):
-    """Symptom: an acknowledged transaction is gone after a failover.
-    Sequence: the primary commits, answers and dies before anybody has it.
-    Cause: a commit is a write like any other.
+    """An acknowledged transaction was lost in a failover.
+
+    The primary failed after it had replied to the commit and before a replica had
+    received it. A commit needs a majority, like any write.
     """
     name = path.begin(1, "t")
     path.commit(1, "c", name)
@@ -75,9 +77,10 @@
     ],
 )
 def test_lost_commit_is_looked_up_by_the_id_of_its_begin(path, state, outcome, code):
-    """Symptom: a committed transaction is answered NOT_RUN and run again.
-    Sequence: the connection breaks between the commit and its answer.
-    Cause: the endpoint rolls back what was not committed, but this may have been.
+    """A committed transaction was answered NOT_RUN, and its caller ran it again.
+
+    The connection was lost between the commit and the reply. The endpoint rolls back a
+    transaction without a commit, but this commit may have arrived.
     """
     name = path.begin(1, "t")
     path.commit(1, "c", name)
@@ -90,9 +93,10 @@
 
 
 def test_commit_on_a_silent_connection_is_looked_up_early(path):
-    """Symptom: single commits take three seconds while the primary answers others.
-    Sequence: something between the ends loses track of the commit's connection.
-    Cause: only pooling noticed, once the connection was silent for its whole time.
+    """Single commits took three seconds while the primary replied to others.
+
+    A network device dropped the state of the commit's connection. The commit was
+    looked up only after the full timeout of silent connections.
     """
     transaction = path.begin(1, "t")
     path.commit(1, "c", transaction)
@@ -107,10 +111,11 @@
 
 
 @pytest.mark.parametrize("answering", [False, True])
-def test_commit_at_a_primary_that_stands_still_or_works_is_left_alone(path, answering):
-    """Symptom: a short pause of the primary rolls all its commits back.
-    Sequence: it stands still with commits in flight; on waking it is asked first.
-    Cause: they were fenced as overdue, and what is fenced is not sent again.
+def test_commit_at_a_paused_or_busy_primary_is_not_fenced(path, answering):
+    """A short pause of the primary rolled back all commits in flight.
+
+    They were fenced as overdue: the primary handled the outcome calls first when it
+    continued, and a fenced commit is not sent again.
     """
     transaction = path.begin(1, "t")
     path.commit(1, "c", transaction)
@@ -135,9 +140,10 @@
 
 
 def test_transaction_of_another_session_is_refused(path):
-    """Symptom: a caller's statement runs inside somebody else's transaction.
-    Sequence: it guesses or copies the transaction's name.
-    Cause: the name alone would decide whose connection is used.
+    """A statement of a caller ran in a transaction of another caller.
+
+    The caller guessed or copied the name of the transaction, and the name alone
+    determined the connection.
     """
     name = path.begin(1, "t")
     path.open_known(2)
@@ -148,11 +154,11 @@
     assert len(path.pooling.sent) == 1
 
 
-def test_caller_that_leaves_has_its_transaction_rolled_back(path):
-    """Symptom: a connection and its locks are kept by nobody.
-    Sequence: a caller's stream ends in the middle of a transaction.
-    Cause: nobody else knows the transaction, so nobody would end it; and without
-    a reset the next user's statements would join it.
+def test_transaction_of_a_caller_that_disconnects_is_rolled_back(path):
+    """A connection and its locks stayed in use after their caller had disconnected.
+
+    No other caller can end the transaction. Without a reset, statements of the
+    connection's next user would run in the transaction.
     """
     path.begin(1, "t")
     path.leave(1)
@@ -160,7 +166,7 @@
     assert path.node.tables.transactions == {}
 
 
-def test_commit_under_way_is_not_cut_off_when_its_caller_leaves(path):
+def test_commit_in_flight_continues_when_its_caller_disconnects(path):
     name = path.begin(1, "t")
     path.commit(1, "c", name)
     path.leave(1)
@@ -172,9 +178,10 @@
 
 
 def test_idle_transaction_is_rolled_back_with_its_own_code(path):
-    """Symptom: all writers wait although nothing runs.
-    Sequence: a caller begins, writes, and goes silent without leaving.
-    Cause: its transaction keeps locks and one of the few connections.
+    """All writers waited although no statement ran.
+
+    A caller began a transaction, wrote, and then neither ended the transaction nor
+    disconnected. The transaction kept its locks and one of the few connections.
     """
     name = path.begin(1, "t")
     idle = path.node.tuning.transaction_idle
@@ -190,7 +197,7 @@
     assert _outcome(path, "c") == (Outcome.NOT_RUN, code)
 
 
-def test_transaction_that_ended_badly_leaves_a_reset_connection(path):
+def test_connection_of_a_failed_transaction_is_reset(path):
     name = path.begin(1, "t")
     path.write(1, "a", transaction=name)
     path.reply(EndpointCode.CONFLICT)
@@ -198,7 +205,7 @@
     assert path.pooling.released == [(path.sent.connection.number, True)]
 
 
-def test_bad_statement_does_not_end_its_transaction(path):
+def test_invalid_statement_does_not_end_its_transaction(path):
     name = path.begin(1, "t")
     path.write(1, "a", transaction=name)
     path.reply(EndpointCode.SQL_ERROR, message="no such table")
@@ -208,10 +215,11 @@
     assert _outcome(path, "b") == (Outcome.DONE, "")
 
 
-def test_promotion_ends_the_transactions_of_the_term_before(path):
-    """Symptom: statements hang on a primary that was replaced.
-    Sequence: m1 goes silent with a transaction open; m2 is promoted.
-    Cause: no commit in the old term can be acknowledged any more.
+def test_promotion_ends_the_transactions_of_the_previous_term(path):
+    """Statements waited on a primary that had been replaced.
+
+    m1 became silent during a transaction, and m2 was promoted. Commits of the previous
+    term can no longer be acknowledged.
     """
     name = path.begin(1, "t")
     path.write(1, "a", transaction=name)
@@ -220,10 +228,11 @@
     assert path.pooling.discarded == [path.sent.connection.number]
 
 
-def test_commit_of_an_unknown_transaction_is_not_called_not_run(path):
-    """Symptom: a committed transaction is answered NOT_RUN.
-    Sequence: a host dies after the commit; the caller asks again at another.
-    Cause: a host that does not know the transaction knows nothing of its outcome.
+def test_commit_of_an_unknown_transaction_is_answered_unknown(path):
+    """A committed transaction was answered NOT_RUN.
+
+    A host failed after the commit, and the caller repeated the commit at another host,
+    which did not know the transaction and its outcome.
     """
     path.commit(1, "c", "dead-host.1.7")
     code = ErrorCode.UNKNOWN_TRANSACTION.code
@@ -232,7 +241,7 @@
     assert _outcome(path, "a") == (Outcome.NOT_RUN, code)
 
 
-def test_begin_of_a_transaction_that_committed_before_tells_so(path):
+def test_begin_of_a_committed_transaction_is_answered_as_repeated(path):
     path.ask(1, BeginRequest(request_id="t", database=DATABASE, access=Access.WRITE))
     path.reply(EndpointCode.ALREADY_RUN, applied=(1, 6))
     path.hold(1, 6)
@@ -242,9 +251,10 @@
 
 
 def test_begin_with_the_id_of_a_statement_is_refused(path):
-    """Symptom: a commit is answered DONE, and nothing of the transaction is there.
-    Sequence: a caller uses the id of an earlier statement for its begin.
-    Cause: the endpoint finds the statement's record under the transaction's id.
+    """A commit was answered DONE, but the transaction had not been committed.
+
+    A caller used the id of an earlier statement for its begin, and the endpoint found
+    the record of the statement under the id of the transaction.
     """
     path.write(1, "t")
     path.reply(applied=(1, 7))
@@ -254,7 +264,7 @@
     assert len(path.pooling.sent) == 1
 
 
-def test_read_only_transaction_runs_on_a_replica_with_the_floor(path):
+def test_read_only_transaction_runs_on_a_replica_that_reached_the_floor(path):
     path.report("m2", (1, 5))
     path.read(1, "look")
     path.reply(applied=(1, 5))
@@ -271,11 +281,12 @@
     assert _outcome(path, "a") == (Outcome.NOT_RUN, code)
 
 
-def test_begin_on_a_primary_without_the_floor_is_not_used(path):
-    """Symptom: a transaction reads a ledger without the receipt just posted.
-    Sequence: the session wrote in term 2 through another host; this one still
-    takes m1 of term 1 for the primary, and so does m1.
-    Cause: the transaction's reads are checked by its begin alone.
+def test_begin_on_a_primary_below_the_floor_is_not_used(path):
+    """A transaction did not read the session's own previous write.
+
+    The session had written in term 2 through another host. This host, and m1 itself,
+    assumed that m1 was still the primary of term 1. Only the begin of a transaction
+    checks the floor of its reads.
     """
     path.open_known(2, floor=(2, 8))
     path.ask(2, BeginRequest(request_id="t", database=DATABASE, access=Access.WRITE))
@@ -285,11 +296,12 @@
     assert path.pooling.released == [(path.sent.connection.number, True)]
 
 
-def test_read_only_begin_that_proves_no_floor_leaves_a_reset_connection(path):
-    """Symptom: a transaction begins on a connection where another one is open.
-    Sequence: a replica restarts from an older log, and opens a read-only transaction
-    from (1, 4) for a session that has seen (1, 5).
-    Cause: the connection was given back as if the begin had been a statement.
+def test_connection_of_a_read_only_begin_below_the_floor_is_reset(path):
+    """A transaction began on a connection on which another one was open.
+
+    A replica that had restarted from an older log began a read-only transaction at
+    (1, 4) for a session that had seen (1, 5). The connection was released without a
+    reset, as after a statement.
     """
     path.report("m2", (1, 5))
     path.open_known(2, floor=(1, 5))
@@ -319,7 +331,7 @@
     assert _outcome(path, "c") == (Outcome.UNKNOWN, code)
 
 
-def test_rollback_gives_the_connection_back(path):
+def test_rollback_releases_the_connection(path):
     name = path.begin(1, "t")
     path.ask(1, RollbackRequest(request_id="r", transaction=name))
     path.reply()
@@ -329,7 +341,7 @@
     assert _outcome(path, "c") == (Outcome.NOT_RUN, ROLLED_BACK)
 
 
-def test_write_within_a_transaction_names_its_term(path):
+def test_write_within_a_transaction_carries_its_term(path):
     name = path.begin(1, "t")
     path.write(1, "a", transaction=name)
     assert isinstance(path.sent.call, ExecuteCall)
@@ -337,7 +349,7 @@
     assert path.sent.call.request_id == ""
 
 
-def test_begin_of_a_session_that_lost_its_floor_is_told_at_once(path):
+def test_begin_of_a_session_whose_floor_is_lost_is_refused(path):
     path.open_known(2, floor=(1, 9))
     path.promote("m2", term=2, start=7)
     path.ask(2, BeginRequest(request_id="t", database=DATABASE, access=Access.WRITE))
--- a/tests/core/systems/test_waitqueue.py
+++ b/tests/core/systems/test_waitqueue.py
@@ -31,11 +31,10 @@
     return taken
 
 
-def test_callers_take_turns_however_much_one_of_them_asks():
-    """
-    Symptom: one caller's burst makes all others of its class wait behind it.
-    Sequence: four requests of a, then one of b and one of c.
-    Cause: a line in order of arrival, without turns.
+def test_callers_take_turns_regardless_of_their_number_of_requests():
+    """A burst of one caller delayed the requests of all others of its class.
+
+    They were served in order of arrival, without turns.
     """
     queue = WaitQueue(WEIGHTS)
     for number, caller in enumerate("aaaabc"):
@@ -43,11 +42,10 @@
     assert _pop_all(queue) == [0, 4, 5, 1, 2, 3]
 
 
-def test_classes_share_by_weight_and_the_light_one_is_not_starved():
-    """
-    Symptom: the monthly reconciliation does not finish while people work.
-    Sequence: both classes always have requests in line.
-    Cause: strict order of classes, without a floor for the last one.
+def test_classes_share_by_weight_and_none_is_starved():
+    """A class of low weight was not served while another one always had requests.
+
+    Classes were served in strict order of priority.
     """
     queue = WaitQueue(WEIGHTS)
     for number in range(80):
@@ -57,11 +55,11 @@
     assert served == {"caseworker": 30, "reconciliation": 10}
 
 
-def test_shares_are_of_time_so_slow_statements_count_for_more():
-    """
-    Symptom: caseworkers wait although their class has the higher weight.
-    Sequence: reconciliation's statements keep a connection thirty times longer.
-    Cause: a share by number of requests leaves the slow class most of the time.
+def test_classes_share_connection_time_not_the_number_of_requests():
+    """A class of slow statements used the connections most of the time.
+
+    Its statements took thirty times as long, and each class got the same number of
+    requests.
     """
     queue = WaitQueue({"caseworker": 1, "reconciliation": 1})
     for _ in range(200):
@@ -74,11 +72,10 @@
     assert 1 <= served["reconciliation"] <= 3
 
 
-def test_a_class_that_was_idle_does_not_take_every_turn_when_it_comes():
-    """
-    Symptom: a class that slept at night takes all connections in the morning.
-    Sequence: one class is served a hundred times, then the other comes.
-    Cause: its unused turns were saved up.
+def test_idle_class_accumulates_no_credit():
+    """A class that had been idle took all connections when its requests came.
+
+    The turns that it had not used while the other class was served were saved up.
     """
     queue = WaitQueue({"caseworker": 1, "reconciliation": 1})
     for number in range(120):
@@ -92,21 +89,21 @@
 
 
 def test_cancelled_requests_are_neither_counted_nor_kept():
-    """
-    Symptom: memory grows while an endpoint gives no connection.
-    Sequence: thousands of requests are queued and cancelled, none is taken.
-    Cause: cancelled entries are only dropped when their turn comes.
+    """Memory grew while an endpoint gave no connection.
+
+    Thousands of requests were queued and cancelled, and none was taken. Cancelled
+    entries were dropped only when their turn came.
     """
     queue = WaitQueue(WEIGHTS)
     for number in range(5_000):
         queue.push(_request(number), "a", 0.0)
         assert queue.cancel(number)
     assert len(queue) == 0 and queue.pop() is None
-    line = queue._class_queues["caseworker"]
-    assert sum(map(len, line.callers.values())) <= CANCELLED_MAX + 1
+    class_queue = queue._class_queues["caseworker"]
+    assert sum(map(len, class_queue.callers.values())) <= CANCELLED_MAX + 1
 
 
-def test_made_up_class_names_share_one_line():
+def test_unknown_class_names_share_one_queue():
     queue = WaitQueue(WEIGHTS)
     for number in range(50):
         queue.push(_request(number, f"made-up-{number}"), "a", 0.0)
