--- a/mallowpass/core/systems/endpointnotices.py
+++ b/mallowpass/core/systems/endpointnotices.py
@@ -1,9 +1,9 @@
-"""Spread among the hosts which endpoints are leaving.
+"""Notify the hosts of endpoints that are leaving.
 
-Leaving: the endpoint is about to stop and accepts no new work. A host that cannot reach
-an endpoint learns its state from notices of peers. Many hosts receive the same report
-at the same time. Each of them waits for a random time before it sends a notice, and
-sends none if it has received one in the meantime.
+An endpoint that is leaving is about to stop, and gets no new work. A host that cannot
+reach an endpoint learns its state from notices of peers. Many hosts receive the same
+report at the same time. Each of them waits for a random time before it sends a notice,
+and sends none if it has received one in the meantime.
 """
 
 from __future__ import annotations
--- a/mallowpass/core/systems/keepalive.py
+++ b/mallowpass/core/systems/keepalive.py
@@ -20,7 +20,8 @@
 CHECKS_PER_LIFETIME = 3  # keep-alives on an unused connection within its time to live
 CHECK_TIMEOUT = 0.5  # seconds for the reply to a keep-alive
 
-_CHECK = "keep-alive"
+# Purposes of internal calls.
+_KEEP_ALIVE = "keep-alive"
 _RESET = "reset"
 _ABANDONED = "abandoned"
 
@@ -78,7 +79,7 @@
             pool.min_idle = len(pool.idle)
 
     def _send_keep_alive(self, pool: EndpointPool, connection: ConnectionRow) -> None:
-        self.send_internal(pool, connection, KeepAliveCall(), _CHECK)
+        self.send_internal(pool, connection, KeepAliveCall(), _KEEP_ALIVE)
 
     def _check_interval(self) -> float:
         return self._node.tuning.connection_time_to_live / CHECKS_PER_LIFETIME
@@ -101,8 +102,8 @@
         connection.transaction = ""
         if pool.internal_calls.get(number) != _RESET:
             pool.internal_calls[number] = _ABANDONED
-        proof = pool.busy_keep_alives.get(number)
-        if proof is not None and proof.is_outstanding:
+        keep_alive = pool.busy_keep_alives.get(number)
+        if keep_alive is not None and keep_alive.is_outstanding:
             # Apply the short timeout of idle connections: while the connection occupies
             # one of few slots, requests wait.
             pool.internal_in_flight.add(number)
@@ -139,7 +140,7 @@
     def on_internal_reply(
         self, pool: EndpointPool, connection: ConnectionRow, reply: EndpointReply
     ) -> None:
-        """Handle a reply to an internal call, or to a call that others wait behind."""
+        """Handle the reply to an internal call, or to a call that defers another one."""
         number = connection.number
         deferred = pool.deferred_calls.get(number)
         expected = connection.sequence if deferred is None else deferred[0]
--- a/mallowpass/core/systems/loans.py
+++ b/mallowpass/core/systems/loans.py
@@ -74,7 +74,7 @@
 
 
 class _BorrowState:
-    """The calls for loans at one endpoint: their number, times and refusals."""
+    """The state of the calls for loans of slots at one endpoint."""
 
     __slots__ = ("next_at", "outstanding", "refused", "timer")
 
@@ -146,7 +146,10 @@
         return self._node.tuning.connection_time_to_live - LIFETIME_MARGIN
 
     def expiry(self, loan: BorrowedLoan | None, sent_at: float) -> float:
-        """Return when a borrowed connection expires after a call at `sent_at`."""
+        """Return when a borrowed connection expires after a call at `sent_at`.
+
+        If its loan has ended, the connection expires at once.
+        """
         if loan is None:
             return sent_at
         return min(loan.close_at, sent_at + self._lifetime * USABLE_PART)
@@ -208,9 +211,9 @@
             self._membership.live_hosts(domain),
             self._membership.live_hosts(),
         ):
-            found = self._choose_from(hosts, state)
-            if found is not None:
-                return found
+            host = self._choose_from(hosts, state)
+            if host is not None:
+                return host
         return None
 
     def _choose_from(self, hosts: list[HostRow], state: _BorrowState) -> HostRow | None:
@@ -334,11 +337,11 @@
 
     def _next_maintenance_at(self, loan: BorrowedLoan) -> float:
         now = self.now
-        moments = (loan.close_at, loan.ends_at)
+        ends = (loan.close_at, loan.ends_at)
         return min(
             [
                 now + MAINTENANCE_INTERVAL,
-                *(moment for moment in moments if moment > now),
+                *(end for end in ends if end > now),
             ]
         )
 
@@ -353,7 +356,7 @@
         )
 
     def return_unused(self, pool: EndpointPool) -> None:
-        """Return the loans without connections."""
+        """Return the loans without open connections."""
         for loan in list(pool.borrowed.values()):
             if not loan.numbers:
                 self._return(loan.loan)
--- a/mallowpass/core/systems/opening.py
+++ b/mallowpass/core/systems/opening.py
@@ -16,6 +16,7 @@
 OPENING_MAX = 2
 # Seconds after its timeout within which an attempt to connect may still report.
 OPENING_GRACE = 1.0
+# Seconds between attempts to connect, before jitter; doubled with each failure.
 BACKOFF_MIN = 0.05
 BACKOFF_MAX = 2.0
 BACKOFF_EXPONENT_MAX = 10
@@ -51,8 +52,8 @@
         """Open a spare connection for the next request when none is idle.
 
         Only in the part of the own share that is never lent: where connections are
-        scarce, another host's need of the slot outweighs the time to connect that the
-        next request would save.
+        scarce, the need of another host for the slot outweighs the time to connect that
+        the next request would save.
         """
         if pool.opening.entries or self._pooling.draining:
             return
--- a/mallowpass/core/systems/transactions.py
+++ b/mallowpass/core/systems/transactions.py
@@ -41,7 +41,7 @@
 
 @record
 class _EndedTransaction:
-    """How a transaction ended. The code is None if it may have been committed."""
+    """How a transaction ended. The code is None if the commit ran or may have run."""
 
     stream: int
     code: ErrorCode | None
@@ -227,8 +227,8 @@
         idle = self._node.tuning.transaction_idle
         due = transaction.last_used + idle
         if transaction.running or due > self.now:
-            pause = idle if transaction.running else due - self.now
-            transaction.timer = self.timers.after(pause, self._on_idle, transaction)
+            delay = idle if transaction.running else due - self.now
+            transaction.timer = self.timers.after(delay, self._on_idle, transaction)
             return
         self._node.log("warning", "transaction_idle", transaction=transaction.name)
         self._node.decide("rollback", transaction.name, f"idle for {idle}s")
@@ -275,7 +275,7 @@
             self._calls.finish(request, None)
             return
         if request.parts_sent:
-            self._requests.unknown(request, f"the answer broke off: {why}")
+            self._requests.unknown(request, f"the result is incomplete: {why}")
         else:
             self._requests.not_run(request, code, why)
 
@@ -294,7 +294,10 @@
             self._ended.popitem(last=False)
 
     def release(self, transaction: TransactionRow, reset: bool) -> None:
-        """Release the connection of a transaction; `reset` if it may still be open."""
+        """Release the connection of a transaction.
+
+        `reset`: the transaction may still be open at the endpoint.
+        """
         connection = self.tables.connections.get(transaction.connection)
         if connection is not None:
             self._pooling.release(connection, reset=reset)
@@ -334,7 +337,7 @@
         self.end(transaction, code, f"connection lost: {why}")
 
     def on_deadline(self, request: RequestRow) -> None:
-        """Answer a call whose deadline has passed; end the transaction if it ran."""
+        """Answer a call past its deadline; if it is in flight, end its transaction."""
         transaction = self.tables.transactions.get(request.transaction)
         if transaction is None or transaction.running != request.number:
             why = "it waited for an earlier call of its transaction"
