--- a/mallowpass/core/systems/keepalive.py
+++ b/mallowpass/core/systems/keepalive.py
@@ -140,7 +140,7 @@
     def on_internal_reply(
         self, pool: EndpointPool, connection: ConnectionRow, reply: EndpointReply
     ) -> None:
-        """Handle the reply to an internal call, or to a call that defers another one."""
+        """Handle the reply to an internal call, or to a call that delays another one."""
         number = connection.number
         deferred = pool.deferred_calls.get(number)
         expected = connection.sequence if deferred is None else deferred[0]
--- a/tests/core/systems/test_loans.py
+++ b/tests/core/systems/test_loans.py
@@ -41,12 +41,10 @@
 SEATS = [(domain.name, seat) for domain in DOMAINS for seat in range(domain.hosts)]
 
 
-def _host(seat_of_host: tuple[str, int] = SEATS[0], **options: object) -> PoolHost:
-    host = PoolHost(
-        limit=LIMIT, domain=seat_of_host[0], seat=seat_of_host[1], **options
-    )
+def _host(own_seat: tuple[str, int] = SEATS[0], **options: object) -> PoolHost:
+    host = PoolHost(limit=LIMIT, domain=own_seat[0], seat=own_seat[1], **options)
     for domain, seat in SEATS:
-        if (domain, seat) != seat_of_host:
+        if (domain, seat) != own_seat:
             name = f"{domain}-{seat}"
             host.node.tables.hosts[name] = HostRow(name, domain, seat, "")
     host.report(connections=0, limit=LIMIT)
@@ -333,7 +331,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.now = 100.0
-        self.hosts = [_host(seat_of_host) for seat_of_host in SEATS]
+        self.hosts = [_host(own_seat) for own_seat in SEATS]
         self.now = self.hosts[0].now
         # Connections by host and number: the time of the last call, and the time to
         # live.
