--- a/mallowpass/core/proxy/answers.py
+++ b/mallowpass/core/proxy/answers.py
@@ -37,23 +37,25 @@
         state = SessionState.FAILED
         if not in_transaction or is_commit:
             state = SessionState.IDLE
-        self.give(request, Answer(code, state, message=why))
+        self.send_answer(request, Answer(code, state, message=why))
 
-    def in_doubt(self, request: RequestRow, why: str) -> None:
+    def answer_in_doubt(self, request: RequestRow, why: str) -> None:
         """Tell the caller that nobody knows whether a write is kept."""
         message = f"{request.endpoint.name}: {why}"
-        self.give(request, Answer(Code.IN_DOUBT, SessionState.IDLE, message=message))
+        self.send_answer(
+            request, Answer(Code.IN_DOUBT, SessionState.IDLE, message=message)
+        )
 
-    def reply(
+    def forward_reply(
         self, request: RequestRow, reply: EndpointReply, state: SessionState
     ) -> None:
         """Pass on what the endpoint answered."""
         answer = Answer(reply.code, state, reply.rows, reply.signature, reply.message)
-        self.give(request, answer)
+        self.send_answer(request, answer)
 
-    def give(self, request: RequestRow, answer: Answer) -> None:
+    def send_answer(self, request: RequestRow, answer: Answer) -> None:
         """Answer a statement for good."""
-        self.settle(request)
+        self.finish(request)
         session = request.session
         duration = self.now - request.arrived
         consistency = request.route.consistency.value
@@ -88,7 +90,7 @@
             ms=round(1000 * duration, 1),
         )
 
-    def settle(self, request: RequestRow) -> None:
+    def finish(self, request: RequestRow) -> None:
         """End a statement, answered or not."""
         request.finished = True
         request.session.request = None
--- a/mallowpass/core/proxy/attempts.py
+++ b/mallowpass/core/proxy/attempts.py
@@ -27,24 +27,26 @@
 
     __slots__ = ()
 
-    def set_up(
+    def setup_calls(
         self, request: RequestRow, connection: ConnectionRow
     ) -> list[EndpointCall]:
         """Return the calls that bring a connection to the state of a session."""
         prepared = () if request.prepared is None else (request.prepared,)
         return calls_to_set_up(connection, request.session.values, prepared)
 
-    def call(self, request: RequestRow, floor: LogPosition | None) -> EndpointCall:
+    def statement_call(
+        self, request: RequestRow, floor: LogPosition | None
+    ) -> EndpointCall:
         """Return the call of a statement itself, by its name on the connection."""
         statement = request.statement
         if request.prepared is not None:
             statement = Execute(request.prepared.shared_name, statement.text)
-        return self.mark(
+        return self.with_caller(
             EndpointCall(statement, request.request_id, floor),
             request,
         )
 
-    def mark(self, call: EndpointCall, request: RequestRow) -> EndpointCall:
+    def with_caller(self, call: EndpointCall, request: RequestRow) -> EndpointCall:
         """Return a call with what a holder on the way has to know of its caller."""
         if not request.connection.holder:
             return call
--- a/mallowpass/core/proxy/floors.py
+++ b/mallowpass/core/proxy/floors.py
@@ -64,7 +64,9 @@
     def _on_learnt(self, signal: FloorLearnt) -> None:
         self._keep(signal.group, signal.position, signal.asked_at)
 
-    def sample(self, group: GroupRow, position: LogPosition, asked_at: float) -> None:
+    def record_sample(
+        self, group: GroupRow, position: LogPosition, asked_at: float
+    ) -> None:
         """Record what a primary answered to a question that was sent at `asked_at`.
 
         It counts as asked when the primary was last known to lead alone: the log of one
@@ -87,16 +89,16 @@
             samples.popleft()
         return True
 
-    def acknowledged(
+    def record_commit(
         self, endpoint: EndpointRow, position: LogPosition | None, sent_at: float
     ) -> None:
         """Record that an endpoint acknowledged a commit that was sent at `sent_at`."""
         self._leadership.acknowledged(endpoint, sent_at)
         if position is not None:
             group = self.tables.group(endpoint.entry.service)
-            self.sample(group, position, sent_at)
+            self.record_sample(group, position, sent_at)
 
-    def committed(
+    def record_session_commit(
         self,
         session: SessionRow,
         endpoint: EndpointRow,
@@ -104,7 +106,7 @@
         sent_at: float,
     ) -> None:
         """Record a session's own commit, and what it tells of its endpoint."""
-        self.acknowledged(endpoint, position, sent_at)
+        self.record_commit(endpoint, position, sent_at)
         if position is None:
             return
         service = endpoint.entry.service
@@ -112,7 +114,9 @@
         if known is None or known < position:
             session.floors[service] = position
 
-    def floor(self, request: RequestRow, group: GroupRow) -> LogPosition | None:
+    def required_floor(
+        self, request: RequestRow, group: GroupRow
+    ) -> LogPosition | None:
         """Return the position that a replica must prove, None if none is known.
 
         None means that only a primary can serve the read.
@@ -121,18 +125,18 @@
         if route.consistency is Consistency.PRIMARY:
             return None
         floor = self._at_age(group, route.accepted_age)
-        own = self.own(request.session, route)
+        own = self.session_floor(request.session, route)
         if floor is not None and own is not None and own > floor:
             return own
         return floor
 
-    def settled(self, group: GroupRow) -> LogPosition:
+    def settled_position(self, group: GroupRow) -> LogPosition:
         """Return what each replica that receives has received by now."""
         settled_at = self.now - SETTLED_TIME
         known = [s.position for s in group.samples if s.asked_at < settled_at]
         return known[-1] if known else ZERO_POSITION
 
-    def prove(
+    def prove_freshness(
         self,
         endpoint: EndpointRow,
         route: Route,
@@ -148,11 +152,13 @@
             since = began_at - route.accepted_age + AGE_MARGIN
         self._leadership.confirm(endpoint, since, handler)
 
-    def ask(self, endpoint: EndpointRow, route: Route, began_at: float) -> None:
+    def request_proof(
+        self, endpoint: EndpointRow, route: Route, began_at: float
+    ) -> None:
         """Ask for a proof that will be needed: the answers come while a read runs."""
-        self.prove(endpoint, route, began_at, lambda sole: None)
+        self.prove_freshness(endpoint, route, began_at, lambda sole: None)
 
-    def own(self, session: SessionRow, route: Route) -> LogPosition | None:
+    def session_floor(self, session: SessionRow, route: Route) -> LogPosition | None:
         """Return the newest commit of a session that its reads must see, if any."""
         if route.consistency is not Consistency.OWN_WRITES:
             return None
@@ -167,7 +173,7 @@
             return True
         return endpoint.behind_until <= self.now
 
-    def lacked(self, endpoint: EndpointRow) -> None:
+    def mark_behind(self, endpoint: EndpointRow) -> None:
         """Note that an endpoint's log had not reached a floor."""
         if self.now < endpoint.behind_until:
             return  # it was asked before that was known
@@ -195,7 +201,7 @@
         since = endpoint.behind_since
         return since is not None and self.now - since > duration
 
-    def reached(self, endpoint: EndpointRow) -> None:
+    def mark_caught_up(self, endpoint: EndpointRow) -> None:
         """Note that an endpoint's log had reached a floor."""
         endpoint.behind_pause = 0.0
         endpoint.behind_since = None
--- a/mallowpass/core/proxy/links.py
+++ b/mallowpass/core/proxy/links.py
@@ -412,9 +412,9 @@
                 continue
             if reply.state is SessionState.IDLE:  # a write that stood alone
                 self._node.publish(WriteAcknowledged(group))
-                self._floors.acknowledged(link.endpoint, reply.position, sent_at)
+                self._floors.record_commit(link.endpoint, reply.position, sent_at)
             else:
-                self._floors.sample(group, reply.position, sent_at)
+                self._floors.record_sample(group, reply.position, sent_at)
 
     def _note_floor(self, endpoint: EndpointRow, reply: EndpointReply) -> None:
         """Learn whether an endpoint is behind from what it answers other hosts.
@@ -422,9 +422,9 @@
         A holder has few callers of its own, and is the one that has it relieved.
         """
         if reply.code is Code.BEHIND:
-            self._floors.lacked(endpoint)
+            self._floors.mark_behind(endpoint)
         elif reply.code is Code.DONE:
-            self._floors.reached(endpoint)
+            self._floors.mark_caught_up(endpoint)
 
     def _with_floor(self, link: LinkRow, reply: EndpointReply) -> EndpointReply:
         """Return a reply with the newest sample, for the host that asked.
--- a/mallowpass/core/proxy/policy/line.py
+++ b/mallowpass/core/proxy/policy/dispatch.py
@@ -15,7 +15,7 @@
 from mallowpass.core.proxy.tables import ConnectionRow, RequestRow
 from mallowpass.core.records import record
 
-__all__ = ["Choice", "Line", "urgency"]
+__all__ = ["Choice", "DispatchPass", "urgency"]
 
 
 def urgency(request: RequestRow) -> tuple[int, float]:
@@ -37,7 +37,7 @@
     full: bool = False
 
 
-class Line:
+class DispatchPass:
     """Remember for what there was no connection, in one look at those that wait.
 
     Looking for an endpoint for each of hundreds that wait, whenever a statement ends,
@@ -52,14 +52,16 @@
         self._replicas: dict[str | None, tuple[LogPosition, Choice]] = {}
         self._asked: Counter[str | None] = Counter()
 
-    def known(self, customer: str | None, floor: LogPosition | None) -> Choice | None:
+    def lookup_miss(
+        self, customer: str | None, floor: LogPosition | None
+    ) -> Choice | None:
         """Return what was found for a statement that needed no more than this one."""
         if floor is None:
             return self._primary.get(customer)
         lowest, choice = self._replicas.get(customer, (None, None))
         return None if lowest is None or floor < lowest else choice
 
-    def note(
+    def record_miss(
         self, customer: str | None, floor: LogPosition | None, choice: Choice
     ) -> None:
         """Remember that there was none."""
@@ -69,6 +71,6 @@
         else:
             self._replicas[customer] = (floor, choice)
 
-    def asked(self, customer: str | None) -> int:
+    def miss_count(self, customer: str | None) -> int:
         """Return how many statements of a customer found no connection."""
         return self._asked[customer]
--- a/mallowpass/core/proxy/policy/placement.py
+++ b/mallowpass/core/proxy/policy/placement.py
@@ -27,18 +27,20 @@
 PRIMARY_COST = 1.0
 
 
-def cost(endpoint: EndpointRow, *, leads: bool, avoided: bool, is_near: bool) -> float:
+def cost(
+    endpoint: EndpointRow, *, is_primary: bool, is_avoided: bool, is_same_region: bool
+) -> float:
     """Return what it costs to run a statement at an endpoint, in seconds.
 
-    `avoided` tells that it did not serve the statement before, `is_near` that it is in
-    this host's region.
+    `is_avoided`: the endpoint did not serve the statement in an earlier attempt.
+    `is_same_region`: the endpoint is in this host's region.
     """
     latency = endpoint.latency or LATENCY_EXPECTED
     load = endpoint.in_flight + 2.0 * endpoint.overdue
-    if leads:
+    if is_primary:
         load += PRIMARY_COST
     expected = latency * (1.0 + load / max(1, endpoint.entry.slots))
-    if avoided:
+    if is_avoided:
         # The primary always has the floor, and may still be the one that is silent.
         expected += AVOIDED_COST
-    return expected if is_near else expected + OTHER_REGION_COST
+    return expected if is_same_region else expected + OTHER_REGION_COST
--- a/mallowpass/core/proxy/promotion.py
+++ b/mallowpass/core/proxy/promotion.py
@@ -378,7 +378,7 @@
         """
         candidates = self._candidates(attempt.group, attempt.primary)
         staying = [replica for replica in candidates if not replica.is_leaving]
-        settled = self._floors.settled(attempt.group)
+        settled = self._floors.settled_position(attempt.group)
         receiving = [r for r in staying if attempt.received[r.name] >= settled]
         if attempt.reason is Reason.RELIEF and not receiving:
             self._give_up(attempt, "no replica that stays receives")
--- a/mallowpass/core/proxy/registry.py
+++ b/mallowpass/core/proxy/registry.py
@@ -23,7 +23,6 @@
 from mallowpass.core.proxy.load import Load
 from mallowpass.core.proxy.members import Members
 from mallowpass.core.proxy.ordering import Ordering
-from mallowpass.core.proxy.overdue import Overdue
 from mallowpass.core.proxy.pauses import Pauses
 from mallowpass.core.proxy.promotion import Promotion
 from mallowpass.core.proxy.ratelimits.allowances import Allowances
@@ -47,6 +46,7 @@
 from mallowpass.core.proxy.store import Store
 from mallowpass.core.proxy.succession import Succession
 from mallowpass.core.proxy.suspicion import Suspicion
+from mallowpass.core.proxy.timeouts import Timeouts
 from mallowpass.core.proxy.transactions import Transactions
 
 __all__ = ["SYSTEMS"]
@@ -90,7 +90,7 @@
     Attempts,
     Stalls,
     Transactions,
-    Overdue,
+    Timeouts,
     Requests,
     Customers,
     Sessions,
--- a/mallowpass/core/proxy/requests.py
+++ b/mallowpass/core/proxy/requests.py
@@ -15,10 +15,9 @@
 from mallowpass.core.proxy.leadership import UNPROVEN
 from mallowpass.core.proxy.load import Load
 from mallowpass.core.proxy.members import Members
-from mallowpass.core.proxy.overdue import Overdue
 from mallowpass.core.proxy.pauses import Pauses
 from mallowpass.core.proxy.policy.admission import held_until, is_turned_away
-from mallowpass.core.proxy.policy.line import Line, urgency
+from mallowpass.core.proxy.policy.dispatch import DispatchPass, urgency
 from mallowpass.core.proxy.ratelimits.allowances import Allowances
 from mallowpass.core.proxy.routing import Routing
 from mallowpass.core.proxy.sampling import Sampling
@@ -55,6 +54,7 @@
     RequestRow,
     SessionRow,
 )
+from mallowpass.core.proxy.timeouts import Timeouts
 from mallowpass.core.proxy.transactions import Transactions
 
 __all__ = ["Requests"]
@@ -81,7 +81,7 @@
         "_floors",
         "_load",
         "_members",
-        "_overdue",
+        "_timeouts",
         "_pauses",
         "_routing",
         "_sampling",
@@ -100,7 +100,7 @@
         self._floors = node.system(Floors)
         self._load = node.system(Load)
         self._members = node.system(Members)
-        self._overdue = node.system(Overdue)
+        self._timeouts = node.system(Timeouts)
         self._pauses = node.system(Pauses)
         self._routing = node.system(Routing)
         self._sampling = node.system(Sampling)
@@ -149,7 +149,7 @@
             why = f"this host was paused for {waited:.1f} s, and it may be as old"
             self._answers.refuse(request, Code.BUSY, why)
             return
-        request.timers.append(self.timers.at(expires, self._overdue.expired, request))
+        request.timers.append(self.timers.at(expires, self._timeouts.expire, request))
         if transaction is not None and transaction.connection is not None:
             self._transactions.send(request)
         else:
@@ -175,7 +175,7 @@
         """Forget a statement whose caller is gone; what was sent runs to its end."""
         request = session.request
         connection = request.connection
-        self._answers.settle(request)
+        self._answers.finish(request)
         if connection is None:
             if session.transaction is not None:
                 self._answers.roll_back(session)
@@ -200,32 +200,32 @@
 
     def _dispatch(self, group: GroupRow) -> None:
         """Send what may be sent of the statements that wait, the most urgent first."""
-        line = Line()
-        any_full = self._routing.any_full(group)
+        line = DispatchPass()
+        any_full = self._routing.has_full_endpoint(group)
         for request in list(group.waiting):
             if request.finished or request.retry_at > self.now:
                 continue
             # There is no connection for others of its customer, either.
-            none = line.asked(request.customer) >= ASKED_MAX
+            none = line.miss_count(request.customer) >= ASKED_MAX
             held = not any_full or self.now < held_until(request)
-            if none and held and not self._routing.has_idle(group):
+            if none and held and not self._routing.has_idle_connection(group):
                 continue
             self._try(request, group, line)
 
-    def _try(self, request: RequestRow, group: GroupRow, line: Line) -> None:
+    def _try(self, request: RequestRow, group: GroupRow, line: DispatchPass) -> None:
         if self._stalls.holds_back(request, group):
             if self.now >= held_until(request):
                 self._answers.refuse(request, Code.BUSY, WRITES_STALL)
             return
-        floor = self._routing.floor(request, group)
+        floor = self._routing.required_floor(request, group)
         if self._waits_for_floor(request, group, floor):
             request.detail = "waits for a floor"
             return
-        choice = line.known(request.customer, floor)
+        choice = line.lookup_miss(request.customer, floor)
         if choice is None:
             choice = self._routing.choose(request, group, floor)
             if choice.connection is None and not request.avoided:
-                line.note(request.customer, floor, choice)
+                line.record_miss(request.customer, floor, choice)
         request.detail = choice.why or request.detail
         if choice.connection is not None:
             group.waiting.remove(request)
@@ -273,13 +273,13 @@
         floor: LogPosition | None,
     ) -> None:
         self._attempts.attach(request, connection)
-        calls = self._attempts.set_up(request, connection)
+        calls = self._attempts.setup_calls(request, connection)
         setup = len(calls)
         reads = request.access is Access.READ
         minimum = floor
         if reads and floor is None:
-            minimum = self._floors.own(request.session, request.route)
-        calls.append(self._attempts.call(request, minimum))
+            minimum = self._floors.session_floor(request.session, request.route)
+        calls.append(self._attempts.statement_call(request, minimum))
         group = self.tables.group(request.route.service)
         if reads and connection.endpoint.name == group.primary:
             # Was it still the primary? An old one answers reads like any replica,
@@ -289,7 +289,9 @@
             if floor is None:
                 # One that does not know of its successor accepts these as well. The
                 # answers come while the read runs.
-                self._floors.ask(connection.endpoint, request.route, request.arrived)
+                self._floors.request_proof(
+                    connection.endpoint, request.route, request.arrived
+                )
 
         def on_replies(connection: ConnectionRow, replies: list[EndpointReply]) -> None:
             self._on_single_replies(request, connection, replies, setup)
@@ -342,7 +344,7 @@
             else:
                 self._refused(request, endpoint, UNPROVEN)
 
-        self._floors.prove(endpoint, request.route, request.arrived, on_proof)
+        self._floors.prove_freshness(endpoint, request.route, request.arrived, on_proof)
 
     def _on_done(
         self,
@@ -352,17 +354,17 @@
         proves_primary: bool,
     ) -> None:
         if request.floor is not None:
-            self._floors.reached(endpoint)
+            self._floors.mark_caught_up(endpoint)
         group = self.tables.group(request.route.service)
         if request.access is Access.WRITE:
             self._durability.acknowledged(endpoint, request.shown)
             self._node.publish(WriteAcknowledged(group))
-            self._floors.committed(
+            self._floors.record_session_commit(
                 request.session, endpoint, reply.position, request.sent_at
             )
         elif proves_primary and reply.position is not None:
-            self._floors.sample(group, reply.position, request.sent_at)
-        self._answers.reply(request, reply, SessionState.IDLE)
+            self._floors.record_sample(group, reply.position, request.sent_at)
+        self._answers.forward_reply(request, reply, SessionState.IDLE)
 
     def _on_failed(
         self, request: RequestRow, endpoint: EndpointRow, reply: EndpointReply
@@ -373,7 +375,7 @@
             # It ran and failed; a read may well succeed elsewhere.
             self._refused(request, endpoint, reply)
         else:
-            self._answers.reply(request, reply, SessionState.IDLE)
+            self._answers.forward_reply(request, reply, SessionState.IDLE)
 
     def _on_attempt_refused(self, signal: AttemptRefused) -> None:
         self._refused(signal.request, signal.endpoint, signal.reply)
@@ -393,7 +395,7 @@
         if reply.code is Code.NOT_PRIMARY:
             self._members.denied(endpoint)
         elif reply.code is Code.BEHIND and request.floor is not None:
-            self._floors.lacked(endpoint)
+            self._floors.mark_behind(endpoint)
             request.behind += 1
             request.avoided.add(endpoint.name)
         elif reply.code is not Code.UNREACHABLE:  # else by another holder, at once
@@ -432,10 +434,10 @@
             begun = transaction.connection is not None
             transaction.connection = None
             if begun:
-                self._transactions.lost(request, why)
+                self._transactions.answer_lost(request, why)
                 return
         elif request.access is Access.WRITE:
-            self._answers.in_doubt(request, why)
+            self._answers.answer_in_doubt(request, why)
             return
         # A read, or a transaction that was not begun: nothing of it is kept.
         request.tries += 1
--- a/mallowpass/core/proxy/routing.py
+++ b/mallowpass/core/proxy/routing.py
@@ -5,7 +5,7 @@
 from mallowpass.core.proxy.connections import Connections
 from mallowpass.core.proxy.floors import Floors
 from mallowpass.core.proxy.load import Load
-from mallowpass.core.proxy.policy.line import Choice
+from mallowpass.core.proxy.policy.dispatch import Choice
 from mallowpass.core.proxy.policy.placement import cost
 from mallowpass.core.proxy.statements import LogPosition
 from mallowpass.core.proxy.tables import (
@@ -30,11 +30,13 @@
         self._floors = self._node.system(Floors)
         self._load = self._node.system(Load)
 
-    def floor(self, request: RequestRow, group: GroupRow) -> LogPosition | None:
+    def required_floor(
+        self, request: RequestRow, group: GroupRow
+    ) -> LogPosition | None:
         """Return what a replica must prove; None: a primary alone may run it."""
         if request.needs_primary:
             return None
-        return self._floors.floor(request, group)
+        return self._floors.required_floor(request, group)
 
     def choose(
         self, request: RequestRow, group: GroupRow, floor: LogPosition | None
@@ -59,12 +61,12 @@
         full = bool(candidates) and not open_to_more
         return Choice(None, why=_reason(group, floor), full=full)
 
-    def any_full(self, group: GroupRow) -> bool:
+    def has_full_endpoint(self, group: GroupRow) -> bool:
         """Tell whether an endpoint of a group has more to do than it should."""
         return not all(map(self._load.has_room, group.endpoints.values()))
 
     @staticmethod
-    def has_idle(group: GroupRow) -> bool:
+    def has_idle_connection(group: GroupRow) -> bool:
         """Tell whether a connection to any endpoint of a group is idle."""
         return any(
             connection.state is ConnectionState.IDLE
@@ -108,9 +110,9 @@
         domain = endpoint.entry.failure_domain
         return cost(
             endpoint,
-            leads=endpoint.name == group.primary,
-            avoided=endpoint.name in request.avoided,
-            is_near=identity.region_of(domain) == identity.region,
+            is_primary=endpoint.name == group.primary,
+            is_avoided=endpoint.name in request.avoided,
+            is_same_region=identity.region_of(domain) == identity.region,
         )
 
 
--- a/mallowpass/core/proxy/sampling.py
+++ b/mallowpass/core/proxy/sampling.py
@@ -122,7 +122,7 @@
             self._members.denied(question.primary)
         accepted = reply is not None and reply.code is Code.DONE
         if accepted and question.proven and reply.position is not None:
-            self._floors.sample(group, reply.position, question.asked_at)
+            self._floors.record_sample(group, reply.position, question.asked_at)
         else:
             self._paused_until[group.service] = self.now + FAILED_PAUSE
 
--- a/mallowpass/core/proxy/overdue.py
+++ b/mallowpass/core/proxy/timeouts.py
@@ -11,14 +11,14 @@
 from mallowpass.core.proxy.tables import ConnectionRow, ProxySystem, RequestRow
 from mallowpass.core.proxy.transactions import Transactions
 
-__all__ = ["Overdue"]
+__all__ = ["Timeouts"]
 
 # An overdue read is not tried elsewhere before it has taken so many times as long as
 # statements do at its endpoint.
 OVERDUE_FACTOR = 6.0
 
 
-class Overdue(ProxySystem):
+class Timeouts(ProxySystem):
     """Let go of what an endpoint does not answer in time."""
 
     __slots__ = ("_answers", "_attempts", "_connections", "_stalls", "_transactions")
@@ -75,7 +75,7 @@
         else:
             connection.endpoint.overdue += 1
 
-    def expired(self, request: RequestRow) -> None:
+    def expire(self, request: RequestRow) -> None:
         """Answer a statement whose timeout has passed, if nothing else did."""
         if request.finished:
             return
@@ -88,16 +88,16 @@
             transaction.connection = None
             self._attempts.detach(request)
             self._connections.close(connection, "its transaction timed out")
-            self._transactions.lost(request, "the statement's timeout passed")
+            self._transactions.answer_lost(request, "the statement's timeout passed")
         elif request.access is Access.WRITE:
             self._attempts.detach(request)
             if self._stalls.is_stalled(self.tables.group(request.route.service)):
                 # No answer is due on it before reads need another connection.
                 self._connections.close(connection, "its writes stall")
-            self._answers.in_doubt(request, "the statement's timeout passed")
+            self._answers.answer_in_doubt(request, "the statement's timeout passed")
         else:
             self._leave(request, connection)
             why = "the statement's timeout passed"
-            self._answers.give(
+            self._answers.send_answer(
                 request, Answer(Code.TIMED_OUT, SessionState.IDLE, message=why)
             )
--- a/mallowpass/core/proxy/transactions.py
+++ b/mallowpass/core/proxy/transactions.py
@@ -80,9 +80,9 @@
         # A primary accepts a transaction that may write only while it leads. That is
         # how a read learns that the primary was not replaced.
         read_only = floor is not None
-        minimum = floor or self._floors.own(request.session, request.route)
+        minimum = floor or self._floors.session_floor(request.session, request.route)
         call = EndpointCall(Begin(read_only), minimum=minimum)
-        begin = self._attempts.mark(call, request)
+        begin = self._attempts.with_caller(call, request)
 
         def on_replies(connection: ConnectionRow, replies: list[EndpointReply]) -> None:
             self._on_begun(request, connection, replies[0], read_only)
@@ -113,11 +113,11 @@
         connection = request.transaction.connection
         if request.access is Access.READ and not request.transaction.proven:
             began_at = request.transaction.began_at
-            self._floors.ask(connection.endpoint, request.route, began_at)
+            self._floors.request_proof(connection.endpoint, request.route, began_at)
         self._attempts.attach(request, connection)
-        calls = self._attempts.set_up(request, connection)
+        calls = self._attempts.setup_calls(request, connection)
         setup = len(calls)
-        calls.append(self._attempts.call(request, None))
+        calls.append(self._attempts.statement_call(request, None))
 
         def on_replies(connection: ConnectionRow, replies: list[EndpointReply]) -> None:
             self._on_pinned_replies(request, connection, replies, setup)
@@ -175,7 +175,7 @@
         self, request: RequestRow, connection: ConnectionRow, reply: EndpointReply
     ) -> None:
         connection.on_lost = lambda _, why: self._on_idle_lost(request.session, why)
-        self._answers.reply(request, reply, SessionState.IN_TRANSACTION)
+        self._answers.forward_reply(request, reply, SessionState.IN_TRANSACTION)
 
     def _fail(
         self, request: RequestRow, connection: ConnectionRow, reply: EndpointReply
@@ -185,7 +185,9 @@
         self._connections.roll_back(connection)
         code = Code.ABORTED if reply.code.is_not_run else reply.code
         message = f"{connection.endpoint.name}: {reply.code.value} {reply.message}"
-        self._answers.give(request, Answer(code, SessionState.FAILED, message=message))
+        self._answers.send_answer(
+            request, Answer(code, SessionState.FAILED, message=message)
+        )
 
     def _prove(
         self, request: RequestRow, connection: ConnectionRow, reply: EndpointReply
@@ -203,7 +205,9 @@
                 self._fail(request, connection, UNPROVEN)
 
         began_at = request.transaction.began_at
-        self._floors.prove(connection.endpoint, request.route, began_at, on_proof)
+        self._floors.prove_freshness(
+            connection.endpoint, request.route, began_at, on_proof
+        )
 
     @staticmethod
     def _is_refused_open(request: RequestRow, reply: EndpointReply) -> bool:
@@ -234,14 +238,14 @@
                 group = self.tables.group(request.route.service)
                 self._durability.acknowledged(endpoint, request.shown)
                 self._node.publish(WriteAcknowledged(group))
-                self._floors.committed(
+                self._floors.record_session_commit(
                     request.session, endpoint, reply.position, request.sent_at
                 )
-            self._answers.reply(request, reply, SessionState.IDLE)
+            self._answers.forward_reply(request, reply, SessionState.IDLE)
             return
         if reply.code is Code.NOT_PRIMARY:
             self._members.denied(endpoint)
-        self._answers.give(
+        self._answers.send_answer(
             request,
             Answer(
                 Code.ABORTED if reply.code.is_not_run else reply.code,
@@ -252,16 +256,16 @@
 
     # -- Ends ----------------------------------------------------------------
 
-    def lost(self, request: RequestRow, why: str) -> None:
+    def answer_lost(self, request: RequestRow, why: str) -> None:
         """Answer a statement whose transaction lost its connection."""
         is_commit = isinstance(request.statement, Commit)
         if is_commit and request.transaction.wrote:
-            self._answers.in_doubt(request, why)
+            self._answers.answer_in_doubt(request, why)
             return
         # An endpoint rolls back what a lost connection left open, and no commit
         # with writes was sent: nothing of this transaction is kept.
         state = SessionState.IDLE if is_commit else SessionState.FAILED
-        self._answers.give(request, Answer(Code.ABORTED, state, message=why))
+        self._answers.send_answer(request, Answer(Code.ABORTED, state, message=why))
 
     def _on_idle_lost(self, session: SessionRow, why: str) -> None:
         """Note that a transaction lost its connection between two statements."""
--- a/tests/core/proxy/policy/test_admission.py
+++ b/tests/core/proxy/policy/test_admission.py
@@ -7,7 +7,7 @@
 from mallowpass.core.positions import LogPosition
 from mallowpass.core.proxy.configuration import Consistency
 from mallowpass.core.proxy.policy.admission import held_until, is_turned_away
-from mallowpass.core.proxy.policy.line import Choice, Line, urgency
+from mallowpass.core.proxy.policy.dispatch import Choice, DispatchPass, urgency
 from mallowpass.core.proxy.statements import Access, Read
 from mallowpass.core.proxy.tables import RequestRow, SessionRow
 from mallowpass.standins.proxied.virtual.world import route
@@ -63,17 +63,17 @@
     [(5, 6, True), (5, 5, True), (5, 4, False)],
 )
 def test_what_one_lacked_those_behind_lack_that_need_no_less(known, asked, found):
-    line = Line()
-    line.note("acme", LogPosition(1, known), Choice(None, why="none"))
-    assert (line.known("acme", LogPosition(1, asked)) is not None) is found
-    assert line.known("acme", None) is None
+    line = DispatchPass()
+    line.record_miss("acme", LogPosition(1, known), Choice(None, why="none"))
+    assert (line.lookup_miss("acme", LogPosition(1, asked)) is not None) is found
+    assert line.lookup_miss("acme", None) is None
 
 
 def test_what_one_customer_lacked_others_may_have():
     """Guard against starving all behind one customer that has no connection."""
-    line = Line()
-    line.note("acme", None, Choice(None, why="none"))
-    line.note("acme", LogPosition(1, 1), Choice(None, why="none"))
-    assert line.known("berth", None) is None
-    assert line.known("berth", LogPosition(1, 1)) is None
-    assert (line.asked("acme"), line.asked("berth")) == (2, 0)
+    line = DispatchPass()
+    line.record_miss("acme", None, Choice(None, why="none"))
+    line.record_miss("acme", LogPosition(1, 1), Choice(None, why="none"))
+    assert line.lookup_miss("berth", None) is None
+    assert line.lookup_miss("berth", LogPosition(1, 1)) is None
+    assert (line.miss_count("acme"), line.miss_count("berth")) == (2, 0)
--- a/tests/core/proxy/policy/test_placement.py
+++ b/tests/core/proxy/policy/test_placement.py
@@ -15,28 +15,30 @@
     return row
 
 
-def near(row: EndpointRow, leads: bool = False, avoided: bool = False) -> float:
+def near(row: EndpointRow, is_primary: bool = False, is_avoided: bool = False) -> float:
     """Return the cost of an endpoint of the own region."""
-    return cost(row, leads=leads, avoided=avoided, is_near=True)
+    return cost(row, is_primary=is_primary, is_avoided=is_avoided, is_same_region=True)
 
 
 def test_a_calm_region_keeps_its_reads():
-    far = cost(endpoint(0.02), leads=False, avoided=False, is_near=False)
+    far = cost(endpoint(0.02), is_primary=False, is_avoided=False, is_same_region=False)
     assert near(endpoint(0.02, in_flight=4)) < far
 
 
 def test_reads_leave_an_endpoint_that_is_five_times_slower():
     """Reads of a region are late for as long as its endpoint is slow."""
-    far = cost(endpoint(0.045), leads=False, avoided=False, is_near=False)
+    far = cost(
+        endpoint(0.045), is_primary=False, is_avoided=False, is_same_region=False
+    )
     assert near(endpoint(0.1, in_flight=4)) > far
 
 
 def test_reads_leave_the_primary_to_writes():
-    assert near(endpoint(0.02), leads=True) > near(endpoint(0.02))
+    assert near(endpoint(0.02), is_primary=True) > near(endpoint(0.02))
 
 
 def test_one_that_did_not_serve_a_statement_is_the_last_choice():
-    assert near(endpoint(0.01), avoided=True) > near(endpoint(0.3, in_flight=4))
+    assert near(endpoint(0.01), is_avoided=True) > near(endpoint(0.3, in_flight=4))
 
 
 def test_silence_counts_as_load():
--- a/tests/core/proxy/test_links.py
+++ b/tests/core/proxy/test_links.py
@@ -387,12 +387,12 @@
     group = holder.tables.groups[SERVICE]
     group.samples.clear()
     group.sole_at = -math.inf
-    holder.node.system(Floors).sample(group, LogPosition(1, 7), world.timers.now)
+    holder.node.system(Floors).record_sample(group, LogPosition(1, 7), world.timers.now)
     links = holder.node.system(Links)
     assert links._floor_hint(SERVICE, world.timers.now) is None
     group.sole_at = world.timers.now
     world.run(0.1)
-    holder.node.system(Floors).sample(group, LogPosition(1, 7), world.timers.now)
+    holder.node.system(Floors).record_sample(group, LogPosition(1, 7), world.timers.now)
     hint = links._floor_hint(SERVICE, world.timers.now)
     assert math.isfinite(hint.age)
 
@@ -405,7 +405,7 @@
     floors = node.system(Floors)
     group.samples.clear()
     for number in range(5):
-        floors.sample(group, LogPosition(1, number), world.timers.now)
+        floors.record_sample(group, LogPosition(1, number), world.timers.now)
     assert [sample.position.position for sample in group.samples] == [4]
     world.run(1.0)
 
