--- a/mallowpass/core/proxy/policy/admission.py
+++ b/mallowpass/core/proxy/policy/admission.py
@@ -1,8 +1,9 @@
-"""Who waits for a full endpoint, and who is turned away.
+"""Admission control: which statements wait for a full endpoint, and which are refused.
 
-The load: more statements than endpoints run, for seconds. A line that only grows makes
-everybody late, and what waits to its timeout then runs for nobody. Who has waited for a
-part of its objective is told at once that it did not run, with time left to come again.
+When statements arrive faster than the endpoints run them for some seconds, a queue
+without a limit makes all of them late, and a statement that waits until its timeout
+runs after its caller has given up. So a statement is refused once it has waited for a
+share of its latency objective, while its caller still has time to retry.
 """
 
 from __future__ import annotations
@@ -14,19 +15,22 @@
 __all__ = ["held_until", "is_turned_away"]
 
 # Share of the objective after which a statement that waits for a full endpoint is
-# refused. Its caller has time for another attempt, and those that are served have not
-# waited longer; all that waited until their timeouts were late or ran for nobody.
+# refused. It bounds the wait of the statements that are served as well, and leaves a
+# refused caller time for another attempt. With waits up to the timeout, all statements
+# were answered late, or ran after their callers had given up.
 HOLD_SHARE = 0.25
 
 
 def held_until(request: RequestRow) -> float:
-    """Return until when a statement waits for a full endpoint."""
+    """Return the time until which a statement may wait for a full endpoint."""
     return request.arrived + HOLD_SHARE * request.route.objective
 
 
-def is_turned_away(request: RequestRow, line: Sequence[RequestRow], now: float) -> bool:
-    """Tell whether a statement that no endpoint has room for should be refused.
+def is_turned_away(
+    request: RequestRow, queue: Sequence[RequestRow], now: float
+) -> bool:
+    """Return whether to refuse a statement that no endpoint has room for.
 
-    Not whoever is first in line: it runs as soon as any statement ends.
+    The head of the queue is kept: it runs as soon as any statement ends.
     """
-    return line[0] is not request and now >= held_until(request)
+    return queue[0] is not request and now >= held_until(request)
--- a/mallowpass/core/proxy/policy/dispatch.py
+++ b/mallowpass/core/proxy/policy/dispatch.py
@@ -1,10 +1,10 @@
-"""The line of statements that wait for an endpoint.
+"""Dispatch order of the statements that wait for an endpoint, and misses of a pass.
 
-The load: hundreds of statements that wait, and one connection that becomes free with
-each that ends. The more urgent ones run first, and among equals whoever came first: of
-those that are served none has waited longer than it had to. To look for an endpoint for
-each of them each time takes a host's whole time, so what one found is known for those
-behind.
+When endpoints are full, hundreds of statements wait, and each statement that ends frees
+one connection. Statements run by priority, and in order of arrival within a priority,
+so that no statement waits longer than it must. Choosing an endpoint for each waiting
+statement on each pass would take all of a host's processor time, so a statement that
+finds no connection spares those behind it the same search.
 """
 
 from __future__ import annotations
@@ -19,16 +19,16 @@
 
 
 def urgency(request: RequestRow) -> tuple[int, float]:
-    """Return what a line is sorted by: the lower, the sooner."""
+    """Return the sort key of the queue: statements with a lower key run first."""
     return (request.route.priority, request.arrived)
 
 
 @record
 class Choice:
-    """Say what to do with a statement: where to send it, and above which floor.
+    """Describe the result of choosing an endpoint for a statement.
 
-    Without a connection it waits, and `why` tells for what; `full` tells that each
-    endpoint which may run it has more to do than it should.
+    Without a connection the statement waits. `why` is the reason, and `full` says that
+    each endpoint that may run the statement is full.
     """
 
     connection: ConnectionRow | None
@@ -38,39 +38,40 @@
 
 
 class DispatchPass:
-    """Remember for what there was no connection, in one look at those that wait.
+    """Record the misses of one pass over the queue, by customer and by floor.
 
-    Looking for an endpoint for each of hundreds that wait, whenever a statement ends,
-    takes a host's whole time: statements then wait for the host, not for the endpoint.
+    A miss is a statement for which no connection was found. Without this record, a pass
+    over hundreds of waiting statements, made whenever a statement ends, takes all of a
+    host's processor time: statements then wait for the host, not for the endpoint.
     """
 
-    __slots__ = ("_asked", "_primary", "_replicas")
+    __slots__ = ("_miss_counts", "_primary_misses", "_replica_misses")
 
     def __init__(self) -> None:
-        # By customer: what one lacks another may have.
-        self._primary: dict[str | None, Choice] = {}
-        self._replicas: dict[str | None, tuple[LogPosition, Choice]] = {}
-        self._asked: Counter[str | None] = Counter()
+        # By customer: a connection that one customer lacks, another may have.
+        self._primary_misses: dict[str | None, Choice] = {}
+        self._replica_misses: dict[str | None, tuple[LogPosition, Choice]] = {}
+        self._miss_counts: Counter[str | None] = Counter()
 
     def lookup_miss(
         self, customer: str | None, floor: LogPosition | None
     ) -> Choice | None:
-        """Return what was found for a statement that needed no more than this one."""
+        """Return the miss of a statement with the same or a lower floor, if any."""
         if floor is None:
-            return self._primary.get(customer)
-        lowest, choice = self._replicas.get(customer, (None, None))
+            return self._primary_misses.get(customer)
+        lowest, choice = self._replica_misses.get(customer, (None, None))
         return None if lowest is None or floor < lowest else choice
 
     def record_miss(
         self, customer: str | None, floor: LogPosition | None, choice: Choice
     ) -> None:
-        """Remember that there was none."""
-        self._asked[customer] += 1
+        """Record that no connection was found for a statement."""
+        self._miss_counts[customer] += 1
         if floor is None:
-            self._primary[customer] = choice
+            self._primary_misses[customer] = choice
         else:
-            self._replicas[customer] = (floor, choice)
+            self._replica_misses[customer] = (floor, choice)
 
     def miss_count(self, customer: str | None) -> int:
-        """Return how many statements of a customer found no connection."""
-        return self._asked[customer]
+        """Return the number of misses of a customer in this pass."""
+        return self._miss_counts[customer]
--- a/mallowpass/core/proxy/policy/placement.py
+++ b/mallowpass/core/proxy/policy/placement.py
@@ -1,10 +1,10 @@
-"""Which endpoint runs a statement, of those that may.
+"""Placement: the cost by which the endpoint that runs a statement is chosen.
 
-The load: reads that several endpoints could run, of which one is slow, busy, far away,
-or the only one that can run writes as well. The one that is expected to answer first is
-taken, by what it took of late and has to do; distance and the primary's place are paid
-for in time. Nothing is known of an endpoint that was not used yet but a guess, so that
-it is tried.
+The endpoint with the shortest expected response time is chosen, as estimated from its
+recent latency and its load. A fixed penalty in seconds stands for a longer distance,
+for the primary, which must keep room for writes, and for an endpoint that failed to
+serve the statement before. An endpoint without any measurement gets a default latency,
+so that it is tried.
 """
 
 from __future__ import annotations
@@ -13,34 +13,36 @@
 
 __all__ = ["cost"]
 
-# What a statement is taken to last at an endpoint that has not answered any yet, in
-# seconds: one that is known to be quick comes first, a slow one does not.
-LATENCY_EXPECTED = 0.03
-# What a read in another region must save to be worth its bytes, in seconds. Reads of a
-# calm region stay there; those of one whose member is slow or busy go elsewhere.
+# Assumed latency of an endpoint that has not answered any statement yet, in seconds:
+# longer than that of a fast endpoint and shorter than that of a slow one.
+DEFAULT_LATENCY = 0.03
+# Penalty of an endpoint in another region, in seconds: the time that a read there must
+# save to be worth the traffic between regions. Reads stay in a region under normal
+# load, and leave it when its endpoint is slow or busy.
 OTHER_REGION_COST = 0.1
-# What is added for an endpoint that did not serve the statement before, in seconds:
-# more than any other difference.
+# Penalty of an endpoint that did not serve the statement in an earlier attempt, in
+# seconds: larger than any other difference.
 AVOIDED_COST = 1.0
-# A primary alone can run writes: reads that a replica can serve leave it this many
-# statements' room.
+# Statements that are added to the load of the primary: reads that a replica can serve
+# leave it this much room for writes, which it alone can run.
 PRIMARY_COST = 1.0
 
 
 def cost(
     endpoint: EndpointRow, *, is_primary: bool, is_avoided: bool, is_same_region: bool
 ) -> float:
-    """Return what it costs to run a statement at an endpoint, in seconds.
+    """Return the cost of running a statement at an endpoint, in seconds.
 
     `is_avoided`: the endpoint did not serve the statement in an earlier attempt.
     `is_same_region`: the endpoint is in this host's region.
     """
-    latency = endpoint.latency or LATENCY_EXPECTED
+    latency = endpoint.latency or DEFAULT_LATENCY
     load = endpoint.in_flight + 2.0 * endpoint.overdue
     if is_primary:
         load += PRIMARY_COST
     expected = latency * (1.0 + load / max(1, endpoint.entry.slots))
     if is_avoided:
-        # The primary always has the floor, and may still be the one that is silent.
+        # The primary stays a candidate, as its log always has the floor, even when it
+        # is the endpoint that does not answer.
         expected += AVOIDED_COST
     return expected if is_same_region else expected + OTHER_REGION_COST
--- a/tests/core/proxy/policy/test_admission.py
+++ b/tests/core/proxy/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""Who is turned away from a full endpoint, and who waits."""
+"""Tests of admission control and of the order of the queue of a full endpoint."""
 
 from __future__ import annotations
 
@@ -16,64 +16,66 @@
 
 
 def request(arrived: float, priority: int = 1) -> RequestRow:
-    """Return a read that arrived at some time."""
-    made = route("own", Consistency.OWN_WRITES, priority=priority, objective=OBJECTIVE)
+    """Return a read that arrived at `arrived`."""
+    own = route("own", Consistency.OWN_WRITES, priority=priority, objective=OBJECTIVE)
     session = SessionRow(1, "own")
-    return RequestRow(session, "r", Read("a"), Access.READ, made, arrived, arrived + 1)
+    return RequestRow(session, "r", Read("a"), Access.READ, own, arrived, arrived + 1)
 
 
-def test_a_line_under_three_times_the_load_turns_away_in_time():
-    """Whoever is refused has most of its objective left, whatever the load.
+def test_overload_is_refused_with_most_of_the_objective_left():
+    """Statements are refused too late for their callers to retry.
 
-    300 statements a second come for an endpoint that runs 100, for two seconds.
+    300 statements a second arrive for two seconds at an endpoint that runs 100.
     """
-    line: list[RequestRow] = []
-    waited = []
-    served = []
+    queue: list[RequestRow] = []
+    refused_waits = []
+    served_waits = []
     for tick in range(2000):
         now = tick / 1000
         if tick % 10 < 3:
-            line.append(request(now))
-        if tick % 10 == 0 and line:
-            first = line.pop(0)
-            served.append(now - first.arrived)
-        for one in list(line):
-            if is_turned_away(one, line, now):
-                line.remove(one)
-                waited.append(now - one.arrived)
-    assert len(served) >= 199
-    assert max(served) <= OBJECTIVE / 2
-    assert max(waited) <= OBJECTIVE / 2
-
-
-def test_the_first_in_line_is_kept():
+            queue.append(request(now))
+        if tick % 10 == 0 and queue:
+            first = queue.pop(0)
+            served_waits.append(now - first.arrived)
+        for waiting in list(queue):
+            if is_turned_away(waiting, queue, now):
+                queue.remove(waiting)
+                refused_waits.append(now - waiting.arrived)
+    assert len(served_waits) >= 199
+    assert max(served_waits) <= OBJECTIVE / 2
+    assert max(refused_waits) <= OBJECTIVE / 2
+
+
+def test_head_of_the_queue_is_never_refused():
     first, second = request(0.0), request(0.0)
     late = held_until(first) + 0.1
     assert not is_turned_away(first, [first, second], late)
     assert is_turned_away(second, [first, second], late)
 
 
-def test_the_more_urgent_goes_first_and_then_whoever_came_first():
+def test_queue_is_ordered_by_priority_and_then_by_arrival():
     urgent, early, late = request(2.0, 0), request(0.0), request(1.0)
     assert sorted([late, early, urgent], key=urgency) == [urgent, early, late]
 
 
 @pytest.mark.parametrize(
-    ("known", "asked", "found"),
+    ("missed", "floor", "found"),
     [(5, 6, True), (5, 5, True), (5, 4, False)],
 )
-def test_what_one_lacked_those_behind_lack_that_need_no_less(known, asked, found):
-    line = DispatchPass()
-    line.record_miss("acme", LogPosition(1, known), Choice(None, why="none"))
-    assert (line.lookup_miss("acme", LogPosition(1, asked)) is not None) is found
-    assert line.lookup_miss("acme", None) is None
-
-
-def test_what_one_customer_lacked_others_may_have():
-    """Guard against starving all behind one customer that has no connection."""
-    line = DispatchPass()
-    line.record_miss("acme", None, Choice(None, why="none"))
-    line.record_miss("acme", LogPosition(1, 1), Choice(None, why="none"))
-    assert line.lookup_miss("berth", None) is None
-    assert line.lookup_miss("berth", LogPosition(1, 1)) is None
-    assert (line.miss_count("acme"), line.miss_count("berth")) == (2, 0)
+def test_miss_applies_to_statements_with_the_same_or_a_higher_floor(
+    missed, floor, found
+):
+    misses = DispatchPass()
+    misses.record_miss("acme", LogPosition(1, missed), Choice(None, why="none"))
+    assert (misses.lookup_miss("acme", LogPosition(1, floor)) is not None) is found
+    assert misses.lookup_miss("acme", None) is None
+
+
+def test_miss_of_a_customer_does_not_apply_to_others():
+    """A customer without a connection blocks all statements queued behind its own."""
+    misses = DispatchPass()
+    misses.record_miss("acme", None, Choice(None, why="none"))
+    misses.record_miss("acme", LogPosition(1, 1), Choice(None, why="none"))
+    assert misses.lookup_miss("berth", None) is None
+    assert misses.lookup_miss("berth", LogPosition(1, 1)) is None
+    assert (misses.miss_count("acme"), misses.miss_count("berth")) == (2, 0)
--- a/tests/core/proxy/policy/test_placement.py
+++ b/tests/core/proxy/policy/test_placement.py
@@ -1,4 +1,4 @@
-"""Where statements are placed when one endpoint is slow, busy, far or the primary."""
+"""Tests of the cost of endpoints that are slow, busy, distant, or the primary."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def endpoint(latency: float, in_flight: int = 0, overdue: int = 0) -> EndpointRow:
-    """Return an endpoint of two slots that took so long of late, in seconds."""
+    """Return an endpoint of two slots with a recent latency, in seconds."""
     entry = EndpointEntry("db", "ledger", "db:5432", "casa", 2, False, False, 0)
     row = EndpointRow(entry, 1)
     row.latency, row.in_flight, row.overdue = latency, in_flight, overdue
@@ -16,17 +16,17 @@
 
 
 def near(row: EndpointRow, is_primary: bool = False, is_avoided: bool = False) -> float:
-    """Return the cost of an endpoint of the own region."""
+    """Return the cost of an endpoint in the host's region."""
     return cost(row, is_primary=is_primary, is_avoided=is_avoided, is_same_region=True)
 
 
-def test_a_calm_region_keeps_its_reads():
+def test_reads_stay_in_their_region_under_normal_load():
     far = cost(endpoint(0.02), is_primary=False, is_avoided=False, is_same_region=False)
     assert near(endpoint(0.02, in_flight=4)) < far
 
 
 def test_reads_leave_an_endpoint_that_is_five_times_slower():
-    """Reads of a region are late for as long as its endpoint is slow."""
+    """Reads stay at the slow endpoint of their region, and all of them are late."""
     far = cost(
         endpoint(0.045), is_primary=False, is_avoided=False, is_same_region=False
     )
@@ -37,9 +37,9 @@
     assert near(endpoint(0.02), is_primary=True) > near(endpoint(0.02))
 
 
-def test_one_that_did_not_serve_a_statement_is_the_last_choice():
+def test_endpoint_that_did_not_serve_a_statement_is_the_last_choice():
     assert near(endpoint(0.01), is_avoided=True) > near(endpoint(0.3, in_flight=4))
 
 
-def test_silence_counts_as_load():
+def test_unanswered_statements_count_as_load():
     assert near(endpoint(0.02, overdue=2)) > near(endpoint(0.02, in_flight=2))
