--- a/mallowpass/core/proxy/answers.py
+++ b/mallowpass/core/proxy/answers.py
@@ -1,4 +1,4 @@
-"""The final answers of statements, each with its log line and its counts."""
+"""Final answers to statements, each with its log line and its metrics."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 
 class Answers(ProxySystem):
-    """Tell callers what became of their statements."""
+    """Answer the statements of callers."""
 
     __slots__ = ("_allowances", "_connections")
 
     def start(self) -> None:
-        """Find the systems that are asked."""
+        """Look up the systems that this one uses."""
         self._allowances = self._node.system(Allowances)
         self._connections = self._node.system(Connections)
 
     def refuse(self, request: RequestRow, code: Code, why: str) -> None:
-        """Tell the caller that a statement, with its transaction, is not kept."""
+        """Refuse a statement: nothing of it, or of its transaction, is committed."""
         in_transaction = request.transaction is not None
         is_commit = isinstance(request.statement, Commit)
         if in_transaction:
@@ -40,7 +40,7 @@
         self.send_answer(request, Answer(code, state, message=why))
 
     def answer_in_doubt(self, request: RequestRow, why: str) -> None:
-        """Tell the caller that nobody knows whether a write is kept."""
+        """Answer that it is unknown whether a write was committed."""
         message = f"{request.endpoint.name}: {why}"
         self.send_answer(
             request, Answer(Code.IN_DOUBT, SessionState.IDLE, message=message)
@@ -49,12 +49,12 @@
     def forward_reply(
         self, request: RequestRow, reply: EndpointReply, state: SessionState
     ) -> None:
-        """Pass on what the endpoint answered."""
+        """Forward an endpoint's reply to the caller."""
         answer = Answer(reply.code, state, reply.rows, reply.signature, reply.message)
         self.send_answer(request, answer)
 
     def send_answer(self, request: RequestRow, answer: Answer) -> None:
-        """Answer a statement for good."""
+        """Send the final answer of a statement, with its log line and metrics."""
         self.finish(request)
         session = request.session
         duration = self.now - request.arrived
@@ -91,7 +91,7 @@
         )
 
     def finish(self, request: RequestRow) -> None:
-        """End a statement, answered or not."""
+        """End a statement, answered or not, and release what it holds."""
         request.finished = True
         request.session.request = None
         for timer in request.timers:
--- a/mallowpass/core/proxy/attempts.py
+++ b/mallowpass/core/proxy/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt to run a statement: on a connection, until it is answered or given up."""
+"""Attempts: a statement's runs on a connection, each answered, refused or lost."""
 
 from __future__ import annotations
 
@@ -19,25 +19,25 @@
 
 BACKOFF_MIN = 0.02  # seconds before a refused statement is sent again
 BACKOFF_MAX = 0.2
-TRIES_MAX = 8  # of one statement, so that a refusal for good ends
+TRIES_MAX = 8  # of one statement, so that a permanent refusal ends the attempts
 
 
 class Attempts(ProxySystem):
-    """Bind statements to connections."""
+    """Attach statements to the connections that run them."""
 
     __slots__ = ()
 
     def setup_calls(
         self, request: RequestRow, connection: ConnectionRow
     ) -> list[EndpointCall]:
-        """Return the calls that bring a connection to the state of a session."""
+        """Return the calls that set a connection to its session's state."""
         prepared = () if request.prepared is None else (request.prepared,)
         return calls_to_set_up(connection, request.session.values, prepared)
 
     def statement_call(
         self, request: RequestRow, floor: LogPosition | None
     ) -> EndpointCall:
-        """Return the call of a statement itself, by its name on the connection."""
+        """Return the call that runs a statement, by its shared name if prepared."""
         statement = request.statement
         if request.prepared is not None:
             statement = Execute(request.prepared.shared_name, statement.text)
@@ -47,7 +47,7 @@
         )
 
     def with_caller(self, call: EndpointCall, request: RequestRow) -> EndpointCall:
-        """Return a call with what a holder on the way has to know of its caller."""
+        """Return a call, with its customer and priority if a holder forwards it."""
         if not request.connection.holder:
             return call
         on_behalf_of = None
@@ -58,21 +58,25 @@
         return replace(call, priority=priority, on_behalf_of=on_behalf_of)
 
     def attach(self, request: RequestRow, connection: ConnectionRow) -> None:
-        """Have a connection run a statement; its loss, or its silence, is told."""
-        request.granted_until = None  # it is used from now on
+        """Attach a statement to the connection that runs it.
+
+        The loss of the connection is published as `AttemptLost`, and a reply that takes
+        too long as `AttemptOverdue`.
+        """
+        request.granted_until = None  # the grant is used up
         request.connection = connection
         request.endpoint = connection.endpoint
         request.sent_at = self.now
         request.shown = connection.endpoint.position
         request.endpoint.in_flight += 1
         self.watch_loss(request, connection)
-        overdue = OVERDUE_SHARE * request.route.statement_timeout
+        overdue_after = OVERDUE_SHARE * request.route.statement_timeout
         request.timers.append(
-            self.timers.after(overdue, self._on_overdue, request, connection)
+            self.timers.after(overdue_after, self._on_overdue, request, connection)
         )
 
     def watch_loss(self, request: RequestRow, connection: ConnectionRow) -> None:
-        """Have it told if a connection is lost that a statement needs."""
+        """Publish `AttemptLost` if a connection that a statement needs is lost."""
         connection.on_lost = lambda _, why: self._node.publish(
             AttemptLost(request, why)
         )
@@ -82,12 +86,12 @@
             self._node.publish(AttemptOverdue(request))
 
     def detach(self, request: RequestRow) -> None:
-        """Take a statement off the connection that ran it."""
+        """Detach a statement from its connection."""
         if request.connection is not None:
             request.endpoint.in_flight -= 1
             request.connection.on_lost = None
             request.connection = None
 
     def backoff(self, request: RequestRow) -> float:
-        """Return how long to wait before a refused statement is sent again."""
+        """Return the seconds to wait before a refused statement is sent again."""
         return self._node.backoff(request.tries - 1, BACKOFF_MIN, BACKOFF_MAX)
--- a/mallowpass/core/proxy/routing.py
+++ b/mallowpass/core/proxy/routing.py
@@ -1,4 +1,4 @@
-"""Which endpoint runs a statement, among those that may."""
+"""Routing: the choice of the endpoint, and of the connection, for a statement."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 
 class Routing(ProxySystem):
-    """Choose endpoints by place, load, latency and position."""
+    """Choose endpoints by log position, region, latency and load."""
 
     __slots__ = ("_connections", "_floors", "_load")
 
     def start(self) -> None:
-        """Find the systems that are asked."""
+        """Look up the systems that this one uses."""
         self._connections = self._node.system(Connections)
         self._floors = self._node.system(Floors)
         self._load = self._node.system(Load)
@@ -33,7 +33,7 @@
     def required_floor(
         self, request: RequestRow, group: GroupRow
     ) -> LogPosition | None:
-        """Return what a replica must prove; None: a primary alone may run it."""
+        """Return the floor of a statement; None if only the primary may run it."""
         if request.needs_primary:
             return None
         return self._floors.required_floor(request, group)
@@ -41,11 +41,15 @@
     def choose(
         self, request: RequestRow, group: GroupRow, floor: LogPosition | None
     ) -> Choice:
-        """Return an idle connection for a statement; ask for one where none is idle."""
+        """Choose an idle connection at the endpoint with the lowest cost.
+
+        If that endpoint has none, one more is requested there, and the idle connections
+        to the next endpoints are considered.
+        """
         first = None
         candidates = self._candidates(request, group, floor)
-        open_to_more = [e for e in candidates if self._load.has_room(e)]
-        for endpoint in open_to_more:
+        with_room = [e for e in candidates if self._load.has_room(e)]
+        for endpoint in with_room:
             connection = self._connections.take(
                 endpoint, request.session.values, request.customer
             )
@@ -54,20 +58,21 @@
             if first is None:
                 first = endpoint
                 self._connections.grow(endpoint, request.customer, borrow=True)
-                if endpoint.name != group.primary and _is_linking(endpoint):
-                    # A link takes a round trip to a neighbour. When all hosts start
-                    # at once, the primary would get the first reads of each.
+                if endpoint.name != group.primary and _is_opening_forwarded(endpoint):
+                    # A forwarded connection opens within a round trip to another
+                    # host. When all hosts start at once, the primary would get the
+                    # first reads of each of them if they did not wait.
                     break
-        full = bool(candidates) and not open_to_more
-        return Choice(None, why=_reason(group, floor), full=full)
+        full = bool(candidates) and not with_room
+        return Choice(None, why=_wait_reason(group, floor), full=full)
 
     def has_full_endpoint(self, group: GroupRow) -> bool:
-        """Tell whether an endpoint of a group has more to do than it should."""
+        """Return whether any endpoint of a group is full."""
         return not all(map(self._load.has_room, group.endpoints.values()))
 
     @staticmethod
     def has_idle_connection(group: GroupRow) -> bool:
-        """Tell whether a connection to any endpoint of a group is idle."""
+        """Return whether a connection to any endpoint of a group is idle."""
         return any(
             connection.state is ConnectionState.IDLE
             for endpoint in group.endpoints.values()
@@ -116,16 +121,16 @@
         )
 
 
-def _is_linking(endpoint: EndpointRow) -> bool:
-    """Tell whether a connection by way of another host is being opened."""
+def _is_opening_forwarded(endpoint: EndpointRow) -> bool:
+    """Return whether a forwarded connection to an endpoint is being opened."""
     return any(
         connection.holder and connection.state is ConnectionState.OPENING
         for connection in endpoint.connections.values()
     )
 
 
-def _reason(group: GroupRow, floor: LogPosition | None) -> str:
-    """Return what a statement waits for."""
+def _wait_reason(group: GroupRow, floor: LogPosition | None) -> str:
+    """Return the reason why a statement waits."""
     if floor is not None:
         return "waits for a connection"
     if group.primary_row is None:
--- a/mallowpass/core/proxy/timeouts.py
+++ b/mallowpass/core/proxy/timeouts.py
@@ -1,4 +1,4 @@
-"""Statements that take too long: reads are tried elsewhere, and all end in time."""
+"""Timeouts: overdue reads are retried elsewhere, and statements expire."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 __all__ = ["Timeouts"]
 
-# An overdue read is not tried elsewhere before it has taken so many times as long as
-# statements do at its endpoint.
+# An overdue read is retried at another endpoint only once it has taken this many times
+# the mean latency of its endpoint.
 OVERDUE_FACTOR = 6.0
 
 
 class Timeouts(ProxySystem):
-    """Let go of what an endpoint does not answer in time."""
+    """End the attempts and statements that are not answered in time."""
 
     __slots__ = ("_answers", "_attempts", "_connections", "_stalls", "_transactions")
 
     def start(self) -> None:
-        """Subscribe to attempts that are overdue."""
+        """Subscribe to overdue attempts."""
         node = self._node
         self._answers = node.system(Answers)
         self._attempts = node.system(Attempts)
@@ -34,22 +34,22 @@
         node.subscribe(AttemptOverdue, self._on_overdue)
 
     def _on_overdue(self, signal: AttemptOverdue) -> None:
-        """Read elsewhere when an endpoint takes far too long.
+        """Retry a read at another endpoint, as its reply may never come.
 
-        Its answer may be lost for good; the connection is left to finish, so that
-        work that is being done is not broken off.
+        Its connection stays open until the endpoint replies, so that work in progress
+        is not interrupted.
         """
         request = signal.request
         connection = request.connection
         endpoint = connection.endpoint
-        writes = request.access is Access.WRITE
-        if writes:
+        is_write = request.access is Access.WRITE
+        if is_write:
             self._node.publish(WriteStalled(endpoint))
-        if request.transaction is not None or writes:
+        if request.transaction is not None or is_write:
             return
         if self.now - request.sent_at < OVERDUE_FACTOR * endpoint.latency:
-            return  # all statements take long there: another one would not help
-        self._leave(request, connection)
+            return  # all statements take that long there: a retry would not help
+        self._abandon(request, connection)
         request.tries += 1
         request.avoided.add(endpoint.name)
         request.detail = f"{endpoint.name}: no answer in time"
@@ -62,21 +62,22 @@
         )
         self._node.publish(AttemptLeft(request))
 
-    def _leave(self, request: RequestRow, connection: ConnectionRow) -> None:
-        """Let go of a read that was sent, and that nobody waits for any more.
+    def _abandon(self, request: RequestRow, connection: ConnectionRow) -> None:
+        """Abandon a read that was sent and whose reply is no longer needed.
 
-        A holder that has not passed it on yet must not: what waits there in vain keeps
-        others waiting, which in turn are sent once more. At an endpoint it can't be
-        called back, and the connection is free again once it has ended.
+        At a holder, the read is cancelled by closing the connection: if it waited there
+        to be forwarded, it would delay other statements, which would then be retried
+        as well. At an endpoint it can't be cancelled; the connection is released when
+        the reply arrives.
         """
         self._attempts.detach(request)
         if connection.holder:
-            self._connections.close(connection, "nobody waits for its answer")
+            self._connections.close(connection, "its statement was abandoned")
         else:
             connection.endpoint.overdue += 1
 
     def expire(self, request: RequestRow) -> None:
-        """Answer a statement whose timeout has passed, if nothing else did."""
+        """Answer a statement whose timeout has passed, unless it has ended."""
         if request.finished:
             return
         connection = request.connection
@@ -92,11 +93,11 @@
         elif request.access is Access.WRITE:
             self._attempts.detach(request)
             if self._stalls.is_stalled(self.tables.group(request.route.service)):
-                # No answer is due on it before reads need another connection.
+                # No reply is expected on it before reads need another connection.
                 self._connections.close(connection, "its writes stall")
             self._answers.answer_in_doubt(request, "the statement's timeout passed")
         else:
-            self._leave(request, connection)
+            self._abandon(request, connection)
             why = "the statement's timeout passed"
             self._answers.send_answer(
                 request, Answer(Code.TIMED_OUT, SessionState.IDLE, message=why)
