--- a/mallowpass/core/proxy/floors.py
+++ b/mallowpass/core/proxy/floors.py
@@ -163,7 +163,7 @@
         self, endpoint: EndpointRow, route: Route, began_at: float
     ) -> None:
         """Request the proof of a read ahead, so that it arrives while the read runs."""
-        self.prove_freshness(endpoint, route, began_at, lambda sole: None)
+        self.prove_freshness(endpoint, route, began_at, lambda is_proven: None)
 
     def session_floor(self, session: SessionRow, route: Route) -> LogPosition | None:
         """Return the position of the session's commits that its reads must see."""
--- a/mallowpass/core/proxy/requests.py
+++ b/mallowpass/core/proxy/requests.py
@@ -1,8 +1,8 @@
-"""Statements that an endpoint must run: queued, sent, tried again, given up.
+"""Statements that an endpoint must run: queueing, sending, retries and final answers.
 
-What a caller is told follows from what is known: a statement that was not sent, or
-that its endpoint refused, did not run; a write that was sent and not answered may
-have run, and is never sent again.
+A statement that was not sent, or that its endpoint refused, did not run and may be
+retried. A write that was sent and not answered may have run: it is never sent again,
+and its caller is answered that the result is in doubt.
 """
 
 from __future__ import annotations
@@ -59,12 +59,13 @@
 
 __all__ = ["Requests"]
 
-# A statement is answered this long before its timeout, so that the answer still
-# arrives within it; callers are a few milliseconds away.
+# Seconds before its timeout at which a statement is answered, so that the answer still
+# arrives in time; callers are a few milliseconds away.
 ANSWER_MARGIN = 0.02
-# Statements in line for each of which a connection is asked for, before it is looked
-# whether any is idle. No more than that are opened at once.
-ASKED_MAX = 4
+# Once this many statements of a customer have found no connection in one pass over the
+# queue, further ones are tried only while a connection is idle. Each of the former
+# requests a connection, and no more connections than that are opened at once.
+MISSES_MAX = 4
 
 FULL = "its endpoint has too much to do; try again in a moment"
 
@@ -90,7 +91,7 @@
     )
 
     def start(self) -> None:
-        """Subscribe to whatever may let waiting statements run."""
+        """Subscribe to the signals upon which waiting statements may be sent."""
         node = self._node
         self._allowances = node.system(Allowances)
         self._answers = node.system(Answers)
@@ -106,14 +107,14 @@
         self._sampling = node.system(Sampling)
         self._stalls = node.system(Stalls)
         self._transactions = node.system(Transactions)
-        node.subscribe(AttemptLost, self._on_lost)
-        node.subscribe(AttemptLeft, self._on_left)
+        node.subscribe(AttemptLost, self._on_attempt_lost)
+        node.subscribe(AttemptLeft, self._on_attempt_abandoned)
         node.subscribe(AttemptRefused, self._on_attempt_refused)
-        node.subscribe(ConnectionFreed, self._on_freed)
-        node.subscribe(EndpointChanged, self._on_freed)
-        node.subscribe(PrimaryChanged, self._on_group)
-        node.subscribe(PrimaryHeard, self._on_group)
-        node.subscribe(FloorLearnt, self._on_group)
+        node.subscribe(ConnectionFreed, self._on_endpoint_signal)
+        node.subscribe(EndpointChanged, self._on_endpoint_signal)
+        node.subscribe(PrimaryChanged, self._on_group_signal)
+        node.subscribe(PrimaryHeard, self._on_group_signal)
+        node.subscribe(FloorLearnt, self._on_group_signal)
 
     # -- Arrival -------------------------------------------------------------
 
@@ -125,7 +126,7 @@
         access: Access,
         prepared: PreparedStatement | None = None,
     ) -> None:
-        """Run a statement of a session, in its transaction if it has one."""
+        """Run a statement of a session, in the session's transaction if one is open."""
         transaction = session.transaction
         if transaction is not None:
             route = transaction.route
@@ -145,18 +146,21 @@
         )
         session.request = request
         waited = self._pauses.wait_max
-        if waited >= route.statement_timeout and _writes(request):
-            why = f"this host was paused for {waited:.1f} s, and it may be as old"
+        if waited >= route.statement_timeout and _commits_writes(request):
+            why = (
+                f"this host was paused for {waited:.1f} s, and the statement may have"
+                " waited as long"
+            )
             self._answers.refuse(request, Code.BUSY, why)
             return
         request.timers.append(self.timers.at(expires, self._timeouts.expire, request))
         if transaction is not None and transaction.connection is not None:
             self._transactions.send(request)
         else:
-            self._begin(request)
+            self._admit(request)
 
-    def _begin(self, request: RequestRow) -> None:
-        """Have a statement wait for an endpoint once its customer's limit allows it."""
+    def _admit(self, request: RequestRow) -> None:
+        """Queue a statement once its customer's rate limit allows it."""
 
         def on_granted(until: float | None, why: str) -> None:
             if request.finished:
@@ -166,13 +170,13 @@
                 self._answers.refuse(request, Code.BUSY, why)
             else:
                 request.granted_until = until
-                self._wait(request)
+                self._enqueue(request)
 
-        request.detail = "waits for its customer's limit"
+        request.detail = "waits for its customer's rate limit"
         self._allowances.begin(request.customer, on_granted)
 
     def abandon_session(self, session: SessionRow) -> None:
-        """Forget a statement whose caller is gone; what was sent runs to its end."""
+        """Abandon the statement of a closed session; if it was sent, it runs on."""
         request = session.request
         connection = request.connection
         self._answers.finish(request)
@@ -180,39 +184,42 @@
             if session.transaction is not None:
                 self._answers.roll_back(session)
             return
-        # Its replies find a finished request, and free the connection.
+        # As the request is finished, its replies only release the connection.
         self._attempts.detach(request)
         if session.transaction is not None:
             session.transaction.connection = None
 
     # -- Waiting -------------------------------------------------------------
 
-    def _wait(self, request: RequestRow) -> None:
+    def _enqueue(self, request: RequestRow) -> None:
         group = self.tables.group(request.route.service)
         group.waiting.append(request)
         if len(group.waiting) > 1:
             group.waiting.sort(key=urgency)
         self._dispatch(group)
         until = held_until(request)
-        waits = request.connection is None and not request.finished
-        if waits and self.now < until:
+        is_waiting = request.connection is None and not request.finished
+        if is_waiting and self.now < until:
             request.timers.append(self.timers.at(until, self._dispatch, group))
 
     def _dispatch(self, group: GroupRow) -> None:
-        """Send what may be sent of the statements that wait, the most urgent first."""
-        line = DispatchPass()
+        """Send the waiting statements that can be sent, the most urgent first."""
+        dispatch_pass = DispatchPass()
         any_full = self._routing.has_full_endpoint(group)
         for request in list(group.waiting):
             if request.finished or request.retry_at > self.now:
                 continue
-            # There is no connection for others of its customer, either.
-            none = line.miss_count(request.customer) >= ASKED_MAX
-            held = not any_full or self.now < held_until(request)
-            if none and held and not self._routing.has_idle_connection(group):
+            # Further statements of the customer would find no connection either. One
+            # that may have to be refused is tried nevertheless.
+            is_missed = dispatch_pass.miss_count(request.customer) >= MISSES_MAX
+            may_wait = not any_full or self.now < held_until(request)
+            if is_missed and may_wait and not self._routing.has_idle_connection(group):
                 continue
-            self._try(request, group, line)
+            self._try_to_send(request, group, dispatch_pass)
 
-    def _try(self, request: RequestRow, group: GroupRow, line: DispatchPass) -> None:
+    def _try_to_send(
+        self, request: RequestRow, group: GroupRow, dispatch_pass: DispatchPass
+    ) -> None:
         if self._stalls.holds_back(request, group):
             if self.now >= held_until(request):
                 self._answers.refuse(request, Code.BUSY, WRITES_STALL)
@@ -221,11 +228,11 @@
         if self._waits_for_floor(request, group, floor):
             request.detail = "waits for a floor"
             return
-        choice = line.lookup_miss(request.customer, floor)
+        choice = dispatch_pass.lookup_miss(request.customer, floor)
         if choice is None:
             choice = self._routing.choose(request, group, floor)
             if choice.connection is None and not request.avoided:
-                line.record_miss(request.customer, floor, choice)
+                dispatch_pass.record_miss(request.customer, floor, choice)
         request.detail = choice.why or request.detail
         if choice.connection is not None:
             group.waiting.remove(request)
@@ -237,7 +244,7 @@
     def _waits_for_floor(
         self, request: RequestRow, group: GroupRow, floor: LogPosition | None
     ) -> bool:
-        """Tell whether a read should wait for a floor, to be served by a replica."""
+        """Return whether a read should wait for a floor, to be served by a replica."""
         if request.primary_only:
             return False
         if floor is None:
@@ -245,10 +252,12 @@
         self._sampling.refresh(group, request.route.accepted_age)
         return False
 
-    def _on_freed(self, signal: ConnectionFreed | EndpointChanged) -> None:
+    def _on_endpoint_signal(self, signal: ConnectionFreed | EndpointChanged) -> None:
         self._dispatch(self.tables.group(signal.endpoint.entry.service))
 
-    def _on_group(self, signal: PrimaryChanged | PrimaryHeard | FloorLearnt) -> None:
+    def _on_group_signal(
+        self, signal: PrimaryChanged | PrimaryHeard | FloorLearnt
+    ) -> None:
         if signal.group.waiting:
             self._dispatch(signal.group)
 
@@ -274,27 +283,29 @@
     ) -> None:
         self._attempts.attach(request, connection)
         calls = self._attempts.setup_calls(request, connection)
-        setup = len(calls)
-        reads = request.access is Access.READ
+        setup_count = len(calls)
+        is_read = request.access is Access.READ
         minimum = floor
-        if reads and floor is None:
+        if is_read and floor is None:
             minimum = self._floors.session_floor(request.session, request.route)
         calls.append(self._attempts.statement_call(request, minimum))
         group = self.tables.group(request.route.service)
-        if reads and connection.endpoint.name == group.primary:
-            # Was it still the primary? An old one answers reads like any replica,
-            # from a log that lacks what its successor has committed.
+        if is_read and connection.endpoint.name == group.primary:
+            # An empty transaction checks that the endpoint is still the primary: a
+            # replaced one answers reads like any replica, from a log that lacks the
+            # commits of its successor.
             calls.append(EndpointCall(Begin()))
             calls.append(EndpointCall(Rollback()))
             if floor is None:
-                # One that does not know of its successor accepts these as well. The
-                # answers come while the read runs.
+                # A replaced primary that does not know of its successor accepts the
+                # transaction as well, so the other members are asked. Their answers
+                # come while the read runs.
                 self._floors.request_proof(
                     connection.endpoint, request.route, request.arrived
                 )
 
         def on_replies(connection: ConnectionRow, replies: list[EndpointReply]) -> None:
-            self._on_single_replies(request, connection, replies, setup)
+            self._on_single_replies(request, connection, replies, setup_count)
 
         self._connections.send(connection, calls, on_replies)
 
@@ -305,12 +316,14 @@
         request: RequestRow,
         connection: ConnectionRow,
         replies: list[EndpointReply],
-        setup: int,
+        setup_count: int,
     ) -> None:
-        if any(reply.code is not Code.DONE for reply in replies[:setup]):
+        if any(reply.code is not Code.DONE for reply in replies[:setup_count]):
             connection.broken = True
-        reply = replies[setup]
-        guard = replies[setup + 1] if len(replies) > setup + 1 else None
+        reply = replies[setup_count]
+        primary_check = (
+            replies[setup_count + 1] if len(replies) > setup_count + 1 else None
+        )
         if request.connection is not connection:
             connection.endpoint.overdue = max(0, connection.endpoint.overdue - 1)
             self._connections.release(connection)
@@ -320,29 +333,29 @@
         if reply.code is Code.UNKNOWN_STATEMENT:
             connection.broken = True
         self._connections.release(connection)
-        if guard is not None and guard.code is not Code.DONE:
-            self._refused(request, endpoint, guard)
+        if primary_check is not None and primary_check.code is not Code.DONE:
+            self._on_refused(request, endpoint, primary_check)
         elif reply.code is Code.DONE:
             self._load.measured(endpoint, self.now - request.sent_at)
             if request.access is Access.READ and request.floor is None:
-                self._prove(request, endpoint, reply)
+                self._answer_if_proven(request, endpoint, reply)
             else:
-                self._on_done(request, endpoint, reply, guard is not None)
+                self._on_done(request, endpoint, reply, primary_check is not None)
         else:
             self._on_failed(request, endpoint, reply)
 
-    def _prove(
+    def _answer_if_proven(
         self, request: RequestRow, endpoint: EndpointRow, reply: EndpointReply
     ) -> None:
-        """Answer a read at the primary once it is known that nobody else led."""
+        """Answer a read at the primary once the primary is proven to lead alone."""
 
-        def on_proof(sole: bool) -> None:
+        def on_proof(is_proven: bool) -> None:
             if request.finished:
                 return
-            if sole:
+            if is_proven:
                 self._on_done(request, endpoint, reply, proves_primary=True)
             else:
-                self._refused(request, endpoint, UNPROVEN)
+                self._on_refused(request, endpoint, UNPROVEN)
 
         self._floors.prove_freshness(endpoint, request.route, request.arrived, on_proof)
 
@@ -370,22 +383,23 @@
         self, request: RequestRow, endpoint: EndpointRow, reply: EndpointReply
     ) -> None:
         if reply.code.is_not_run:
-            self._refused(request, endpoint, reply)
+            self._on_refused(request, endpoint, reply)
         elif request.access is Access.READ and request.tries == 0:
-            # It ran and failed; a read may well succeed elsewhere.
-            self._refused(request, endpoint, reply)
+            # The read ran and failed; it may succeed at another endpoint.
+            self._on_refused(request, endpoint, reply)
         else:
             self._answers.forward_reply(request, reply, SessionState.IDLE)
 
     def _on_attempt_refused(self, signal: AttemptRefused) -> None:
-        self._refused(signal.request, signal.endpoint, signal.reply)
+        self._on_refused(signal.request, signal.endpoint, signal.reply)
 
-    def _refused(
+    def _on_refused(
         self, request: RequestRow, endpoint: EndpointRow, reply: EndpointReply
     ) -> None:
-        """Try a statement again that did not run."""
+        """Retry a statement that an endpoint refused, or give it up."""
         if reply.code is Code.UNAUTHENTICATED:
-            # By a newer configuration than this host's: nobody will run it.
+            # The configuration at the holder is newer than this host's, and no holder
+            # will run the statement.
             self._answers.refuse(request, reply.code, reply.message)
             return
         if reply.code is not Code.UNREACHABLE:
@@ -398,11 +412,12 @@
             self._floors.mark_behind(endpoint)
             request.behind += 1
             request.avoided.add(endpoint.name)
-        elif reply.code is not Code.UNREACHABLE:  # else by another holder, at once
+        elif reply.code is not Code.UNREACHABLE:
+            # An unreachable endpoint is retried at once, by way of another holder.
             request.avoided.add(endpoint.name)
             request.retry_at = self.now + self._attempts.backoff(request)
-        held = reply.code is Code.BUSY and self.now >= held_until(request)
-        if held or request.tries >= TRIES_MAX:
+        is_held_too_long = reply.code is Code.BUSY and self.now >= held_until(request)
+        if is_held_too_long or request.tries >= TRIES_MAX:
             self._answers.refuse(request, Code.BUSY, request.detail)
             return
         if request.retry_at > self.now:
@@ -411,17 +426,18 @@
                 self.timers.at(request.retry_at, self._dispatch, group)
             )
         if reply.code.is_not_run:
-            self._wait(request)
+            self._enqueue(request)
         else:
-            self._begin(request)  # it counts once more
+            # The statement ran, so it counts against the rate limit once more.
+            self._admit(request)
 
-    def _on_left(self, signal: AttemptLeft) -> None:
-        self._begin(signal.request)
+    def _on_attempt_abandoned(self, signal: AttemptLeft) -> None:
+        self._admit(signal.request)
 
-    # -- What goes wrong -----------------------------------------------------
+    # -- Lost connections ----------------------------------------------------
 
-    def _on_lost(self, signal: AttemptLost) -> None:
-        """Act on the loss of the connection that a statement was sent on."""
+    def _on_attempt_lost(self, signal: AttemptLost) -> None:
+        """Retry or answer a statement whose connection was lost."""
         request, why = signal.request, signal.why
         endpoint = request.endpoint
         if request.connection is not None:
@@ -431,26 +447,26 @@
             return
         transaction = request.transaction
         if transaction is not None:
-            begun = transaction.connection is not None
+            has_begun = transaction.connection is not None
             transaction.connection = None
-            if begun:
+            if has_begun:
                 self._transactions.answer_lost(request, why)
                 return
         elif request.access is Access.WRITE:
             self._answers.answer_in_doubt(request, why)
             return
-        # A read, or a transaction that was not begun: nothing of it is kept.
+        # A read, or a transaction that has not begun: nothing of it was committed.
         request.tries += 1
         request.avoided.add(endpoint.name)
         request.detail = f"{endpoint.name}: {why}"
         if request.tries >= TRIES_MAX:
             self._answers.refuse(request, Code.ABORTED, request.detail)
         else:
-            self._begin(request)
+            self._admit(request)
 
 
-def _writes(request: RequestRow) -> bool:
-    """Tell whether a statement has something kept that its caller may have given up."""
+def _commits_writes(request: RequestRow) -> bool:
+    """Return whether a statement commits writes, which its caller may have given up."""
     if isinstance(request.statement, Commit):
         return request.transaction.wrote
     return request.access is Access.WRITE
--- a/mallowpass/core/proxy/transactions.py
+++ b/mallowpass/core/proxy/transactions.py
@@ -1,4 +1,7 @@
-"""Transactions at endpoints: begun late, and kept on one connection each."""
+"""Transactions at endpoints, each pinned to one connection.
+
+A transaction is begun at an endpoint only with its first statement.
+"""
 
 from __future__ import annotations
 
@@ -51,7 +54,7 @@
     )
 
     def start(self) -> None:
-        """Find the systems that are asked."""
+        """Look up the systems that this one uses."""
         node = self._node
         self._answers = node.system(Answers)
         self._attempts = node.system(Attempts)
@@ -69,16 +72,16 @@
         connection: ConnectionRow,
         floor: LogPosition | None,
     ) -> None:
-        """Begin a transaction, and send its first statement once that is accepted.
+        """Begin a transaction, and send its first statement once it has begun.
 
-        Sent along, the statement would run outside the transaction where the
-        endpoint refuses to begin it.
+        If both were sent together, the statement would run outside the transaction
+        when the endpoint refuses to begin it.
         """
         self._attempts.attach(request, connection)
         connection.state = ConnectionState.PINNED
         request.transaction.proven = floor is not None
-        # A primary accepts a transaction that may write only while it leads. That is
-        # how a read learns that the primary was not replaced.
+        # A primary accepts a transaction that may write only while it leads, which
+        # shows that the primary was not replaced.
         read_only = floor is not None
         minimum = floor or self._floors.session_floor(request.session, request.route)
         call = EndpointCall(Begin(read_only), minimum=minimum)
@@ -109,30 +112,30 @@
         self.send(request)
 
     def send(self, request: RequestRow) -> None:
-        """Send a statement on its transaction's connection."""
+        """Send a statement on its transaction's pinned connection."""
         connection = request.transaction.connection
         if request.access is Access.READ and not request.transaction.proven:
             began_at = request.transaction.began_at
             self._floors.request_proof(connection.endpoint, request.route, began_at)
         self._attempts.attach(request, connection)
         calls = self._attempts.setup_calls(request, connection)
-        setup = len(calls)
+        setup_count = len(calls)
         calls.append(self._attempts.statement_call(request, None))
 
         def on_replies(connection: ConnectionRow, replies: list[EndpointReply]) -> None:
-            self._on_pinned_replies(request, connection, replies, setup)
+            self._on_pinned_replies(request, connection, replies, setup_count)
 
         self._connections.send(connection, calls, on_replies)
 
-    def _send_later(self, request: RequestRow, connection: ConnectionRow) -> None:
+    def _retry_later(self, request: RequestRow, connection: ConnectionRow) -> None:
         request.tries += 1
-        pause = self._attempts.backoff(request)
+        delay = self._attempts.backoff(request)
         self._attempts.watch_loss(request, connection)
         request.timers.append(
-            self.timers.after(pause, self._send_again, request, connection)
+            self.timers.after(delay, self._retry, request, connection)
         )
 
-    def _send_again(self, request: RequestRow, connection: ConnectionRow) -> None:
+    def _retry(self, request: RequestRow, connection: ConnectionRow) -> None:
         if not request.finished and request.transaction.connection is connection:
             self.send(request)
 
@@ -143,14 +146,14 @@
         request: RequestRow,
         connection: ConnectionRow,
         replies: list[EndpointReply],
-        setup: int,
+        setup_count: int,
     ) -> None:
         if request.connection is not connection:
             self._connections.roll_back(connection)
             return
-        if any(reply.code is not Code.DONE for reply in replies[:setup]):
+        if any(reply.code is not Code.DONE for reply in replies[:setup_count]):
             connection.broken = True
-        reply = replies[setup]
+        reply = replies[setup_count]
         endpoint = connection.endpoint
         self._attempts.detach(request)
         transaction = request.transaction
@@ -161,11 +164,11 @@
             self._load.measured(endpoint, self.now - request.sent_at)
             transaction.wrote |= request.access is Access.WRITE
             if request.access is Access.READ and not transaction.proven:
-                self._prove(request, connection, reply)
+                self._answer_if_proven(request, connection, reply)
             else:
                 self._on_done(request, connection, reply)
-        elif self._is_refused_open(request, reply):
-            self._send_later(request, connection)
+        elif self._can_retry(request, reply):
+            self._retry_later(request, connection)
         else:
             if reply.code is Code.NOT_PRIMARY:
                 self._members.denied(endpoint)
@@ -180,7 +183,7 @@
     def _fail(
         self, request: RequestRow, connection: ConnectionRow, reply: EndpointReply
     ) -> None:
-        """Roll a transaction back of which a statement failed."""
+        """Roll back a transaction in which a statement failed."""
         request.transaction.connection = None
         self._connections.roll_back(connection)
         code = Code.ABORTED if reply.code.is_not_run else reply.code
@@ -189,16 +192,16 @@
             request, Answer(code, SessionState.FAILED, message=message)
         )
 
-    def _prove(
+    def _answer_if_proven(
         self, request: RequestRow, connection: ConnectionRow, reply: EndpointReply
     ) -> None:
-        """Answer a read once it is known that nobody else led when its caller began."""
+        """Answer a read once the primary is proven to lead alone."""
         self._attempts.watch_loss(request, connection)
 
-        def on_proof(sole: bool) -> None:
+        def on_proof(is_proven: bool) -> None:
             if request.finished or request.transaction.connection is not connection:
                 return
-            if sole:
+            if is_proven:
                 request.transaction.proven = True
                 self._on_done(request, connection, reply)
             else:
@@ -210,8 +213,8 @@
         )
 
     @staticmethod
-    def _is_refused_open(request: RequestRow, reply: EndpointReply) -> bool:
-        """Tell whether a statement did not run, and its transaction stays open."""
+    def _can_retry(request: RequestRow, reply: EndpointReply) -> bool:
+        """Return whether a statement did not run and its transaction is still open."""
         return (
             reply.code is Code.BUSY
             and reply.state is SessionState.IN_TRANSACTION
@@ -224,10 +227,10 @@
         endpoint = connection.endpoint
         transaction = request.transaction
         transaction.connection = None
-        if self._is_refused_open(request, reply):
-            # Refused and still open: it is sent again, on the same connection.
+        if self._can_retry(request, reply):
+            # The transaction is still open on its connection.
             transaction.connection = connection
-            self._send_later(request, connection)
+            self._retry_later(request, connection)
             return
         if reply.state is SessionState.IDLE:
             self._connections.release(connection)
@@ -254,7 +257,7 @@
             ),
         )
 
-    # -- Ends ----------------------------------------------------------------
+    # -- Lost connections ----------------------------------------------------
 
     def answer_lost(self, request: RequestRow, why: str) -> None:
         """Answer a statement whose transaction lost its connection."""
@@ -262,13 +265,13 @@
         if is_commit and request.transaction.wrote:
             self._answers.answer_in_doubt(request, why)
             return
-        # An endpoint rolls back what a lost connection left open, and no commit
-        # with writes was sent: nothing of this transaction is kept.
+        # An endpoint rolls back the open transaction of a lost connection, and no
+        # commit with writes was sent: nothing of this transaction is committed.
         state = SessionState.IDLE if is_commit else SessionState.FAILED
         self._answers.send_answer(request, Answer(Code.ABORTED, state, message=why))
 
     def _on_idle_lost(self, session: SessionRow, why: str) -> None:
-        """Note that a transaction lost its connection between two statements."""
+        """Handle the loss of a transaction's connection between two statements."""
         if session.transaction is not None:
             session.transaction.connection = None
             self._node.publish(TransactionLost(session, why))
--- a/tests/core/proxy/test_requests.py
+++ b/tests/core/proxy/test_requests.py
@@ -1,4 +1,4 @@
-"""Statements that wait: what it costs a host that many do."""
+"""Tests of the cost of many waiting statements to a host."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 READERS = 200
 
 
-def test_a_long_line_is_not_walked_whenever_a_statement_ends(monkeypatch):
-    """Symptom: after a loss of power the first host that is ready answers a fifth of
-    its statements in time, though endpoints and its links have time to spare.
+def test_queue_is_not_searched_in_full_whenever_a_statement_ends(monkeypatch):
+    """A host with a long queue has no processor time left to handle replies.
 
-    Sequence: all callers of a region come to one host; two hundred reads wait for a
-    handful of connections.
-    Cause: whenever a connection was free, an endpoint was chosen for each of those that
-    wait, of which one could run. The host had no time left for what was answered.
+    After a loss of power all callers of a region connect to the first host that is
+    ready, and 200 reads wait for a few connections. If each free connection makes the
+    host choose an endpoint for each waiting read, of which only one can run, a fifth of
+    the statements are answered in time, though endpoints and forwarded connections
+    have capacity to spare.
     """
     world = ProxyWorld(hosts=1)
     routes = {
@@ -32,17 +32,17 @@
     world.run(0.5)
     readers = [world.caller(0, "bounded") for _ in range(READERS)]
     world.caller(0, "strict").run(Write("a 1"))
-    chosen = 0
+    choose_calls = 0
     choose = Routing.choose
 
-    def counted(self, *args):
-        nonlocal chosen
-        chosen += 1
+    def counting_choose(self, *args):
+        nonlocal choose_calls
+        choose_calls += 1
         return choose(self, *args)
 
-    monkeypatch.setattr(Routing, "choose", counted)
+    monkeypatch.setattr(Routing, "choose", counting_choose)
     for reader in readers:
         reader.send(Read("a"))
     world.run(2.0)
     assert [r.answers[-1].code for r in readers] == [Code.DONE] * READERS
-    assert chosen < 12 * READERS
+    assert choose_calls < 12 * READERS
