--- a/mallowpass/core/proxy/credentials.py
+++ b/mallowpass/core/proxy/credentials.py
@@ -1,4 +1,7 @@
-"""Credentials of callers: digests of their keys, which are known at the edge only."""
+"""Credentials of callers: digests of their keys.
+
+The keys themselves are known only where callers connect.
+"""
 
 from __future__ import annotations
 
@@ -6,14 +9,14 @@
 
 __all__ = ["NO_CREDENTIAL", "credential_of"]
 
-# Half of the digest: as unlikely to be met twice as a random UUID.
+# Half of the SHA-256 digest: collisions are as unlikely as those of random UUIDs.
 DIGEST_LENGTH = 16  # bytes
 
-NO_CREDENTIAL = ""  # of a caller that shows no key
+NO_CREDENTIAL = ""  # of a caller that presents no key
 
 
 def credential_of(key: str) -> str:
-    """Return the credential that a key stands for; it does not tell the key."""
+    """Return the credential of a key, from which the key can't be derived."""
     if not key:
         return NO_CREDENTIAL
     data = key.encode("utf-8", "surrogateescape")
--- a/mallowpass/core/proxy/customers.py
+++ b/mallowpass/core/proxy/customers.py
@@ -1,8 +1,8 @@
-"""In whose name a session's statements run.
+"""Customers: in whose name the statements of a session run.
 
-The key of a session's caller says who its customer is, by the configuration in force:
-keys are added, taken away, and moved to other customers while sessions stay open. So
-it is asked anew for each operation, and not while a transaction is open.
+A session's customer is looked up by the caller's key in the configuration in force.
+Keys are added, revoked, and moved to other customers while sessions stay open, so the
+customer is looked up again for each operation, but not within a transaction.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 
 __all__ = ["ANONYMOUS", "Customers", "Refusal"]
 
-# Name of the callers of public databases that show no key of a customer. No customer
-# has it: it is no name of one that a configuration may hold.
+# Customer name of the callers of public databases that present no customer's key. It
+# can't collide with a customer: a configuration may not use it as a name.
 ANONYMOUS = "-"
 
 
 @record
 class Refusal:
-    """Say why a session may run no operation."""
+    """Describe why a session may run no operation."""
 
     code: Code
     message: str
@@ -33,16 +33,16 @@
 
 
 class Customers(ProxySystem):
-    """Identify the callers of sessions."""
+    """Identify the customers of sessions."""
 
     __slots__ = ("_store",)
 
     def start(self) -> None:
-        """Find the system that is asked."""
+        """Look up the system that this one uses."""
         self._store = self._node.system(Store)
 
     def identify(self, session: SessionRow) -> Refusal | None:
-        """Find a session's customer; return why it may run no operation."""
+        """Set a session's customer; return the refusal if it may run no operation."""
         configuration = self.tables.configuration
         session.customer = _customer(configuration, session)
         if not configuration.identifies:
--- a/mallowpass/core/proxy/sessions.py
+++ b/mallowpass/core/proxy/sessions.py
@@ -1,7 +1,7 @@
 """Sessions of callers: their values, prepared statements and transactions.
 
-What only concerns the session is answered here; connections are brought to its state
-when a statement needs one.
+Statements that concern only the session are answered here. A connection is set to the
+state of a session when a statement of that session needs the connection.
 """
 
 from __future__ import annotations
@@ -53,50 +53,54 @@
 
 __all__ = ["Sessions"]
 
-# How long a caller's first message waits for a host that has just started to learn
-# the configuration; callers give up after two seconds.
-CONFIGURATION_WAIT = 1.5
-# Statements that a session may have sent ahead of their answers.
+# Seconds that a new session waits for a host that has just started and has no
+# configuration yet; callers give up after 2 s.
+CONFIGURATION_TIMEOUT = 1.5
+# Unanswered statements that a session may have sent.
 PIPELINE_MAX = 64
 
-# A host that stops closes sessions that were quiet for so long. One that has just
-# opened, or set a value, is about to send the statement that this was for: closed
-# then, its caller would lose an operation that it had begun.
-QUIET = 0.3  # seconds
+# A draining host closes a session at once if its last statement ended an operation, and
+# any other idle session after this many seconds without activity. A caller that has
+# just opened a session, or set a value, is about to send a statement: if its session
+# were closed, it would lose an operation in progress.
+QUIET_TIMEOUT = 0.3
 
-_ENDING = (Commit, Rollback)
+_ENDING_STATEMENTS = (Commit, Rollback)
 
 
 class Sessions(ProxySystem):
-    """Own the sessions of callers."""
+    """Open and close sessions, and run their statements in order."""
 
     __slots__ = ("_answers", "_closing", "_customers", "_early", "_requests")
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
         self._closing = False
-        self._early: dict[int, SessionOpened] = {}  # before any configuration came
+        # Sessions that were opened before the first configuration arrived, by stream.
+        self._early: dict[int, SessionOpened] = {}
 
     def start(self) -> None:
-        """Subscribe to what callers do."""
+        """Subscribe to the events of callers and to the answers of statements."""
         node = self._node
         self._requests = node.system(Requests)
         self._answers = node.system(Answers)
         self._customers = node.system(Customers)
-        node.subscribe(SessionOpened, self._on_opened)
-        node.subscribe(SessionClosed, self._on_closed)
-        node.subscribe(StatementReceived, self._on_received)
-        node.subscribe(StatementAnswered, self._on_answered)
+        node.subscribe(SessionOpened, self._on_session_opened)
+        node.subscribe(SessionClosed, self._on_session_closed)
+        node.subscribe(StatementReceived, self._on_statement_received)
+        node.subscribe(StatementAnswered, self._on_statement_answered)
         node.subscribe(TransactionLost, self._on_transaction_lost)
-        node.subscribe(ConfigurationAccepted, self._on_configuration)
+        node.subscribe(ConfigurationAccepted, self._on_configuration_accepted)
 
     # -- Opening and closing -------------------------------------------------
 
-    def _on_opened(self, event: SessionOpened) -> None:
+    def _on_session_opened(self, event: SessionOpened) -> None:
         configuration = self.tables.configuration
         if configuration is None:
             self._early[event.stream] = event
-            self.timers.after(CONFIGURATION_WAIT, self._give_up, event)
+            self.timers.after(
+                CONFIGURATION_TIMEOUT, self._on_configuration_timeout, event
+            )
         elif event.database not in configuration.routes:
             message = f"no database {event.database!r}"
             self._refuse(event, Code.UNKNOWN_DATABASE, message)
@@ -126,18 +130,18 @@
         self._node.count("sessions_refused", code=code.value)
         self._node.emit(RefuseSession(event.stream, code, message))
 
-    def _give_up(self, event: SessionOpened) -> None:
+    def _on_configuration_timeout(self, event: SessionOpened) -> None:
         if self._early.pop(event.stream, None) is None:
             return
-        message = "this host has no configuration yet; come back in 2 s"
+        message = "this host has no configuration yet; try again in 2 s"
         self._node.emit(RefuseSession(event.stream, Code.BUSY, message))
 
-    def _on_configuration(self, signal: ConfigurationAccepted) -> None:
+    def _on_configuration_accepted(self, signal: ConfigurationAccepted) -> None:
         early, self._early = self._early, {}
         for event in early.values():
-            self._on_opened(event)
+            self._on_session_opened(event)
 
-    def _on_closed(self, event: SessionClosed) -> None:
+    def _on_session_closed(self, event: SessionClosed) -> None:
         self._early.pop(event.stream, None)
         session = self.tables.sessions.pop(event.stream, None)
         if session is None:
@@ -146,8 +150,7 @@
         session.received.clear()
         transaction = session.transaction
         if session.request is not None:
-            # Whatever it is in the middle of ends at the endpoint, whose answer
-            # then finds nobody.
+            # A statement that was sent runs on at the endpoint; its reply is dropped.
             self._requests.abandon_session(session)
         elif transaction is not None:
             self._answers.roll_back(session)
@@ -155,30 +158,30 @@
             transaction.idle_timer.cancel()
 
     def close_idle(self) -> None:
-        """Close all sessions that are between two operations, now and from now on."""
+        """Close all sessions between operations, now and whenever an operation ends."""
         self._closing = True
         for session in list(self.tables.sessions.values()):
             self._close_if_idle(session)
 
     def abort_transactions(self, why: str) -> None:
-        """Abort the transactions whose callers are not waiting for an answer."""
+        """Abort the open transactions in which no statement is running."""
         for session in list(self.tables.sessions.values()):
             if session.transaction is not None and session.request is None:
                 self._answers.roll_back(session)
-                self._note_lost(session, why)
+                self._record_loss(session, why)
 
     def _close_if_idle(self, session: SessionRow) -> None:
-        quiet = self.now - session.touched_at
-        busy = session.request is not None or bool(session.received)
-        idle = session.operated or quiet >= QUIET
-        if session.state is SessionState.IDLE and idle and not busy:
+        quiet_time = self.now - session.touched_at
+        is_busy = session.request is not None or bool(session.received)
+        is_idle = session.operated or quiet_time >= QUIET_TIMEOUT
+        if session.state is SessionState.IDLE and is_idle and not is_busy:
             self.tables.sessions.pop(session.stream, None)
             session.closed = True
             self._node.emit(CloseSession(session.stream))
 
     # -- Statements ----------------------------------------------------------
 
-    def _on_received(self, event: StatementReceived) -> None:
+    def _on_statement_received(self, event: StatementReceived) -> None:
         session = self.tables.sessions.get(event.stream)
         if session is None:
             return
@@ -190,56 +193,59 @@
         if session.request is None:
             self._run_next(session)
 
-    def _on_answered(self, signal: StatementAnswered) -> None:
-        """Go on after a statement's answer has left."""
+    def _on_statement_answered(self, signal: StatementAnswered) -> None:
+        """Update a session after an answer, and run its next statement."""
         session, state = signal.session, signal.state
         session.state = state
         session.touched_at = self.now
         session.operated = state is SessionState.IDLE
         if state is SessionState.IDLE:
-            self._end(session)
+            self._end_transaction(session)
         elif session.transaction is not None:
-            self._watch_idle(session)
+            self._start_idle_timer(session)
         self._run_next(session)
 
     def _run_next(self, session: SessionRow) -> None:
         if session.is_running_next:
-            return  # a statement was answered at once; whoever ran it goes on
+            return  # the call that is running a statement goes on with the next one
         session.is_running_next = True
         try:
             while session.received and session.request is None and not session.closed:
                 request_id, statement = session.received.popleft()
                 session.operated = False
-                self._stop_watching_idle(session)
-                self._run(session, request_id, statement)
+                self._cancel_idle_timer(session)
+                self._run_statement(session, request_id, statement)
         finally:
             session.is_running_next = False
-        # A session that is never quiet would be cut at the end of the grace period.
+        # While draining, a session is closed after any operation: a session that is
+        # never quiet would otherwise be cut off at the end of the grace period.
         if self._closing and not session.closed:
             self._close_if_idle(session)
 
     @staticmethod
-    def _stop_watching_idle(session: SessionRow) -> None:
+    def _cancel_idle_timer(session: SessionRow) -> None:
         transaction = session.transaction
         if transaction is not None and transaction.idle_timer is not None:
             transaction.idle_timer.cancel()
             transaction.idle_timer = None
 
-    def _run(
+    def _run_statement(
         self, session: SessionRow, request_id: str, statement: Statement | None
     ) -> None:
         if statement is None:
-            self._fail(session, Code.MALFORMED, "the statement can't be read")
+            self._fail(session, Code.MALFORMED, "the statement can't be decoded")
         elif session.transaction is not None and session.transaction.lost_why:
             self._run_after_loss(session, statement)
         elif session.state is SessionState.FAILED and not isinstance(
-            statement, _ENDING
+            statement, _ENDING_STATEMENTS
         ):
-            self._fail(session, Code.MALFORMED, "the transaction has failed; end it")
+            self._fail(
+                session, Code.MALFORMED, "the transaction has failed; roll it back"
+            )
         elif session.state is SessionState.IDLE and not self._has_route(session):
             message = f"no database {session.database!r}"
             self._fail(session, Code.UNKNOWN_DATABASE, message)
-        elif _begins(session, statement):
+        elif _begins_operation(session, statement):
             refusal = self._customers.identify(session)
             if refusal is None:
                 self._execute(statement, session, request_id)
@@ -265,7 +271,7 @@
     def _execute(
         self, statement: Statement, session: SessionRow, request_id: str
     ) -> None:
-        self._fail(session, Code.MALFORMED, "callers can't send this statement")
+        self._fail(session, Code.MALFORMED, "callers can't send this kind of statement")
 
     @_execute.register
     def _(self, statement: SetValue, session: SessionRow, request_id: str) -> None:
@@ -281,7 +287,7 @@
     @_execute.register
     def _(self, statement: Deallocate, session: SessionRow, request_id: str) -> None:
         if session.prepared.pop(statement.name, None) is None:
-            self._fail_unknown(session, statement.name)
+            self._fail_unknown_name(session, statement.name)
         else:
             self._reply(session, session.state)
 
@@ -324,7 +330,7 @@
     def _(self, statement: Execute, session: SessionRow, request_id: str) -> None:
         prepared = session.prepared.get(statement.name)
         if prepared is None:
-            self._fail_unknown(session, statement.name)
+            self._fail_unknown_name(session, statement.name)
         elif prepared.access is Access.WRITE:
             self._run_write(session, request_id, statement, prepared)
         else:
@@ -339,18 +345,18 @@
     ) -> None:
         transaction = session.transaction
         if transaction is not None and transaction.read_only:
-            self._fail(session, Code.NOT_PRIMARY, "the transaction may only read")
+            self._fail(session, Code.NOT_PRIMARY, "the transaction is read-only")
             return
         self._requests.run(session, request_id, statement, Access.WRITE, prepared)
 
     # -- Answers -------------------------------------------------------------
 
-    def _fail_unknown(self, session: SessionRow, name: str) -> None:
+    def _fail_unknown_name(self, session: SessionRow, name: str) -> None:
         message = f"no prepared statement {name!r}"
         self._fail(session, Code.UNKNOWN_STATEMENT, message)
 
     def _fail(self, session: SessionRow, code: Code, message: str) -> None:
-        """Refuse a statement; a transaction that it stands in fails with it."""
+        """Refuse a statement; its transaction, if one is open, fails with it."""
         state = session.state
         if state is not SessionState.IDLE:
             self._answers.roll_back(session)
@@ -378,13 +384,13 @@
             AnswerStatement(session.stream, Answer(code, state, message=message))
         )
         if state is SessionState.IDLE:
-            self._end(session)
+            self._end_transaction(session)
         elif session.transaction is not None:
-            self._watch_idle(session)
+            self._start_idle_timer(session)
 
     # -- Transactions --------------------------------------------------------
 
-    def _end(self, session: SessionRow) -> None:
+    def _end_transaction(self, session: SessionRow) -> None:
         transaction = session.transaction
         if transaction is None:
             return
@@ -395,37 +401,38 @@
             self._answers.roll_back(session)
         session.transaction = None
 
-    def _watch_idle(self, session: SessionRow) -> None:
+    def _start_idle_timer(self, session: SessionRow) -> None:
         transaction = session.transaction
         if transaction.idle_timer is not None:
             transaction.idle_timer.cancel()
         idle = self.tables.configuration.transaction_idle
-        transaction.idle_timer = self.timers.after(idle, self._on_idle, session)
+        transaction.idle_timer = self.timers.after(idle, self._on_idle_timeout, session)
 
-    def _on_idle(self, session: SessionRow) -> None:
-        """Abort a transaction that keeps a connection and does nothing with it."""
+    def _on_idle_timeout(self, session: SessionRow) -> None:
+        """Abort a transaction that holds a connection without using it."""
         transaction = session.transaction
         if transaction is None or session.request is not None:
             return
         if transaction.connection is None:
             return
         self._answers.roll_back(session)
-        self._note_lost(session, "the transaction was idle for too long")
+        self._record_loss(session, "the transaction exceeded the idle timeout")
 
     def _on_transaction_lost(self, signal: TransactionLost) -> None:
-        self._note_lost(signal.session, signal.why)
+        self._record_loss(signal.session, signal.why)
 
-    def _note_lost(self, session: SessionRow, why: str) -> None:
-        """Remember that a transaction ended between two statements of its caller."""
+    def _record_loss(self, session: SessionRow, why: str) -> None:
+        """Record that a transaction ended between two statements of its caller."""
         if session.state is SessionState.IN_TRANSACTION:
             session.transaction.lost_why = why
         self._node.log("info", "transaction_lost", database=session.database, why=why)
 
 
-def _begins(session: SessionRow, statement: Statement) -> bool:
-    """Tell whether an endpoint runs nothing of an operation yet.
+def _begins_operation(session: SessionRow, statement: Statement) -> bool:
+    """Return whether a statement begins an operation at an endpoint.
 
-    What has begun at an endpoint ends there, whatever becomes of the caller's key.
+    The caller's key is checked only then: an operation that has begun at an endpoint
+    ends there, even if the key is revoked meanwhile.
     """
     if session.state is SessionState.FAILED or isinstance(statement, Rollback):
         return False
--- a/tests/core/proxy/policy/test_admission.py
+++ b/tests/core/proxy/policy/test_admission.py
@@ -23,7 +23,7 @@
 
 
 def test_overload_is_refused_with_most_of_the_objective_left():
-    """Statements are refused too late for their callers to retry.
+    """Guard against refusals that come too late for callers to retry.
 
     300 statements a second arrive for two seconds at an endpoint that runs 100.
     """
@@ -72,7 +72,7 @@
 
 
 def test_miss_of_a_customer_does_not_apply_to_others():
-    """A customer without a connection blocks all statements queued behind its own."""
+    """Guard against a customer without a connection that blocks all others."""
     misses = DispatchPass()
     misses.record_miss("acme", None, Choice(None, why="none"))
     misses.record_miss("acme", LogPosition(1, 1), Choice(None, why="none"))
--- a/tests/core/proxy/policy/test_placement.py
+++ b/tests/core/proxy/policy/test_placement.py
@@ -26,7 +26,7 @@
 
 
 def test_reads_leave_an_endpoint_that_is_five_times_slower():
-    """Reads stay at the slow endpoint of their region, and all of them are late."""
+    """Guard against late reads for as long as the endpoint of a region is slow."""
     far = cost(
         endpoint(0.045), is_primary=False, is_avoided=False, is_same_region=False
     )
--- a/tests/core/proxy/test_customers.py
+++ b/tests/core/proxy/test_customers.py
@@ -1,4 +1,4 @@
-"""Callers are identified by their keys; a connection belongs to one customer."""
+"""Tests of customers: callers' keys, and connections that serve one customer each."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
 
 ACME = customer("acme", "key-a", "key-b")
 BERTH = customer("berth", "key-c")
-APPLIED = 1.0  # seconds until all hosts have a new configuration
-LARGE = 24  # hosts, of which few hold connections
+PROPAGATION_TIME = 1.0  # seconds until all hosts have a new configuration
+MANY_HOSTS = 24  # so that only a few of them hold connections
 
 
-@pytest.fixture(params=[3, LARGE])
+@pytest.fixture(params=[3, MANY_HOSTS])
 def world(request) -> ProxyWorld:
     world = ProxyWorld(hosts=request.param)
     world.configure(identified(ACME, BERTH))
@@ -46,8 +46,8 @@
     return world
 
 
-def _told(world: ProxyWorld) -> set[str | None]:
-    """Return the customers in whose names connections stand open."""
+def _connected_customers(world: ProxyWorld) -> set[str | None]:
+    """Return the customers in whose names connections are open at the endpoints."""
     return {
         connection.customer
         for replica in world.group.replicas.values()
@@ -55,20 +55,20 @@
     }
 
 
-def _guest(world: ProxyWorld, but: int = -1) -> int:
-    """Return the index of a host that holds no connections itself."""
+def _non_holder(world: ProxyWorld, other_than: int = -1) -> int:
+    """Return the index of a host, other than `other_than`, that is no holder."""
     return next(
         index
         for index, host in enumerate(world.hosts)
-        if index != but and not host.node.system(Holders).holds(SERVICE)
+        if index != other_than and not host.node.system(Holders).holds(SERVICE)
     )
 
 
-def test_endpoints_are_told_the_customer_and_never_the_key(world):
+def test_endpoints_get_the_customer_and_never_the_key(world):
     for key, database in (("key-a", "own"), ("key-c", "bounded"), ("key-b", "strict")):
         caller = world.caller(1, database, key)
         assert caller.run(Read("a")).code is Code.DONE
-    assert {"acme", "berth"} <= _told(world) <= {"acme", "berth", None}
+    assert {"acme", "berth"} <= _connected_customers(world) <= {"acme", "berth", None}
     assert world.judge.breaches == []
 
 
@@ -79,91 +79,94 @@
     assert not caller.opened
 
 
-def test_public_database_asks_nobody_for_a_key(world):
+def test_public_database_requires_no_key(world):
     public = route("open", Consistency.OWN_WRITES, public=True)
     routes = {"open": public, "own": route("own", Consistency.OWN_WRITES)}
     world.configure(identified(ACME, version=3, routes=routes))
-    world.run(APPLIED)
+    world.run(PROPAGATION_TIME)
     assert world.caller(0, "open").run(Read("a")).code is Code.DONE
     assert world.caller(0, "open", "key-a").run(Read("a")).code is Code.DONE
-    assert {ANONYMOUS, "acme"} <= _told(world)
+    assert {ANONYMOUS, "acme"} <= _connected_customers(world)
     assert world.judge.breaches == []
 
 
-def test_key_that_is_taken_away_ends_what_an_open_session_may_do(world):
+def test_revoked_key_is_refused_in_an_open_session(world):
     caller = world.caller(1, "own", "key-b")
     assert caller.run(Write("a 1")).code is Code.DONE
     world.configure(identified(customer("acme", "key-a"), BERTH, version=3))
-    world.run(APPLIED)
+    world.run(PROPAGATION_TIME)
     for statement in (Read("a"), Begin(), SetValue("x", "1")):
         assert caller.run(statement).code is Code.UNAUTHENTICATED
     assert world.caller(1, "own", "key-a").run(Read("a")).code is Code.DONE
 
 
-def test_transaction_that_runs_as_its_key_goes_is_answered_truthfully(world):
+def test_transaction_that_has_begun_commits_after_its_key_is_revoked(world):
     caller = world.caller(1, "own", "key-b")
     for statement in (Begin(), Write("a 1")):
         assert caller.run(statement).code is Code.DONE
     world.configure(identified(customer("acme", "key-a"), BERTH, version=3))
-    world.run(APPLIED)
+    world.run(PROPAGATION_TIME)
     assert caller.run(Commit()).code is Code.DONE
     assert caller.run(Read("a")).code is Code.UNAUTHENTICATED
 
 
-def test_transaction_begins_nothing_at_an_endpoint_after_its_key_went(world):
+def test_transaction_that_has_not_begun_is_refused_after_its_key_is_revoked(world):
     caller = world.caller(1, "own", "key-b")
     assert caller.run(Begin()).code is Code.DONE
     world.configure(identified(customer("acme", "key-a"), BERTH, version=3))
-    world.run(APPLIED)
+    world.run(PROPAGATION_TIME)
     assert caller.run(Write("a 1")).code is Code.UNAUTHENTICATED
     assert caller.run(Commit()).code is Code.ABORTED
 
 
-def test_key_that_moves_takes_its_sessions_to_the_other_customer(world):
+def test_key_that_moves_to_another_customer_moves_its_sessions(world):
     caller = world.caller(1, "own", "key-b")
     caller.run(SetValue("role", "clerk"))
     caller.run(Prepare("q", Access.READ, "shape"))
     assert caller.run(Execute("q", "a")).code is Code.DONE
     moved = (customer("acme", "key-a"), customer("berth", "key-b", "key-c"))
     world.configure(identified(*moved, version=3))
-    world.run(world.apply_time + APPLIED)
+    world.run(world.apply_time + PROPAGATION_TIME)
     assert caller.run(Execute("q", "a")).code is Code.DONE
     assert world.judge.breaches == []
 
 
-def test_new_key_serves_once_its_version_is_in_force(world):
+def test_new_key_is_accepted_once_its_configuration_is_in_force(world):
     assert world.caller(1, "own", "key-n").refusal is Code.UNAUTHENTICATED
     added = customer("acme", "key-a", "key-n")
     world.configure(identified(added, BERTH, version=3))
-    world.run(APPLIED)
+    world.run(PROPAGATION_TIME)
     assert world.caller(1, "own", "key-n").run(Read("a")).code is Code.DONE
 
 
-def test_older_version_gives_no_key_back(world):
+def test_older_configuration_does_not_restore_a_revoked_key(world):
     world.configure(identified(customer("acme", "key-a"), version=5))
-    world.run(APPLIED)
+    world.run(PROPAGATION_TIME)
     world.store.put(CONFIGURATION_KEY, identified(ACME, BERTH, version=4))
-    world.run(APPLIED)
+    world.run(PROPAGATION_TIME)
     assert world.caller(1, "own", "key-c").refusal is Code.UNAUTHENTICATED
 
 
 def test_more_customers_than_connections_are_all_served():
     """Guard against connections that stay with the customers that came first."""
-    world = ProxyWorld(hosts=LARGE)
+    world = ProxyWorld(hosts=MANY_HOSTS)
     many = [customer(f"c{i}", f"key-{i}") for i in range(60)]
     world.configure(identified(*many))
     world.run(4.0)
     for index in range(len(many)):
-        caller = world.caller(index % LARGE, "strict", f"key-{index}")
+        caller = world.caller(index % MANY_HOSTS, "strict", f"key-{index}")
         assert caller.run(Read("a")).code is Code.DONE
     assert world.judge.breaches == []
     limit = world.group.max_connections
     assert all(len(r.connections) <= limit for r in world.group.replicas.values())
 
 
-def test_idle_connection_is_kept_while_none_may_be_opened_in_its_place():
-    """Guard against closing one customer's and opening none for the other."""
-    world = ProxyWorld(hosts=LARGE)
+def test_idle_connection_is_kept_while_none_can_be_opened_in_its_place():
+    """Guard against closing a connection while its endpoint refuses new ones.
+
+    One customer would lose a connection, and the other would get none.
+    """
+    world = ProxyWorld(hosts=MANY_HOSTS)
     many = [customer(f"c{i}", f"key-{i}") for i in range(20)]
     world.configure(identified(*many))
     world.run(4.0)
@@ -180,13 +183,13 @@
     assert before <= set(primary.connections)
 
 
-def test_customer_that_floods_leaves_a_connection_to_others():
-    """Guard against one customer's open transactions taking every connection."""
+def test_overloading_customer_leaves_a_connection_to_others():
+    """Guard against one customer's open transactions occupying all connections."""
     world = ProxyWorld(hosts=3)
     world.configure(identified(ACME, BERTH))
     world.run(1.0)
-    flood = [world.caller(0, "strict", "key-a") for _ in range(30)]
-    for caller in flood:
+    busy_callers = [world.caller(0, "strict", "key-a") for _ in range(30)]
+    for caller in busy_callers:
         caller.send(Begin())
         caller.send(Write("a 1"))
     world.run(0.3)
@@ -194,32 +197,32 @@
     assert answer.code is Code.DONE
 
 
-def test_waiting_customer_does_not_hold_up_others_of_other_hosts():
-    """Guard against a holder that stops at the first link it has nothing for."""
-    world = ProxyWorld(hosts=LARGE)
+def test_waiting_customer_does_not_block_customers_of_other_hosts():
+    """Guard against a holder that stops at the first link it has no connection for."""
+    world = ProxyWorld(hosts=MANY_HOSTS)
     world.configure(identified(ACME, BERTH))
     world.run(4.0)
-    entry = _guest(world)
-    flood = [world.caller(entry, "strict", "key-a") for _ in range(6)]
-    for caller in flood:
+    entry = _non_holder(world)
+    busy_callers = [world.caller(entry, "strict", "key-a") for _ in range(6)]
+    for caller in busy_callers:
         caller.send(Begin())
         caller.send(Write("a 1"))
     world.run(0.1)
-    answer = world.caller(_guest(world, but=entry), "strict", "key-c").run(
+    answer = world.caller(_non_holder(world, other_than=entry), "strict", "key-c").run(
         Write("b 1"), within=0.6
     )
     assert answer.code is Code.DONE
     assert world.judge.breaches == []
 
 
-def test_calls_that_are_passed_on_twice_keep_their_customer():
-    """Guard against a holder that borrows a connection and does not say for whom."""
-    world = ProxyWorld(hosts=LARGE)
+def test_calls_that_are_forwarded_twice_keep_their_customer():
+    """Guard against a holder that forwards calls without their customer."""
+    world = ProxyWorld(hosts=MANY_HOSTS)
     world.configure(identified(ACME, BERTH))
     world.run(4.0)
-    entry = _guest(world)
+    entry = _non_holder(world)
     holder = next(h for h in world.hosts if h.connections)
-    # The holder that this host goes by can open none itself any more.
+    # Only one holder stays reachable, and it can open no connections itself any more.
     for index, host in enumerate(world.hosts):
         if host.connections and host is not holder:
             caller = world.caller(index, "strict", "key-a")
@@ -236,12 +239,12 @@
     assert world.judge.breaches == []
 
 
-def test_calls_that_arrive_in_two_pieces_keep_their_customer():
-    """Guard against a second piece, which names nobody, that unnames the first."""
-    world = ProxyWorld(hosts=LARGE)
+def test_calls_that_arrive_in_two_batches_keep_their_customer():
+    """Guard against a second batch without a customer that clears the first one's."""
+    world = ProxyWorld(hosts=MANY_HOSTS)
     world.configure(identified(ACME, BERTH))
     world.run(4.0)
-    entry = _guest(world)
+    entry = _non_holder(world)
     assert world.caller(entry, "strict", "key-a").run(Read("a")).code is Code.DONE
     (link,) = [
         link for link in world.links.values() if link.host.name == f"host-{entry}"
@@ -257,31 +260,34 @@
     assert world.judge.breaches == []
 
 
-def test_host_without_the_store_goes_by_the_keys_that_it_knows(world):
+def test_host_without_the_store_accepts_the_keys_that_it_knows(world):
     world.cut(1, "store", *(host.name for host in world.hosts))
     world.run(30.0)
     assert world.caller(1, "own", "key-a").opened
 
 
-def test_host_that_must_know_its_keys_refuses_without_the_store():
-    """Guard against a key that is served on where operators want it refused."""
+def test_keys_are_refused_once_the_store_is_unreachable_for_the_key_lapse():
+    """Guard against a key that is accepted after operators have revoked it.
+
+    With a key lapse, a host that can't confirm its configuration refuses all keys.
+    """
     world = ProxyWorld(hosts=3, key_lapse=5.0)
     world.configure(identified(ACME))
     world.run(20.0)
     caller = world.caller(1, "own", "key-a")
     assert caller.run(Read("a")).code is Code.DONE
     world.cut(1, "store", *(host.name for host in world.hosts))
-    world.run(5.0 + APPLIED)
+    world.run(5.0 + PROPAGATION_TIME)
     assert caller.run(Read("a")).code is Code.BUSY
     assert world.caller(1, "own", "key-a").refusal is Code.BUSY
 
 
-def test_two_customers_can_hold_no_key_together():
+def test_two_customers_can_not_hold_the_same_key():
     with pytest.raises(ValueError, match="acme and berth hold one key"):
         index_credentials([customer("acme", "k"), customer("berth", "k")])
 
 
-# -- The judge ---------------------------------------------------------------
+# -- CustomerJudge, which checks in whose name statements run ------------------
 
 
 @pytest.mark.parametrize(
@@ -292,7 +298,7 @@
         ("nobody's", "acme", "no customer holds the key"),
     ],
 )
-def test_judge_notices_a_wrong_name(credential, name, why):
+def test_judge_reports_a_wrong_customer(credential, name, why):
     judge = CustomerJudge(apply_time=5.0)
     judge.configured(identified(ACME, BERTH), 0.0)
     judge.sent("r1", "r1", credential, False, 1.0)
@@ -300,7 +306,7 @@
     assert [breach.why.startswith(why) for breach in judge.breaches] == [True]
 
 
-def test_judge_notices_a_key_that_was_taken_away():
+def test_judge_reports_a_revoked_key():
     judge = CustomerJudge(apply_time=5.0)
     judge.configured(identified(BERTH), 0.0)
     judge.configured(identified(ACME, version=3), 10.0)
@@ -313,7 +319,7 @@
     assert len(judge.breaches) == 1
 
 
-def test_judge_notices_a_window_beyond_the_limit():
+def test_judge_reports_a_window_above_the_rate_limit():
     judge = CustomerJudge(apply_time=5.0)
     judge.configured(identified(customer("acme", "k", rate=2.0, burst=2.0)), 0.0)
     credential = next(iter(customer("acme", "k").credentials))
--- a/tests/core/proxy/test_floors.py
+++ b/tests/core/proxy/test_floors.py
@@ -38,7 +38,7 @@
 
 
 def test_replicas_that_stay_behind_are_tried_with_growing_backoff():
-    """Replicas that stay behind refuse a large part of all calls.
+    """Guard against replicas that stay behind and refuse a large part of all calls.
 
     With replicas 15 s behind and a constant backoff of 50 ms, the replicas refused
     16,000 of the 91,000 calls of a day, on connections that other statements waited
--- a/tests/core/proxy/test_requests.py
+++ b/tests/core/proxy/test_requests.py
@@ -15,13 +15,13 @@
 
 
 def test_queue_is_not_searched_in_full_whenever_a_statement_ends(monkeypatch):
-    """A host with a long queue has no processor time left to handle replies.
+    """Guard against a host that spends its processor time on a long queue.
 
     After a loss of power all callers of a region connect to the first host that is
-    ready, and 200 reads wait for a few connections. If each free connection makes the
-    host choose an endpoint for each waiting read, of which only one can run, a fifth of
-    the statements are answered in time, though endpoints and forwarded connections
-    have capacity to spare.
+    ready, and 200 reads wait for a few connections. When each free connection made the
+    host choose an endpoint for each waiting read, of which only one could run, a fifth
+    of the statements were answered in time, though endpoints and forwarded connections
+    had capacity to spare.
     """
     world = ProxyWorld(hosts=1)
     routes = {
--- a/tests/core/proxy/test_sampling.py
+++ b/tests/core/proxy/test_sampling.py
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize("hosts", [6, 24])
 @pytest.mark.parametrize("fences", [True, False])
 def test_replicas_serve_reads_while_the_primary_is_slow(hosts: int, fences: bool):
-    """Most reads are refused while a primary is slow, and after it has recovered.
+    """Guard against reads that are refused while a primary is slow, and long after.
 
     The primary takes eight times as long for each statement, so its answers are older
     than any read accepts. Without a floor all reads go to the primary as well, which
@@ -89,7 +89,7 @@
 
 
 def test_group_under_normal_load_is_not_probed():
-    """Probes cause traffic between regions though statements give the same samples."""
+    """Guard against traffic between regions for samples that statements give anyway."""
     world = ProxyWorld(hosts=3)
     world.run(2.0)
     _Load(world)
--- a/tests/core/proxy/test_sessions.py
+++ b/tests/core/proxy/test_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions over few connections: values, prepared statements, transactions."""
+"""Tests of sessions: their values, prepared statements and transactions."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     return ProxyWorld()
 
 
-def test_ready_with_configuration_and_endpoints(world):
+def test_hosts_are_ready_with_configuration_and_endpoints(world):
     assert all(host.ready for host in world.hosts)
 
 
@@ -46,7 +46,7 @@
     assert world.caller(database="nowhere").refusal is Code.UNKNOWN_DATABASE
 
 
-def test_removed_route_ends_at_the_next_operation(world):
+def test_removed_route_is_refused_from_the_next_operation(world):
     caller = world.caller(database="own")
     assert caller.run(Begin()).code is Code.DONE
     assert caller.run(Read("a")).code is Code.DONE
@@ -65,33 +65,34 @@
 
 
 def test_values_do_not_leak_between_sessions(world):
-    """Symptom: a statement runs with a value that its caller never set.
+    """Guard against statements that run with a value that their caller never set.
 
-    Sequence: one session sets a value and reads; another, that set nothing, reads
-    next over the same connection. Cause: the connection still carries the value.
+    One session sets a value and reads. Another session, which has set nothing, reads
+    next on the same connection, which still carries the value.
     """
     first = world.caller(database="strict")
     second = world.caller(database="strict")
     first.run(SetValue("role", "admin"))
-    seen = _values_at_reads(world)
+    read_values = _record_read_values(world)
     for _ in range(3):
         first.run(Read("a"))
         second.run(Read("a"))
-    assert seen == [{"role": "admin"}, {}] * 3
+    assert read_values == [{"role": "admin"}, {}] * 3
 
 
-def _values_at_reads(world: ProxyWorld) -> list[dict[str, str]]:
-    seen: list[dict[str, str]] = []
+def _record_read_values(world: ProxyWorld) -> list[dict[str, str]]:
+    """Return a list to which each read adds the values of its connection."""
+    read_values: list[dict[str, str]] = []
 
     def record(host, connection, call) -> None:
         if isinstance(call.statement, Read):
-            world.timers.after(0.0, lambda: seen.append(dict(connection.values)))
+            world.timers.after(0.0, lambda: read_values.append(dict(connection.values)))
 
     world.record = record
-    return seen
+    return read_values
 
 
-def test_prepared_names_of_two_sessions_collide_harmlessly(world):
+def test_two_sessions_may_prepare_statements_of_the_same_name(world):
     first = world.caller(database="own")
     second = world.caller(database="own")
     first.run(Prepare("s1", Access.WRITE, "q1"))
@@ -110,7 +111,7 @@
     assert caller.run(Execute("s1", "a")).code is Code.UNKNOWN_STATEMENT
 
 
-def test_transaction_keeps_one_connection(world):
+def test_transaction_stays_on_its_pinned_connection(world):
     caller = world.caller(database="own")
     others = [world.caller(database="own") for _ in range(4)]
     assert caller.run(Begin()).state is SessionState.IN_TRANSACTION
@@ -124,7 +125,7 @@
     assert len(world.group.acknowledged) == 1
 
 
-def test_rolled_back_transaction_leaves_nothing(world):
+def test_rolled_back_transaction_commits_nothing(world):
     caller = world.caller(database="own")
     caller.run(Begin())
     caller.run(Write("a 1"))
@@ -132,7 +133,7 @@
     assert caller.run(Read("a")).rows == (b"",)
 
 
-def test_caller_that_leaves_in_a_transaction_frees_its_connection(world):
+def test_caller_that_disconnects_in_a_transaction_frees_its_connection(world):
     for _ in range(40):
         caller = world.caller(database="own")
         caller.run(Begin())
@@ -142,7 +143,7 @@
     assert world.caller(database="own").run(Write("a 2")).code is Code.DONE
 
 
-def test_idle_transaction_is_aborted_with_a_promise(world):
+def test_idle_transaction_is_aborted_and_commits_nothing(world):
     caller = world.caller(database="own")
     caller.run(Begin())
     caller.run(Write("a 1"))
@@ -152,7 +153,7 @@
     assert world.group.acknowledged == []
 
 
-def test_statement_that_can_not_be_read_fails_its_transaction(world):
+def test_statement_that_can_not_be_decoded_fails_its_transaction(world):
     caller = world.caller(database="own")
     caller.run(Begin())
     caller.run(Write("a 1"))
@@ -164,7 +165,7 @@
     assert caller.run(Rollback()).state is SessionState.IDLE
 
 
-def test_write_in_a_transaction_that_only_reads_is_refused(world):
+def test_write_in_a_read_only_transaction_is_refused(world):
     caller = world.caller(database="own")
     caller.run(Begin(read_only=True))
     assert caller.run(Write("a 1")).code is Code.NOT_PRIMARY
