--- a/mallowpass/core/proxy/attempts.py
+++ b/mallowpass/core/proxy/attempts.py
@@ -17,9 +17,11 @@
 
 __all__ = ["TRIES_MAX", "Attempts"]
 
-BACKOFF_MIN = 0.02  # seconds before a refused statement is sent again
+# Seconds before a refused statement is sent again.
+BACKOFF_MIN = 0.02
 BACKOFF_MAX = 0.2
-TRIES_MAX = 8  # of one statement, so that a permanent refusal ends the attempts
+# Attempts of one statement, so that retries of a permanent refusal end.
+TRIES_MAX = 8
 
 
 class Attempts(ProxySystem):
@@ -30,7 +32,7 @@
     def setup_calls(
         self, request: RequestRow, connection: ConnectionRow
     ) -> list[EndpointCall]:
-        """Return the calls that set a connection to its session's state."""
+        """Return the calls that set a connection to the state of a session."""
         prepared = () if request.prepared is None else (request.prepared,)
         return calls_to_set_up(connection, request.session.values, prepared)
 
--- a/mallowpass/core/proxy/floors.py
+++ b/mallowpass/core/proxy/floors.py
@@ -62,10 +62,10 @@
     def start(self) -> None:
         """Subscribe to the samples that other hosts send."""
         self._leadership = self._node.system(Leadership)
-        self._node.subscribe(FloorLearnt, self._on_learnt)
+        self._node.subscribe(FloorLearnt, self._on_floor_received)
 
-    def _on_learnt(self, signal: FloorLearnt) -> None:
-        self._keep(signal.group, signal.position, signal.asked_at)
+    def _on_floor_received(self, signal: FloorLearnt) -> None:
+        self._add_sample(signal.group, signal.position, signal.asked_at)
 
     def record_sample(
         self, group: GroupRow, position: LogPosition, asked_at: float
@@ -76,12 +76,14 @@
         counts as of that time: the log of a replaced primary lacks the commits that its
         successor has acknowledged since.
         """
-        if self._keep(group, position, self._leadership.led_alone(group, asked_at)):
+        if self._add_sample(
+            group, position, self._leadership.led_alone(group, asked_at)
+        ):
             self._node.publish(PrimaryHeard(group))
 
     @staticmethod
-    def _keep(group: GroupRow, position: LogPosition, asked_at: float) -> bool:
-        """Keep a sample unless it is too close to the newest; return whether kept."""
+    def _add_sample(group: GroupRow, position: LogPosition, asked_at: float) -> bool:
+        """Add a sample unless it is too close to the newest; return whether added."""
         samples = group.samples
         if samples and math.isinf(samples[-1].asked_at):
             # Taken before the primary was ever proven to lead alone: of no use once
@@ -185,8 +187,8 @@
         """Record that an endpoint refused a read, as its log was behind the floor."""
         if self.now < endpoint.behind_until:
             return  # the read was sent before the refusal that began the backoff
-        pause = min(BEHIND_BACKOFF_MAX, 2.0 * endpoint.behind_pause)
-        endpoint.behind_pause = max(BEHIND_BACKOFF_MIN, pause)
+        backoff = min(BEHIND_BACKOFF_MAX, 2.0 * endpoint.behind_pause)
+        endpoint.behind_pause = max(BEHIND_BACKOFF_MIN, backoff)
         endpoint.behind_until = self.now + endpoint.behind_pause
         if endpoint.behind_since is None:
             endpoint.behind_since = self.now
--- a/mallowpass/core/proxy/routing.py
+++ b/mallowpass/core/proxy/routing.py
@@ -59,9 +59,9 @@
                 first = endpoint
                 self._connections.grow(endpoint, request.customer, borrow=True)
                 if endpoint.name != group.primary and _is_opening_forwarded(endpoint):
-                    # A forwarded connection opens within a round trip to another
-                    # host. When all hosts start at once, the primary would get the
-                    # first reads of each of them if they did not wait.
+                    # Wait: a forwarded connection opens within a round trip to another
+                    # host. Otherwise, when all hosts start at once, the primary would
+                    # get the first reads of each host.
                     break
         full = bool(candidates) and not with_room
         return Choice(None, why=_wait_reason(group, floor), full=full)
--- a/mallowpass/core/proxy/sampling.py
+++ b/mallowpass/core/proxy/sampling.py
@@ -34,7 +34,7 @@
 # round trip between regions takes 0.1 s, and a probe may wait for a connection.
 ANSWER_TIMEOUT = 0.25
 FAILURE_BACKOFF = 0.5  # seconds without a probe after a failed one
-# Share of the accepted age at which the newest floor is replaced.
+# Share of the accepted age beyond which the newest floor is replaced.
 REFRESH_SHARE = 0.5
 
 
--- a/mallowpass/core/proxy/timeouts.py
+++ b/mallowpass/core/proxy/timeouts.py
@@ -36,8 +36,8 @@
     def _on_overdue(self, signal: AttemptOverdue) -> None:
         """Retry a read at another endpoint, as its reply may never come.
 
-        Its connection stays open until the endpoint replies, so that work in progress
-        is not interrupted.
+        A connection to the endpoint itself stays open until the reply arrives, so that
+        work in progress is not interrupted.
         """
         request = signal.request
         connection = request.connection
