--- a/mallowpass/core/proxy/attempts.py
+++ b/mallowpass/core/proxy/attempts.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from mallowpass.core.proxy.sessionstate import calls_to_set_up
+from mallowpass.core.proxy.sessionstate import make_setup_calls
 from mallowpass.core.proxy.signals import AttemptLost, AttemptOverdue
 from mallowpass.core.proxy.stalls import OVERDUE_SHARE
 from mallowpass.core.proxy.statements import (
@@ -34,7 +34,7 @@
     ) -> list[EndpointCall]:
         """Return the calls that set a connection to the state of a session."""
         prepared = () if request.prepared is None else (request.prepared,)
-        return calls_to_set_up(connection, request.session.values, prepared)
+        return make_setup_calls(connection, request.session.values, prepared)
 
     def statement_call(
         self, request: RequestRow, floor: LogPosition | None
@@ -69,7 +69,7 @@
         request.connection = connection
         request.endpoint = connection.endpoint
         request.sent_at = self.now
-        request.shown = connection.endpoint.position
+        request.position_before = connection.endpoint.position
         request.endpoint.in_flight += 1
         self.watch_loss(request, connection)
         overdue_after = OVERDUE_SHARE * request.route.statement_timeout
--- a/mallowpass/core/proxy/floors.py
+++ b/mallowpass/core/proxy/floors.py
@@ -13,8 +13,8 @@
 from mallowpass.core.proxy.configuration import Consistency, Route
 from mallowpass.core.proxy.leadership import Leadership, ProofHandler
 from mallowpass.core.proxy.signals import (
-    FloorLearnt,
-    PrimaryHeard,
+    FloorReceived,
+    PrimaryConfirmed,
     ReplicasBehind,
     ReplicaStuck,
 )
@@ -62,9 +62,9 @@
     def start(self) -> None:
         """Subscribe to the samples that other hosts send."""
         self._leadership = self._node.system(Leadership)
-        self._node.subscribe(FloorLearnt, self._on_floor_received)
+        self._node.subscribe(FloorReceived, self._on_floor_received)
 
-    def _on_floor_received(self, signal: FloorLearnt) -> None:
+    def _on_floor_received(self, signal: FloorReceived) -> None:
         self._add_sample(signal.group, signal.position, signal.asked_at)
 
     def record_sample(
@@ -77,9 +77,9 @@
         successor has acknowledged since.
         """
         if self._add_sample(
-            group, position, self._leadership.led_alone(group, asked_at)
+            group, position, self._leadership.sole_primary_until(group, asked_at)
         ):
-            self._node.publish(PrimaryHeard(group))
+            self._node.publish(PrimaryConfirmed(group))
 
     @staticmethod
     def _add_sample(group: GroupRow, position: LogPosition, asked_at: float) -> bool:
@@ -92,7 +92,7 @@
         if samples and asked_at - samples[-1].asked_at < SAMPLE_INTERVAL_MIN:
             return False
         samples.append(FloorSample(asked_at, position))
-        group.floors_at.clear()
+        group.floor_cache.clear()
         if len(samples) > SAMPLES_MAX:
             samples.popleft()
         return True
@@ -101,7 +101,7 @@
         self, endpoint: EndpointRow, position: LogPosition | None, sent_at: float
     ) -> None:
         """Record that an endpoint acknowledged a commit sent at `sent_at`."""
-        self._leadership.acknowledged(endpoint, sent_at)
+        self._leadership.note_acknowledgement(endpoint, sent_at)
         if position is not None:
             group = self.tables.group(endpoint.entry.service)
             self.record_sample(group, position, sent_at)
@@ -181,21 +181,21 @@
         """
         if endpoint.position is not None and endpoint.position >= floor:
             return True
-        return endpoint.behind_until <= self.now
+        return endpoint.behind_backoff_until <= self.now
 
     def mark_behind(self, endpoint: EndpointRow) -> None:
         """Record that an endpoint refused a read, as its log was behind the floor."""
-        if self.now < endpoint.behind_until:
+        if self.now < endpoint.behind_backoff_until:
             return  # the read was sent before the refusal that began the backoff
-        backoff = min(BEHIND_BACKOFF_MAX, 2.0 * endpoint.behind_pause)
-        endpoint.behind_pause = max(BEHIND_BACKOFF_MIN, backoff)
-        endpoint.behind_until = self.now + endpoint.behind_pause
+        backoff = min(BEHIND_BACKOFF_MAX, 2.0 * endpoint.behind_backoff)
+        endpoint.behind_backoff = max(BEHIND_BACKOFF_MIN, backoff)
+        endpoint.behind_backoff_until = self.now + endpoint.behind_backoff
         if endpoint.behind_since is None:
             endpoint.behind_since = self.now
             return
-        stuck_timeout = STUCK_TIMEOUT * 2.0**endpoint.stuck_told
+        stuck_timeout = STUCK_TIMEOUT * 2.0**endpoint.stuck_reports
         if self._is_behind(endpoint, stuck_timeout) and not endpoint.is_leaving:
-            endpoint.stuck_told += 1
+            endpoint.stuck_reports += 1
             self._node.publish(ReplicaStuck(endpoint))
         group = self.tables.group(endpoint.entry.service)
         replicas = [
@@ -213,18 +213,18 @@
 
     def mark_caught_up(self, endpoint: EndpointRow) -> None:
         """Record that an endpoint's log had reached a floor."""
-        endpoint.behind_pause = 0.0
+        endpoint.behind_backoff = 0.0
         endpoint.behind_since = None
-        endpoint.stuck_told = 0
-        endpoint.behind_until = self.now
+        endpoint.stuck_reports = 0
+        endpoint.behind_backoff_until = self.now
 
     def _floor_at_age(self, group: GroupRow, accepted_age: float) -> LogPosition | None:
         """Return the oldest position within an age; cached until the time changes."""
-        cached = group.floors_at.get(accepted_age)
+        cached = group.floor_cache.get(accepted_age)
         if cached is not None and cached[0] == self.now:
             return cached[1]
         floor = self._oldest_since(group, self.now - accepted_age + AGE_MARGIN)
-        group.floors_at[accepted_age] = (self.now, floor)
+        group.floor_cache[accepted_age] = (self.now, floor)
         return floor
 
     def _oldest_since(self, group: GroupRow, since: float) -> LogPosition | None:
--- a/mallowpass/core/proxy/relief.py
+++ b/mallowpass/core/proxy/overloadswitchover.py
@@ -15,7 +15,7 @@
 from mallowpass.core.proxy.signals import ReplicasBehind
 from mallowpass.core.proxy.tables import EndpointRow, GroupRow, ProxySystem
 
-__all__ = ["Relief"]
+__all__ = ["OverloadSwitchover"]
 
 JITTER = 0.4  # seconds; hosts that find replicas behind don't act at once together
 # How long a primary must have led, and how long ago it must have been tried; twice as
@@ -29,7 +29,7 @@
 TURNED_AWAY_TIME = 1.0  # seconds
 
 
-class Relief(ProxySystem):
+class OverloadSwitchover(ProxySystem):
     """Have primaries relieved that are left with all reads."""
 
     __slots__ = ("_considered", "_holders", "_load", "_promotion", "_tried_at")
@@ -57,23 +57,25 @@
     def _consider(self, group: GroupRow) -> None:
         self._considered.discard(group.service)
         primary = group.primary_row
-        if primary is None or group.suspected:
+        if primary is None or group.is_suspected:
             return
         if not self._is_full(group, primary) or not self._has_led_long(group):
             return
         self._tried_at[group.service] = self.now
         why = "no replica has the floor"
-        self._promotion.replace(group, primary.name, Reason.RELIEF, why)
+        self._promotion.replace(group, primary.name, Reason.OVERLOADED, why)
 
     def _is_full(self, group: GroupRow, primary: EndpointRow) -> bool:
-        if group.turned_away_at > self.now - TURNED_AWAY_TIME:
+        if group.last_rejection_at > self.now - TURNED_AWAY_TIME:
             return True
         return self._load.queue_time(primary) >= QUEUE_TIME_MIN
 
     def _has_led_long(self, group: GroupRow) -> bool:
         # Where that was no help, it must not be done again and again.
         since = self.now - MEMORY
-        recent = sum(1 for led_at in group.led_at if led_at > since)
+        recent = sum(1 for led_at in group.primary_change_times if led_at > since)
         time = LED_TIME * 2.0**recent
         tried_at = self._tried_at.get(group.service, float("-inf"))
-        return self.now - max(tried_at, *group.led_at, float("-inf")) >= time
+        return (
+            self.now - max(tried_at, *group.primary_change_times, float("-inf")) >= time
+        )
--- a/mallowpass/core/proxy/policy/admission.py
+++ b/mallowpass/core/proxy/policy/admission.py
@@ -23,7 +23,7 @@
 
 def held_until(request: RequestRow) -> float:
     """Return the time until which a statement may wait for a full endpoint."""
-    return request.arrived + HOLD_SHARE * request.route.objective
+    return request.arrived_at + HOLD_SHARE * request.route.objective
 
 
 def is_turned_away(
--- a/mallowpass/core/proxy/policy/dispatch.py
+++ b/mallowpass/core/proxy/policy/dispatch.py
@@ -20,7 +20,7 @@
 
 def urgency(request: RequestRow) -> tuple[int, float]:
     """Return the sort key of the queue: statements with a lower key run first."""
-    return (request.route.priority, request.arrived)
+    return (request.route.priority, request.arrived_at)
 
 
 @record
--- a/mallowpass/core/proxy/replicaorders.py
+++ b/mallowpass/core/proxy/replicaorders.py
@@ -26,7 +26,7 @@
         """Find the system that is asked."""
         self._control = self._node.system(Control)
 
-    def give(
+    def send(
         self, endpoint: EndpointRow, order: Statement, handler: ReplyHandler
     ) -> None:
         """Give one order; the handler gets the reply."""
@@ -41,4 +41,4 @@
             )
             handler(reply)
 
-        self._control.ask(endpoint, (order,), on_replies, ANSWER_TIME)
+        self._control.send(endpoint, (order,), on_replies, ANSWER_TIME)
--- a/mallowpass/core/proxy/requests.py
+++ b/mallowpass/core/proxy/requests.py
@@ -12,7 +12,7 @@
 from mallowpass.core.proxy.connections import Connections
 from mallowpass.core.proxy.durability import Durability
 from mallowpass.core.proxy.floors import Floors
-from mallowpass.core.proxy.leadership import UNPROVEN
+from mallowpass.core.proxy.leadership import LEADERSHIP_UNPROVEN
 from mallowpass.core.proxy.load import Load
 from mallowpass.core.proxy.members import Members
 from mallowpass.core.proxy.pauses import Pauses
@@ -22,17 +22,17 @@
 from mallowpass.core.proxy.routing import Routing
 from mallowpass.core.proxy.sampling import Sampling
 from mallowpass.core.proxy.signals import (
-    AttemptLeft,
+    AttemptAbandoned,
     AttemptLost,
     AttemptRefused,
     ConnectionFreed,
     EndpointChanged,
-    FloorLearnt,
+    FloorReceived,
     PrimaryChanged,
-    PrimaryHeard,
+    PrimaryConfirmed,
     WriteAcknowledged,
 )
-from mallowpass.core.proxy.stalls import WRITES_STALL, Stalls
+from mallowpass.core.proxy.stalls import WRITES_STALLED_MESSAGE, Stalls
 from mallowpass.core.proxy.statements import (
     Access,
     Begin,
@@ -108,13 +108,13 @@
         self._stalls = node.system(Stalls)
         self._transactions = node.system(Transactions)
         node.subscribe(AttemptLost, self._on_attempt_lost)
-        node.subscribe(AttemptLeft, self._on_attempt_abandoned)
+        node.subscribe(AttemptAbandoned, self._on_attempt_abandoned)
         node.subscribe(AttemptRefused, self._on_attempt_refused)
         node.subscribe(ConnectionFreed, self._on_endpoint_signal)
         node.subscribe(EndpointChanged, self._on_endpoint_signal)
         node.subscribe(PrimaryChanged, self._on_group_signal)
-        node.subscribe(PrimaryHeard, self._on_group_signal)
-        node.subscribe(FloorLearnt, self._on_group_signal)
+        node.subscribe(PrimaryConfirmed, self._on_group_signal)
+        node.subscribe(FloorReceived, self._on_group_signal)
 
     # -- Arrival -------------------------------------------------------------
 
@@ -139,13 +139,13 @@
             statement=statement,
             access=access,
             route=route,
-            arrived=self.now,
-            expires=expires,
+            arrived_at=self.now,
+            expires_at=expires,
             transaction=transaction,
             prepared=prepared,
         )
         session.request = request
-        waited = self._pauses.wait_max
+        waited = self._pauses.max_input_delay
         if waited >= route.statement_timeout and _commits_writes(request):
             why = (
                 f"this host was paused for {waited:.1f} s, and the statement may have"
@@ -220,9 +220,9 @@
     def _try_to_send(
         self, request: RequestRow, group: GroupRow, dispatch_pass: DispatchPass
     ) -> None:
-        if self._stalls.holds_back(request, group):
+        if self._stalls.should_refuse(request, group):
             if self.now >= held_until(request):
-                self._answers.refuse(request, Code.BUSY, WRITES_STALL)
+                self._answers.refuse(request, Code.BUSY, WRITES_STALLED_MESSAGE)
             return
         floor = self._routing.required_floor(request, group)
         if self._waits_for_floor(request, group, floor):
@@ -231,14 +231,14 @@
         choice = dispatch_pass.lookup_miss(request.customer, floor)
         if choice is None:
             choice = self._routing.choose(request, group, floor)
-            if choice.connection is None and not request.avoided:
+            if choice.connection is None and not request.avoided_endpoints:
                 dispatch_pass.record_miss(request.customer, floor, choice)
         request.detail = choice.why or request.detail
         if choice.connection is not None:
             group.waiting.remove(request)
             self._send(request, choice.connection, choice.floor)
         elif choice.full and is_turned_away(request, group.waiting, self.now):
-            group.turned_away_at = self.now
+            group.last_rejection_at = self.now
             self._answers.refuse(request, Code.BUSY, FULL)
 
     def _waits_for_floor(
@@ -256,7 +256,7 @@
         self._dispatch(self.tables.group(signal.endpoint.entry.service))
 
     def _on_group_signal(
-        self, signal: PrimaryChanged | PrimaryHeard | FloorLearnt
+        self, signal: PrimaryChanged | PrimaryConfirmed | FloorReceived
     ) -> None:
         if signal.group.waiting:
             self._dispatch(signal.group)
@@ -301,7 +301,7 @@
                 # transaction as well, so the other members are asked. Their answers
                 # come while the read runs.
                 self._floors.request_proof(
-                    connection.endpoint, request.route, request.arrived
+                    connection.endpoint, request.route, request.arrived_at
                 )
 
         def on_replies(connection: ConnectionRow, replies: list[EndpointReply]) -> None:
@@ -319,7 +319,7 @@
         setup_count: int,
     ) -> None:
         if any(reply.code is not Code.DONE for reply in replies[:setup_count]):
-            connection.broken = True
+            connection.is_broken = True
         reply = replies[setup_count]
         primary_check = (
             replies[setup_count + 1] if len(replies) > setup_count + 1 else None
@@ -331,12 +331,12 @@
         endpoint = connection.endpoint
         self._attempts.detach(request)
         if reply.code is Code.UNKNOWN_STATEMENT:
-            connection.broken = True
+            connection.is_broken = True
         self._connections.release(connection)
         if primary_check is not None and primary_check.code is not Code.DONE:
             self._on_refused(request, endpoint, primary_check)
         elif reply.code is Code.DONE:
-            self._load.measured(endpoint, self.now - request.sent_at)
+            self._load.record_latency(endpoint, self.now - request.sent_at)
             if request.access is Access.READ and request.floor is None:
                 self._answer_if_proven(request, endpoint, reply)
             else:
@@ -355,9 +355,11 @@
             if is_proven:
                 self._on_done(request, endpoint, reply, proves_primary=True)
             else:
-                self._on_refused(request, endpoint, UNPROVEN)
+                self._on_refused(request, endpoint, LEADERSHIP_UNPROVEN)
 
-        self._floors.prove_freshness(endpoint, request.route, request.arrived, on_proof)
+        self._floors.prove_freshness(
+            endpoint, request.route, request.arrived_at, on_proof
+        )
 
     def _on_done(
         self,
@@ -370,7 +372,7 @@
             self._floors.mark_caught_up(endpoint)
         group = self.tables.group(request.route.service)
         if request.access is Access.WRITE:
-            self._durability.acknowledged(endpoint, request.shown)
+            self._durability.note_acknowledgement(endpoint, request.position_before)
             self._node.publish(WriteAcknowledged(group))
             self._floors.record_session_commit(
                 request.session, endpoint, reply.position, request.sent_at
@@ -407,14 +409,14 @@
         request.detail = f"{endpoint.name}: {reply.code.value} {reply.message}".rstrip()
         self._node.count("requests_refused", code=reply.code.value)
         if reply.code is Code.NOT_PRIMARY:
-            self._members.denied(endpoint)
+            self._members.note_not_primary(endpoint)
         elif reply.code is Code.BEHIND and request.floor is not None:
             self._floors.mark_behind(endpoint)
-            request.behind += 1
-            request.avoided.add(endpoint.name)
+            request.behind_count += 1
+            request.avoided_endpoints.add(endpoint.name)
         elif reply.code is not Code.UNREACHABLE:
             # An unreachable endpoint is retried at once, by way of another holder.
-            request.avoided.add(endpoint.name)
+            request.avoided_endpoints.add(endpoint.name)
             request.retry_at = self.now + self._attempts.backoff(request)
         is_held_too_long = reply.code is Code.BUSY and self.now >= held_until(request)
         if is_held_too_long or request.tries >= TRIES_MAX:
@@ -431,7 +433,7 @@
             # The statement ran, so it counts against the rate limit once more.
             self._admit(request)
 
-    def _on_attempt_abandoned(self, signal: AttemptLeft) -> None:
+    def _on_attempt_abandoned(self, signal: AttemptAbandoned) -> None:
         self._admit(signal.request)
 
     # -- Lost connections ----------------------------------------------------
@@ -457,7 +459,7 @@
             return
         # A read, or a transaction that has not begun: nothing of it was committed.
         request.tries += 1
-        request.avoided.add(endpoint.name)
+        request.avoided_endpoints.add(endpoint.name)
         request.detail = f"{endpoint.name}: {why}"
         if request.tries >= TRIES_MAX:
             self._answers.refuse(request, Code.ABORTED, request.detail)
@@ -468,5 +470,5 @@
 def _commits_writes(request: RequestRow) -> bool:
     """Return whether a statement commits writes, which its caller may have given up."""
     if isinstance(request.statement, Commit):
-        return request.transaction.wrote
+        return request.transaction.has_written
     return request.access is Access.WRITE
--- a/mallowpass/core/proxy/routing.py
+++ b/mallowpass/core/proxy/routing.py
@@ -50,7 +50,7 @@
         candidates = self._candidates(request, group, floor)
         with_room = [e for e in candidates if self._load.has_room(e)]
         for endpoint in with_room:
-            connection = self._connections.take(
+            connection = self._connections.acquire(
                 endpoint, request.session.values, request.customer
             )
             if connection is not None:
@@ -102,9 +102,9 @@
     ) -> bool:
         if endpoint.name == group.primary:
             return True
-        if endpoint.is_leaving or endpoint.name in request.avoided:
+        if endpoint.is_leaving or endpoint.name in request.avoided_endpoints:
             return False
-        if endpoint.failures and not endpoint.connections:
+        if endpoint.connect_failures and not endpoint.connections:
             return False
         return self._floors.may_have(endpoint, floor)
 
@@ -116,7 +116,7 @@
         return cost(
             endpoint,
             is_primary=endpoint.name == group.primary,
-            is_avoided=endpoint.name in request.avoided,
+            is_avoided=endpoint.name in request.avoided_endpoints,
             is_same_region=identity.region_of(domain) == identity.region,
         )
 
--- a/mallowpass/core/proxy/sampling.py
+++ b/mallowpass/core/proxy/sampling.py
@@ -108,7 +108,7 @@
             probe.proven = proven
             self._on_result(probe)
 
-        self._control.ask(primary, (Begin(), Rollback()), on_replies, ANSWER_TIMEOUT)
+        self._control.send(primary, (Begin(), Rollback()), on_replies, ANSWER_TIMEOUT)
         self._leadership.confirm(primary, probe.asked_at, on_proof)
 
     def _on_result(self, probe: _Probe) -> None:
@@ -119,7 +119,7 @@
             return
         del self._probes[group.service]
         if reply is not None and reply.code is Code.NOT_PRIMARY:
-            self._members.denied(probe.primary)
+            self._members.note_not_primary(probe.primary)
         accepted = reply is not None and reply.code is Code.DONE
         if accepted and probe.proven and reply.position is not None:
             self._floors.record_sample(group, reply.position, probe.asked_at)
--- a/mallowpass/core/proxy/sessions.py
+++ b/mallowpass/core/proxy/sessions.py
@@ -109,7 +109,7 @@
 
     def _open(self, event: SessionOpened) -> None:
         session = SessionRow(
-            event.stream, event.database, event.credential, touched_at=self.now
+            event.stream, event.database, event.credential, last_active_at=self.now
         )
         refusal = self._customers.identify(session)
         if refusal is not None:
@@ -171,9 +171,9 @@
                 self._record_loss(session, why)
 
     def _close_if_idle(self, session: SessionRow) -> None:
-        quiet_time = self.now - session.touched_at
+        quiet_time = self.now - session.last_active_at
         is_busy = session.request is not None or bool(session.received)
-        is_idle = session.operated or quiet_time >= QUIET_TIMEOUT
+        is_idle = session.has_ended_operation or quiet_time >= QUIET_TIMEOUT
         if session.state is SessionState.IDLE and is_idle and not is_busy:
             self.tables.sessions.pop(session.stream, None)
             session.closed = True
@@ -188,7 +188,7 @@
         if len(session.received) >= PIPELINE_MAX:
             self._node.emit(CloseSession(event.stream))
             return
-        session.touched_at = self.now
+        session.last_active_at = self.now
         session.received.append((event.request_id, event.statement))
         if session.request is None:
             self._run_next(session)
@@ -197,8 +197,8 @@
         """Update a session after an answer, and run its next statement."""
         session, state = signal.session, signal.state
         session.state = state
-        session.touched_at = self.now
-        session.operated = state is SessionState.IDLE
+        session.last_active_at = self.now
+        session.has_ended_operation = state is SessionState.IDLE
         if state is SessionState.IDLE:
             self._end_transaction(session)
         elif session.transaction is not None:
@@ -212,7 +212,7 @@
         try:
             while session.received and session.request is None and not session.closed:
                 request_id, statement = session.received.popleft()
-                session.operated = False
+                session.has_ended_operation = False
                 self._cancel_idle_timer(session)
                 self._run_statement(session, request_id, statement)
         finally:
@@ -234,7 +234,7 @@
     ) -> None:
         if statement is None:
             self._fail(session, Code.MALFORMED, "the statement can't be decoded")
-        elif session.transaction is not None and session.transaction.lost_why:
+        elif session.transaction is not None and session.transaction.lost_reason:
             self._run_after_loss(session, statement)
         elif session.state is SessionState.FAILED and not isinstance(
             statement, _ENDING_STATEMENTS
@@ -255,8 +255,8 @@
             self._execute(statement, session, request_id)
 
     def _run_after_loss(self, session: SessionRow, statement: Statement) -> None:
-        why = session.transaction.lost_why
-        session.transaction.lost_why = ""
+        why = session.transaction.lost_reason
+        session.transaction.lost_reason = ""
         if isinstance(statement, Rollback):
             self._reply(session, SessionState.IDLE)
         elif isinstance(statement, Commit):
@@ -394,7 +394,7 @@
         transaction = session.transaction
         if transaction is None:
             return
-        session.operated = True
+        session.has_ended_operation = True
         if transaction.idle_timer is not None:
             transaction.idle_timer.cancel()
         if transaction.connection is not None:
@@ -424,7 +424,7 @@
     def _record_loss(self, session: SessionRow, why: str) -> None:
         """Record that a transaction ended between two statements of its caller."""
         if session.state is SessionState.IN_TRANSACTION:
-            session.transaction.lost_why = why
+            session.transaction.lost_reason = why
         self._node.log("info", "transaction_lost", database=session.database, why=why)
 
 
--- a/mallowpass/core/proxy/transactions.py
+++ b/mallowpass/core/proxy/transactions.py
@@ -10,7 +10,7 @@
 from mallowpass.core.proxy.connections import Connections
 from mallowpass.core.proxy.durability import Durability
 from mallowpass.core.proxy.floors import Floors
-from mallowpass.core.proxy.leadership import UNPROVEN
+from mallowpass.core.proxy.leadership import LEADERSHIP_UNPROVEN
 from mallowpass.core.proxy.load import Load
 from mallowpass.core.proxy.members import Members
 from mallowpass.core.proxy.signals import (
@@ -79,7 +79,7 @@
         """
         self._attempts.attach(request, connection)
         connection.state = ConnectionState.PINNED
-        request.transaction.proven = floor is not None
+        request.transaction.has_proven_floor = floor is not None
         # A primary accepts a transaction that may write only while it leads, which
         # shows that the primary was not replaced.
         read_only = floor is not None
@@ -114,7 +114,7 @@
     def send(self, request: RequestRow) -> None:
         """Send a statement on its transaction's pinned connection."""
         connection = request.transaction.connection
-        if request.access is Access.READ and not request.transaction.proven:
+        if request.access is Access.READ and not request.transaction.has_proven_floor:
             began_at = request.transaction.began_at
             self._floors.request_proof(connection.endpoint, request.route, began_at)
         self._attempts.attach(request, connection)
@@ -152,7 +152,7 @@
             self._connections.roll_back(connection)
             return
         if any(reply.code is not Code.DONE for reply in replies[:setup_count]):
-            connection.broken = True
+            connection.is_broken = True
         reply = replies[setup_count]
         endpoint = connection.endpoint
         self._attempts.detach(request)
@@ -161,9 +161,9 @@
             self._on_commit_reply(request, connection, reply)
             return
         if reply.code is Code.DONE:
-            self._load.measured(endpoint, self.now - request.sent_at)
-            transaction.wrote |= request.access is Access.WRITE
-            if request.access is Access.READ and not transaction.proven:
+            self._load.record_latency(endpoint, self.now - request.sent_at)
+            transaction.has_written |= request.access is Access.WRITE
+            if request.access is Access.READ and not transaction.has_proven_floor:
                 self._answer_if_proven(request, connection, reply)
             else:
                 self._on_done(request, connection, reply)
@@ -171,7 +171,7 @@
             self._retry_later(request, connection)
         else:
             if reply.code is Code.NOT_PRIMARY:
-                self._members.denied(endpoint)
+                self._members.note_not_primary(endpoint)
             self._fail(request, connection, reply)
 
     def _on_done(
@@ -202,10 +202,10 @@
             if request.finished or request.transaction.connection is not connection:
                 return
             if is_proven:
-                request.transaction.proven = True
+                request.transaction.has_proven_floor = True
                 self._on_done(request, connection, reply)
             else:
-                self._fail(request, connection, UNPROVEN)
+                self._fail(request, connection, LEADERSHIP_UNPROVEN)
 
         began_at = request.transaction.began_at
         self._floors.prove_freshness(
@@ -237,9 +237,9 @@
         else:
             self._connections.roll_back(connection)
         if reply.code is Code.DONE:
-            if transaction.wrote:
+            if transaction.has_written:
                 group = self.tables.group(request.route.service)
-                self._durability.acknowledged(endpoint, request.shown)
+                self._durability.note_acknowledgement(endpoint, request.position_before)
                 self._node.publish(WriteAcknowledged(group))
                 self._floors.record_session_commit(
                     request.session, endpoint, reply.position, request.sent_at
@@ -247,7 +247,7 @@
             self._answers.forward_reply(request, reply, SessionState.IDLE)
             return
         if reply.code is Code.NOT_PRIMARY:
-            self._members.denied(endpoint)
+            self._members.note_not_primary(endpoint)
         self._answers.send_answer(
             request,
             Answer(
@@ -262,7 +262,7 @@
     def answer_lost(self, request: RequestRow, why: str) -> None:
         """Answer a statement whose transaction lost its connection."""
         is_commit = isinstance(request.statement, Commit)
-        if is_commit and request.transaction.wrote:
+        if is_commit and request.transaction.has_written:
             self._answers.answer_in_doubt(request, why)
             return
         # An endpoint rolls back the open transaction of a lost connection, and no
--- a/mallowpass/measure/policy/mechanisms.py
+++ b/mallowpass/measure/policy/mechanisms.py
@@ -13,7 +13,7 @@
 
 from mallowpass.core.proxy import (
     holders,
-    idling,
+    idleconnections,
     load,
     requests,
     shares,
@@ -24,10 +24,10 @@
 from mallowpass.core.proxy.leadership import Leadership
 from mallowpass.core.proxy.links import Links
 from mallowpass.core.proxy.load import Load
+from mallowpass.core.proxy.overloadswitchover import OverloadSwitchover
 from mallowpass.core.proxy.policy import placement, sharing
 from mallowpass.core.proxy.policy.sharing import Fleet, Plan
 from mallowpass.core.proxy.relays import Relays
-from mallowpass.core.proxy.relief import Relief
 from mallowpass.core.proxy.sampling import Sampling
 from mallowpass.core.proxy.shares import Shares
 from mallowpass.core.proxy.stalls import Stalls
@@ -66,11 +66,11 @@
 
 
 def _by_arrival(request: RequestRow) -> tuple[int, float]:
-    return (0, request.arrived)
+    return (0, request.arrived_at)
 
 
 def _until_timeout(request: RequestRow) -> float:
-    return request.expires
+    return request.expires_at
 
 
 def _direct_plan(service: str, limit: int, fleet: Fleet, statements: int) -> Plan:
@@ -122,12 +122,12 @@
     _mechanism(
         "relief",
         "a full primary keeps the lead",
-        (Relief, "_on_behind", _always(None)),
+        (OverloadSwitchover, "_on_behind", _always(None)),
     ),
     _mechanism(
         "stalls",
         "writes are sent to a primary that acknowledges none",
-        (Stalls, "holds_back_write", _always(False)),
+        (Stalls, "should_refuse_write", _always(False)),
     ),
     _mechanism(
         "room-beside-hanging-commits",
@@ -167,7 +167,7 @@
     _mechanism(
         "spare-connections",
         "connections beyond half of the share are kept as long as others",
-        (idling, "SPARE_IDLE_MAX", idling.IDLE_MAX),
+        (idleconnections, "SPARE_IDLE_MAX", idleconnections.IDLE_MAX),
     ),
     _mechanism(
         "floors-asked-for",
@@ -193,7 +193,7 @@
     _mechanism(
         "proofs-by-commits",
         "an acknowledged commit proves nothing of the lead",
-        (Leadership, "acknowledged", _always(None)),
+        (Leadership, "note_acknowledgement", _always(None)),
     ),
     _mechanism(
         "relays",
--- a/tests/core/proxy/policy/test_admission.py
+++ b/tests/core/proxy/policy/test_admission.py
@@ -36,11 +36,11 @@
             queue.append(request(now))
         if tick % 10 == 0 and queue:
             first = queue.pop(0)
-            served_waits.append(now - first.arrived)
+            served_waits.append(now - first.arrived_at)
         for waiting in list(queue):
             if is_turned_away(waiting, queue, now):
                 queue.remove(waiting)
-                refused_waits.append(now - waiting.arrived)
+                refused_waits.append(now - waiting.arrived_at)
     assert len(served_waits) >= 199
     assert max(served_waits) <= OBJECTIVE / 2
     assert max(refused_waits) <= OBJECTIVE / 2
