--- a/mallowpass/core/proxy/requests.py
+++ b/mallowpass/core/proxy/requests.py
@@ -63,11 +63,11 @@
 # arrives in time; callers are a few milliseconds away.
 ANSWER_MARGIN = 0.02
 # Once this many statements of a customer have found no connection in one pass over the
-# queue, further ones are tried only while a connection is idle. Each of the former
-# requests a connection, and no more connections than that are opened at once.
+# queue, further ones are tried only while a connection is idle. Each statement that
+# finds none requests one, and no more connections than this are opened at once.
 MISSES_MAX = 4
 
-FULL = "its endpoint has too much to do; try again in a moment"
+ENDPOINT_FULL_MESSAGE = "its endpoint has too much to do; try again in a moment"
 
 
 class Requests(ProxySystem):
@@ -239,7 +239,7 @@
             self._send(request, choice.connection, choice.floor)
         elif choice.full and is_turned_away(request, group.waiting, self.now):
             group.last_rejection_at = self.now
-            self._answers.refuse(request, Code.BUSY, FULL)
+            self._answers.refuse(request, Code.BUSY, ENDPOINT_FULL_MESSAGE)
 
     def _waits_for_floor(
         self, request: RequestRow, group: GroupRow, floor: LogPosition | None
--- a/mallowpass/core/proxy/sessions.py
+++ b/mallowpass/core/proxy/sessions.py
@@ -71,13 +71,13 @@
 class Sessions(ProxySystem):
     """Open and close sessions, and run their statements in order."""
 
-    __slots__ = ("_answers", "_closing", "_customers", "_early", "_requests")
+    __slots__ = ("_answers", "_closing", "_customers", "_early_sessions", "_requests")
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
         self._closing = False
         # Sessions that were opened before the first configuration arrived, by stream.
-        self._early: dict[int, SessionOpened] = {}
+        self._early_sessions: dict[int, SessionOpened] = {}
 
     def start(self) -> None:
         """Subscribe to the events of callers and to the answers of statements."""
@@ -97,7 +97,7 @@
     def _on_session_opened(self, event: SessionOpened) -> None:
         configuration = self.tables.configuration
         if configuration is None:
-            self._early[event.stream] = event
+            self._early_sessions[event.stream] = event
             self.timers.after(
                 CONFIGURATION_TIMEOUT, self._on_configuration_timeout, event
             )
@@ -131,18 +131,18 @@
         self._node.emit(RefuseSession(event.stream, code, message))
 
     def _on_configuration_timeout(self, event: SessionOpened) -> None:
-        if self._early.pop(event.stream, None) is None:
+        if self._early_sessions.pop(event.stream, None) is None:
             return
         message = "this host has no configuration yet; try again in 2 s"
         self._node.emit(RefuseSession(event.stream, Code.BUSY, message))
 
     def _on_configuration_accepted(self, signal: ConfigurationAccepted) -> None:
-        early, self._early = self._early, {}
+        early, self._early_sessions = self._early_sessions, {}
         for event in early.values():
             self._on_session_opened(event)
 
     def _on_session_closed(self, event: SessionClosed) -> None:
-        self._early.pop(event.stream, None)
+        self._early_sessions.pop(event.stream, None)
         session = self.tables.sessions.pop(event.stream, None)
         if session is None:
             return
@@ -431,8 +431,8 @@
 def _begins_operation(session: SessionRow, statement: Statement) -> bool:
     """Return whether a statement begins an operation at an endpoint.
 
-    The caller's key is checked only then: an operation that has begun at an endpoint
-    ends there, even if the key is revoked meanwhile.
+    The caller's key is checked only then: an operation that has begun runs to its end,
+    even if the key is revoked meanwhile.
     """
     if session.state is SessionState.FAILED or isinstance(statement, Rollback):
         return False
