--- a/mallowpass/core/proxy/answers.py
+++ b/mallowpass/core/proxy/answers.py
@@ -55,7 +55,7 @@
         """Answer a statement for good."""
         self.settle(request)
         session = request.session
-        duration = self.now - request.arrived
+        duration = self.now - request.arrived_at
         consistency = request.route.consistency.value
         self._node.observe("statement_seconds", duration, consistency=consistency)
         self._node.count("statements", code=answer.code.value)
@@ -83,7 +83,7 @@
             configuration=self.tables.configuration.version,
             consistency=request.route.consistency.value,
             floor="" if request.floor is None else request.floor.text,
-            behind=request.behind,
+            behind=request.behind_count,
             tries=request.tries,
             ms=round(1000 * duration, 1),
         )
--- a/mallowpass/core/proxy/attempts.py
+++ b/mallowpass/core/proxy/attempts.py
@@ -61,7 +61,7 @@
         request.connection = connection
         request.endpoint = connection.endpoint
         request.sent_at = self.now
-        request.shown = connection.endpoint.position
+        request.position_before = connection.endpoint.position
         request.endpoint.in_flight += 1
         self.watch_loss(request, connection)
         overdue = OVERDUE_SHARE * request.route.statement_timeout
--- a/mallowpass/core/proxy/claims.py
+++ b/mallowpass/core/proxy/claims.py
@@ -257,7 +257,7 @@
         """Tell whether no newer claim may be lost than the one that was read."""
         if claim is not None and self._is_of_era(claim):
             return True
-        return not self._store.has_come_back
+        return not self._store.has_been_restored
 
     def _on_era(self, signal: EraChanged) -> None:
         self._known.clear()
@@ -273,7 +273,7 @@
         one is a proof: it has to be known again that claims of this era are whole.
         """
         has_orders = bool(self._standing.standing(service))
-        return has_orders or not self.tables.lead_is_taken
+        return has_orders or not self.tables.promotion_fences_primary
 
     def _restate(self, service: str, tries: int) -> None:
         """Write again what stands, unless the store knows it."""
--- a/mallowpass/core/proxy/configuration.py
+++ b/mallowpass/core/proxy/configuration.py
@@ -95,21 +95,21 @@
 class Configuration:
     """Hold one version of the configuration, complete; `transaction_idle` in s.
 
-    `identifies` tells that callers show keys of customers.
+    `authenticates_callers` tells that callers show keys of customers.
     """
 
     version: int
     routes: dict[str, Route] = field(default_factory=dict)  # by database name
     services: dict[str, ServiceLimits] = field(default_factory=dict)
     transaction_idle: float = 3.0
-    identifies: bool = False
+    authenticates_callers: bool = False
     customers: dict[str, Customer] = field(default_factory=dict)  # by name
     # By credential, as `index_credentials` returns them.
-    owners: dict[str, Customer] = field(default_factory=dict)
+    credential_owners: dict[str, Customer] = field(default_factory=dict)
 
     def customer_of(self, credential: str) -> Customer | None:
         """Return the customer that holds a credential, None if nobody does."""
-        return self.owners.get(credential)
+        return self.credential_owners.get(credential)
 
 
 def index_credentials(customers: Iterable[Customer]) -> dict[str, Customer]:
--- a/mallowpass/core/proxy/connections.py
+++ b/mallowpass/core/proxy/connections.py
@@ -22,11 +22,11 @@
 from mallowpass.core.proxy.signals import (
     CallsSent,
     ConnectionFreed,
-    EndpointForgotten,
+    EndpointExpired,
     EndpointRestarted,
     EndpointUnreachable,
-    FloorLearnt,
-    WayRefused,
+    FloorReceived,
+    ForwardedConnectionRefused,
 )
 from mallowpass.core.proxy.statements import (
     Code,
@@ -78,7 +78,7 @@
         node.subscribe(ConnectionRefused, self._on_refused)
         node.subscribe(ConnectionLost, self._on_lost)
         node.subscribe(EndpointAnswered, self._on_answered)
-        node.subscribe(EndpointForgotten, self._on_forgotten)
+        node.subscribe(EndpointExpired, self._on_forgotten)
         node.subscribe(EndpointRestarted, self._on_restarted)
 
     # -- Taking and giving back ----------------------------------------------
@@ -101,8 +101,8 @@
             connection
             for connection in endpoint.connections.values()
             if connection.state is ConnectionState.IDLE
-            and connection.serves(customer)
-            and not connection.reserved
+            and connection.can_serve(customer)
+            and not connection.is_single_use
             and not (own_only and connection.holder)
         ]
         if not idle:
@@ -152,15 +152,15 @@
     def take_by(self, endpoint: EndpointRow, host: HostRow) -> ConnectionRow | None:
         """Return an idle connection by way of a host that is opened just for that."""
         for connection in endpoint.connections.values():
-            if connection.reserved and connection.holder == host.name:
+            if connection.is_single_use and connection.holder == host.name:
                 is_idle = connection.state is ConnectionState.IDLE
                 return connection if is_idle else None
-        self._open(endpoint, host, None, reserved=True)
+        self._open(endpoint, host, None, is_single_use=True)
         return None
 
     def retry(self, endpoint: EndpointRow) -> None:
         """Try to reach an endpoint at once that could not be reached before."""
-        endpoint.refused_until = self.now
+        endpoint.connect_backoff_until = self.now
         self.grow(endpoint, beyond_share=True)
 
     def _make_room(self, endpoint: EndpointRow, customer: str) -> None:
@@ -168,16 +168,18 @@
 
         Not while the endpoint turns hosts away: none could be opened in its place.
         """
-        if self.now < endpoint.refused_until or not self._shares.is_taken_up(endpoint):
+        if self.now < endpoint.connect_backoff_until or not self._shares.is_taken_up(
+            endpoint
+        ):
             return
         idle = [
             connection
             for connection in endpoint.connections.values()
             if connection.state is ConnectionState.IDLE
-            and not connection.serves(customer)
+            and not connection.can_serve(customer)
         ]
         if idle:
-            least = min(idle, key=lambda connection: connection.last_used)
+            least = min(idle, key=lambda connection: connection.last_used_at)
             self.close(least, "another customer needs its place")
 
     def release(self, connection: ConnectionRow) -> None:
@@ -185,7 +187,7 @@
         if connection.number not in self.tables.connections:
             return
         connection.on_lost = None
-        if connection.broken:
+        if connection.is_broken:
             self.close(connection, "its state is unknown")
             return
         if not self.tables.is_current(connection.endpoint):
@@ -195,7 +197,7 @@
             self.close(connection, "the shares have changed")
             return
         connection.state = ConnectionState.IDLE
-        connection.last_used = self.now
+        connection.last_used_at = self.now
         self._node.publish(ConnectionFreed(connection.endpoint))
 
     def close(self, connection: ConnectionRow, why: str) -> None:
@@ -232,7 +234,7 @@
         self, connection: ConnectionRow, replies: list[EndpointReply]
     ) -> None:
         if replies[0].state is not SessionState.IDLE:
-            connection.broken = True
+            connection.is_broken = True
         self.release(connection)
 
     # -- What happens to connections -----------------------------------------
@@ -242,7 +244,7 @@
         endpoint: EndpointRow,
         way: HostRow | None,
         customer: str | None,
-        reserved: bool = False,
+        is_single_use: bool = False,
     ) -> None:
         number = self._node.number()
         entry = endpoint.entry
@@ -255,7 +257,7 @@
             self.now,
             holder=holder,
             customer=customer,
-            reserved=reserved,
+            is_single_use=is_single_use,
         )
         self.tables.connections[number] = connection
         endpoint.connections[number] = connection
@@ -274,8 +276,8 @@
         if connection.holder:
             self._holders.answered(connection.holder)
         if self._is_endpoints_answer(connection):
-            endpoint.failures = 0
-            endpoint.heard_at = self.now
+            endpoint.connect_failures = 0
+            endpoint.last_reply_at = self.now
         self._learn_floor(endpoint, event.floor, connection.opened_at)
         self.release(connection)
 
@@ -305,16 +307,20 @@
             open=len(endpoint.connections),
         )
         if connection.holder:
-            is_answer = not self._is_silent(connection, event)
-            self._node.publish(WayRefused(endpoint, connection.holder, is_answer))
+            is_definitive = not self._is_silent(connection, event)
+            self._node.publish(
+                ForwardedConnectionRefused(endpoint, connection.holder, is_definitive)
+            )
             if self._pass_over(connection, event):
                 return
         if event.code is Code.TOO_MANY_CONNECTIONS:
             pause = FULL_BACKOFF * self._node.random.uniform(1.0, 2.0)
         else:
-            endpoint.failures += 1
-            pause = self._node.backoff(endpoint.failures, BACKOFF_MIN, BACKOFF_MAX)
-        endpoint.refused_until = self.now + pause
+            endpoint.connect_failures += 1
+            pause = self._node.backoff(
+                endpoint.connect_failures, BACKOFF_MIN, BACKOFF_MAX
+            )
+        endpoint.connect_backoff_until = self.now + pause
         if event.code is Code.TOO_MANY_CONNECTIONS:
             # What waits here goes by way of a host that has connections. After the
             # pause it would have been refused.
@@ -418,7 +424,7 @@
         for other in list(endpoint.connections.values()):
             if other.holder != connection.holder:
                 continue
-            other.broken = True
+            other.is_broken = True
             if other.state is ConnectionState.IDLE:
                 self.close(other, "its holder can't reach the endpoint")
         return reply
@@ -428,7 +434,10 @@
 
         One that is cut off keeps connections on which nothing comes.
         """
-        return not endpoint.failures or endpoint.heard_at > self.now - QUIET_TIME
+        return (
+            not endpoint.connect_failures
+            or endpoint.last_reply_at > self.now - QUIET_TIME
+        )
 
     def _note(
         self, connection: ConnectionRow, reply: EndpointReply, sent_at: float
@@ -436,7 +445,7 @@
         endpoint = connection.endpoint
         # A host on the way that refuses for the endpoint knows no position.
         if reply.position is not None or self._is_endpoints_answer(connection):
-            endpoint.heard_at = self.now
+            endpoint.last_reply_at = self.now
         if reply.position is not None:
             endpoint.position = reply.position
             group = self.tables.group(endpoint.entry.service)
@@ -453,7 +462,7 @@
         group = self.tables.group(endpoint.entry.service)
         # What it answers arrived there after it was sent here, whatever time that took.
         asked_at = sent_at - floor.age
-        self._node.publish(FloorLearnt(group, floor.position, asked_at))
+        self._node.publish(FloorReceived(group, floor.position, asked_at))
 
     def _on_restarted(self, signal: EndpointRestarted) -> None:
         """Close all connections to an endpoint's earlier start, also busy ones.
@@ -462,10 +471,10 @@
         sent on them would wait for answers that can't come, and their values and
         prepared statements would be looked for at the new start.
         """
-        for connection in list(signal.before.connections.values()):
+        for connection in list(signal.previous.connections.values()):
             self.close(connection, "the endpoint started again")
 
-    def _on_forgotten(self, signal: EndpointForgotten) -> None:
+    def _on_forgotten(self, signal: EndpointExpired) -> None:
         for connection in list(signal.endpoint.connections.values()):
             if connection.state is ConnectionState.IDLE:
                 self.close(connection, "the endpoint is gone")
--- a/mallowpass/core/proxy/control.py
+++ b/mallowpass/core/proxy/control.py
@@ -119,7 +119,7 @@
         Those that were sent end with their connections.
         """
         for question in list(self._waiting):
-            if question.endpoint is signal.before:
+            if question.endpoint is signal.previous:
                 self._finish(question, None)
 
     def _try(self, question: Question) -> None:
--- a/mallowpass/core/proxy/customers.py
+++ b/mallowpass/core/proxy/customers.py
@@ -45,7 +45,7 @@
         """Find a session's customer; return why it may run no operation."""
         configuration = self.tables.configuration
         session.customer = _customer(configuration, session)
-        if not configuration.identifies:
+        if not configuration.authenticates_callers:
             return None
         if session.customer is None:
             return UNKNOWN_KEY
@@ -57,7 +57,7 @@
 
 
 def _customer(configuration: Configuration, session: SessionRow) -> str | None:
-    if not configuration.identifies:
+    if not configuration.authenticates_callers:
         return None
     customer = configuration.customer_of(session.credential)
     if customer is not None:
--- a/mallowpass/core/proxy/demotion.py
+++ b/mallowpass/core/proxy/demotion.py
@@ -22,7 +22,7 @@
 from mallowpass.core.proxy.replicaorders import ReplicaOrders
 from mallowpass.core.proxy.rivals import Rivals
 from mallowpass.core.proxy.signals import (
-    EndpointForgotten,
+    EndpointExpired,
     EndpointRestarted,
     EndpointUnreachable,
 )
@@ -95,7 +95,7 @@
         self._rivals = node.system(Rivals)
         self._standing = node.system(StandingOrders)
         node.subscribe(EndpointUnreachable, self._on_unreachable)
-        node.subscribe(EndpointForgotten, self._on_forgotten)
+        node.subscribe(EndpointExpired, self._on_forgotten)
         node.subscribe(EndpointRestarted, self._on_restarted)
 
     def demote(
@@ -122,7 +122,7 @@
 
     def _begin_detours(self, task: _Task) -> None:
         """Have the order reach one that this host does not reach, or did not before."""
-        if self.tables.lead_is_taken:
+        if self.tables.promotion_fences_primary:
             return
         endpoint = task.endpoint
         if endpoint.connections:
@@ -204,7 +204,7 @@
         if not self._is_current(task) or task.waited:
             return
         waited = self.now - task.began_at
-        is_alive = self.now - task.endpoint.heard_at < WAIT_MAX
+        is_alive = self.now - task.endpoint.last_reply_at < WAIT_MAX
         may_be_reached = bool(task.unheard) and waited < UNHEARD_WAIT_MAX
         if may_be_reached or (is_alive and waited < ALIVE_WAIT_MAX):
             self.timers.after(RETRY_MIN, self._on_waited, task)
@@ -251,11 +251,11 @@
 
     def _on_unreachable(self, signal: EndpointUnreachable) -> None:
         task = self._tasks.get(signal.endpoint.name)
-        if task is not None and signal.tried_at >= task.began_at:
+        if task is not None and signal.attempted_at >= task.began_at:
             task.unreached = True
             self._check_reach(task)
 
-    def _on_forgotten(self, signal: EndpointForgotten) -> None:
+    def _on_forgotten(self, signal: EndpointExpired) -> None:
         task = self._tasks.get(signal.endpoint.name)
         if task is not None:
             self._end(task, "its entry is gone")
@@ -288,9 +288,9 @@
                 waiting=len(task.handlers),
                 tries=task.tries,
                 connections=len(endpoint.connections),
-                failures=endpoint.failures,
+                failures=endpoint.connect_failures,
                 unheard=",".join(sorted(task.unheard)),
-                heard_ago=round(self.now - endpoint.heard_at, 3),
+                heard_ago=round(self.now - endpoint.last_reply_at, 3),
             )
         self._release(task)
 
--- a/mallowpass/core/proxy/detours.py
+++ b/mallowpass/core/proxy/detours.py
@@ -10,7 +10,7 @@
 
 from mallowpass.core.proxy.control import Control
 from mallowpass.core.proxy.holders import Holders
-from mallowpass.core.proxy.signals import WayRefused
+from mallowpass.core.proxy.signals import ForwardedConnectionRefused
 from mallowpass.core.proxy.statements import EndpointReply, Statement
 from mallowpass.core.proxy.tables import EndpointRow, HostRow, ProxySystem
 
@@ -34,7 +34,7 @@
         self._control = self._node.system(Control)
         self._holders = self._node.system(Holders)
         self._refused: set[tuple[str, str]] = set()  # hosts and endpoints, while asked
-        self._node.subscribe(WayRefused, self._on_refused)
+        self._node.subscribe(ForwardedConnectionRefused, self._on_refused)
 
     def hosts(self, endpoint: EndpointRow) -> list[str]:
         """Return the other hosts that connect to an endpoint."""
@@ -67,7 +67,7 @@
         control = self._control
         question = control.ask(endpoint, (order,), on_replies, ANSWER_TIME, host)
 
-    def _on_refused(self, signal: WayRefused) -> None:
-        if signal.is_answer:
+    def _on_refused(self, signal: ForwardedConnectionRefused) -> None:
+        if signal.is_definitive:
             self._refused.add((signal.host, signal.endpoint.name))
         self._control.give_up(signal.endpoint, signal.host)
--- a/mallowpass/core/proxy/discovery.py
+++ b/mallowpass/core/proxy/discovery.py
@@ -49,7 +49,7 @@
     @staticmethod
     def _is_open(group: GroupRow) -> bool:
         """Tell whether it is open who leads."""
-        return not group.primary or group.suspected
+        return not group.primary or group.is_suspected
 
     def _look(self, group: GroupRow) -> None:
         if not self._is_open(group):
@@ -77,7 +77,7 @@
         self, group: GroupRow, endpoint: EndpointRow, reply: EndpointReply
     ) -> None:
         """Believe an endpoint that accepts a transaction, unless it was replaced."""
-        if self.tables.lead_is_taken:
+        if self.tables.promotion_fences_primary:
             why = "it accepts a transaction"
             self._members.promoted(endpoint, why, reply.position)
         else:
--- a/mallowpass/core/proxy/durability.py
+++ b/mallowpass/core/proxy/durability.py
@@ -113,11 +113,11 @@
     def _on_endpoint(self, signal: EndpointChanged) -> None:
         endpoint = signal.endpoint
         group = self.tables.group(endpoint.entry.service)
-        if endpoint.gone_at is not None and endpoint.name != group.primary:
+        if endpoint.removed_at is not None and endpoint.name != group.primary:
             self._miss(group.service)
 
     def _on_restarted(self, signal: EndpointRestarted) -> None:
-        self._miss(signal.before.entry.service)
+        self._miss(signal.previous.entry.service)
 
     def _miss(self, service: str) -> None:
         missing = self._missing.setdefault(service, _Missing())
--- a/mallowpass/core/proxy/feeds.py
+++ b/mallowpass/core/proxy/feeds.py
@@ -81,7 +81,7 @@
         """Take what the store, or a relay, told of a table."""
         copy = self._copies[table]
         before = copy.rows
-        if reply.whole:
+        if reply.is_snapshot:
             copy.rows = {}
             copy.since = reply.version
         for row in reply.rows:
@@ -118,7 +118,7 @@
             self._refuse(event.feed, STOPPING if self._stopping else NOT_FOLLOWING)
             return
         reply = self._changes(copy, event.after)
-        if reply.rows or reply.whole:
+        if reply.rows or reply.is_snapshot:
             self._node.emit(AnswerFeed(event.feed, reply))
             return
         wait = min(WAIT_MAX, max(0.0, event.wait))
@@ -131,17 +131,17 @@
 
     def _changes(self, copy: _Copy, after: int) -> StoreReply:
         """Return what is newer than a version; the whole table if that is not known."""
-        whole = after < copy.since
+        is_snapshot = after < copy.since
         rows = [
             row
             for row in copy.rows.values()
-            if (row.value is not None if whole else row.version > after)
+            if (row.value is not None if is_snapshot else row.version > after)
         ]
         rows.sort(key=lambda row: row.version)
         version = max(after, copy.version)
         era = era_of(version)
         done = StoreStatus.DONE
-        return StoreReply(done, tuple(rows), version, whole=whole, era=era)
+        return StoreReply(done, tuple(rows), version, is_snapshot=is_snapshot, era=era)
 
     def _tell(self, copy: _Copy) -> None:
         followers, copy.followers = copy.followers, []
@@ -151,7 +151,7 @@
             reply = replies.get(follower.after)
             if reply is None:
                 reply = replies[follower.after] = self._changes(copy, follower.after)
-            if reply.rows or reply.whole:
+            if reply.rows or reply.is_snapshot:
                 follower.timer.cancel()
                 self._node.emit(AnswerFeed(follower.number, reply))
             else:
--- a/mallowpass/core/proxy/floors.py
+++ b/mallowpass/core/proxy/floors.py
@@ -13,8 +13,8 @@
 from mallowpass.core.proxy.configuration import Consistency, Route
 from mallowpass.core.proxy.leadership import Leadership, ProofHandler
 from mallowpass.core.proxy.signals import (
-    FloorLearnt,
-    PrimaryHeard,
+    FloorReceived,
+    PrimaryConfirmed,
     ReplicasBehind,
     ReplicaStuck,
 )
@@ -59,9 +59,9 @@
     def start(self) -> None:
         """Subscribe to samples of other hosts."""
         self._leadership = self._node.system(Leadership)
-        self._node.subscribe(FloorLearnt, self._on_learnt)
+        self._node.subscribe(FloorReceived, self._on_learnt)
 
-    def _on_learnt(self, signal: FloorLearnt) -> None:
+    def _on_learnt(self, signal: FloorReceived) -> None:
         self._keep(signal.group, signal.position, signal.asked_at)
 
     def sample(self, group: GroupRow, position: LogPosition, asked_at: float) -> None:
@@ -71,7 +71,7 @@
         that was replaced lacks what its successor has acknowledged since.
         """
         if self._keep(group, position, self._leadership.led_alone(group, asked_at)):
-            self._node.publish(PrimaryHeard(group))
+            self._node.publish(PrimaryConfirmed(group))
 
     @staticmethod
     def _keep(group: GroupRow, position: LogPosition, asked_at: float) -> bool:
@@ -82,7 +82,7 @@
         if samples and asked_at - samples[-1].asked_at < SAMPLE_GAP:
             return False
         samples.append(FloorSample(asked_at, position))
-        group.floors_at.clear()
+        group.floor_cache.clear()
         if len(samples) > SAMPLES_MAX:
             samples.popleft()
         return True
@@ -165,21 +165,21 @@
         """
         if endpoint.position is not None and endpoint.position >= floor:
             return True
-        return endpoint.behind_until <= self.now
+        return endpoint.behind_backoff_until <= self.now
 
     def lacked(self, endpoint: EndpointRow) -> None:
         """Note that an endpoint's log had not reached a floor."""
-        if self.now < endpoint.behind_until:
+        if self.now < endpoint.behind_backoff_until:
             return  # it was asked before that was known
-        pause = min(BEHIND_PAUSE_MAX, 2.0 * endpoint.behind_pause)
-        endpoint.behind_pause = max(BEHIND_PAUSE_MIN, pause)
-        endpoint.behind_until = self.now + endpoint.behind_pause
+        pause = min(BEHIND_PAUSE_MAX, 2.0 * endpoint.behind_backoff)
+        endpoint.behind_backoff = max(BEHIND_PAUSE_MIN, pause)
+        endpoint.behind_backoff_until = self.now + endpoint.behind_backoff
         if endpoint.behind_since is None:
             endpoint.behind_since = self.now
             return
-        stuck_time = STUCK_TIME * 2.0**endpoint.stuck_told
+        stuck_time = STUCK_TIME * 2.0**endpoint.stuck_reports
         if self._is_behind(endpoint, stuck_time) and not endpoint.is_leaving:
-            endpoint.stuck_told += 1
+            endpoint.stuck_reports += 1
             self._node.publish(ReplicaStuck(endpoint))
         group = self.tables.group(endpoint.entry.service)
         replicas = [
@@ -197,18 +197,18 @@
 
     def reached(self, endpoint: EndpointRow) -> None:
         """Note that an endpoint's log had reached a floor."""
-        endpoint.behind_pause = 0.0
+        endpoint.behind_backoff = 0.0
         endpoint.behind_since = None
-        endpoint.stuck_told = 0
-        endpoint.behind_until = self.now
+        endpoint.stuck_reports = 0
+        endpoint.behind_backoff_until = self.now
 
     def _at_age(self, group: GroupRow, accepted_age: float) -> LogPosition | None:
         """Return the oldest position that is young enough; once for each moment."""
-        known = group.floors_at.get(accepted_age)
+        known = group.floor_cache.get(accepted_age)
         if known is not None and known[0] == self.now:
             return known[1]
         floor = self._look_up(group, self.now - accepted_age + AGE_MARGIN)
-        group.floors_at[accepted_age] = (self.now, floor)
+        group.floor_cache[accepted_age] = (self.now, floor)
         return floor
 
     def _look_up(self, group: GroupRow, oldest: float) -> LogPosition | None:
--- a/mallowpass/core/proxy/idling.py
+++ b/mallowpass/core/proxy/idling.py
@@ -64,7 +64,7 @@
             return False
         spare = not connection.holder and self._shares.is_spare(connection.endpoint)
         longest = SPARE_IDLE_MAX if spare else IDLE_MAX
-        return connection.last_used < self.now - longest
+        return connection.last_used_at < self.now - longest
 
     def _return_to_holders(self, endpoint: EndpointRow) -> None:
         """Leave the connection of a host that was cut off, once a holder serves.
--- a/mallowpass/core/proxy/leadership.py
+++ b/mallowpass/core/proxy/leadership.py
@@ -100,7 +100,7 @@
         """Note that an endpoint acknowledged a commit that was sent at some time."""
         group = self.tables.group(endpoint.entry.service)
         if endpoint.name == group.primary:
-            group.sole_at = max(group.sole_at, sent_at)
+            group.sole_primary_at = max(group.sole_primary_at, sent_at)
 
     def led_alone(self, group: GroupRow, asked_at: float) -> float:
         """Return the newest time up to `asked_at` when a primary is known to have led.
@@ -108,9 +108,9 @@
         The primary answered a question that was sent then, and accepted a transaction
         or acknowledged a commit after it.
         """
-        if self.tables.lead_is_taken:
+        if self.tables.promotion_fences_primary:
             return asked_at
-        return min(asked_at, group.sole_at)
+        return min(asked_at, group.sole_primary_at)
 
     def confirm(
         self, endpoint: EndpointRow, since: float, handler: ProofHandler
@@ -121,11 +121,11 @@
         survey = self._surveys.get(group.service)
         if not self.tables.is_current(endpoint):
             handler(False)
-        elif self.tables.lead_is_taken:
+        elif self.tables.promotion_fences_primary:
             handler(True)
         elif endpoint.name != group.primary:
             handler(False)
-        elif group.sole_at >= since:
+        elif group.sole_primary_at >= since:
             handler(True)
         elif survey is None:
             self._begin(group, [waiting])
@@ -135,14 +135,14 @@
             self._next.setdefault(group.service, []).append(waiting)
 
     def _on_primary(self, signal: PrimaryChanged) -> None:
-        signal.group.sole_at = float("-inf")
+        signal.group.sole_primary_at = float("-inf")
 
     def _on_restarted(self, signal: EndpointRestarted) -> None:
         """Forget what is proven of a primary whose log may be gone."""
         group = self.tables.group(signal.endpoint.entry.service)
         if group.primary != signal.endpoint.name:
             return
-        group.sole_at = float("-inf")
+        group.sole_primary_at = float("-inf")
         survey = self._surveys.get(group.service)
         if survey is not None:
             self._end(survey, False)
@@ -221,7 +221,7 @@
         del self._surveys[group.service]
         sole = sole and group.primary == survey.primary and self._is_newest(survey)
         if sole:
-            group.sole_at = max(group.sole_at, survey.asked_at)
+            group.sole_primary_at = max(group.sole_primary_at, survey.asked_at)
         following = self._next.pop(group.service, None)
         if following:
             self._begin(group, following)
--- a/mallowpass/core/proxy/links.py
+++ b/mallowpass/core/proxy/links.py
@@ -28,7 +28,7 @@
 from mallowpass.core.proxy.sessionstate import calls_to_set_up
 from mallowpass.core.proxy.signals import (
     ConnectionFreed,
-    EndpointForgotten,
+    EndpointExpired,
     EndpointRestarted,
     EndpointUnreachable,
     WriteAcknowledged,
@@ -98,7 +98,7 @@
         node.subscribe(LinkCalled, self._on_called)
         node.subscribe(LinkClosed, self._on_closed)
         node.subscribe(ConnectionFreed, self._on_freed)
-        node.subscribe(EndpointForgotten, self._on_forgotten)
+        node.subscribe(EndpointExpired, self._on_forgotten)
         node.subscribe(EndpointRestarted, self._on_restarted)
         node.subscribe(EndpointUnreachable, self._on_unreachable)
 
@@ -118,8 +118,8 @@
             message = f"{self._node.identity.name} can't reach {event.endpoint!r}"
             self._node.emit(RefuseLink(event.link, Code.UNREACHABLE, message))
         else:
-            of_holder = self._holders.is_holder(event.service, event.host)
-            link = LinkRow(event.link, endpoint, of_holder)
+            is_from_holder = self._holders.is_holder(event.service, event.host)
+            link = LinkRow(event.link, endpoint, is_from_holder)
             self.tables.links[event.link] = link
             floor = self._floor_hint(event.service, self.now)
             self._node.emit(AcceptLink(event.link, endpoint.position, floor))
@@ -135,7 +135,7 @@
         if link.connection is not None and not link.in_flight:
             self._roll_back(link)
 
-    def _on_forgotten(self, signal: EndpointForgotten) -> None:
+    def _on_forgotten(self, signal: EndpointExpired) -> None:
         for link in list(self.tables.links.values()):
             if link.endpoint is signal.endpoint and not link.in_flight:
                 self._dismiss(link, "the endpoint is gone")
@@ -146,7 +146,7 @@
         Those with calls in flight have ended with their connections.
         """
         for link in list(self.tables.links.values()):
-            if link.endpoint is signal.before:
+            if link.endpoint is signal.previous:
                 self._dismiss(link, "the endpoint started again")
 
     def _dismiss(self, link: LinkRow, why: str) -> None:
@@ -176,7 +176,7 @@
         link = self.tables.links.get(event.link)
         if link is None:
             return
-        link.called_at = self.now
+        link.last_call_at = self.now
         priorities = [c.priority for c in event.calls if c.priority is not None]
         link.priority = min(priorities, default=0)
         for call in event.calls:
@@ -209,9 +209,9 @@
             if not self._connections.can_reach(link.endpoint):
                 self._refuse(link, Code.UNREACHABLE, OUT_OF_REACH)
                 return
-            link.waits_since = self.now
+            link.waiting_since = self.now
             self._waiting.append(link)
-            self._waiting.sort(key=lambda link: (link.priority, link.waits_since))
+            self._waiting.sort(key=lambda link: (link.priority, link.waiting_since))
             self.timers.after(WAIT_MAX, self._check_wait, link, self.now)
             self._try(link)
 
@@ -291,10 +291,10 @@
         # What a holder asks for is not passed on to a third host: two that are short of
         # connections would wait for each other.
         connection = self._connections.take(
-            link.endpoint, link.values, link.customer, own_only=link.of_holder
+            link.endpoint, link.values, link.customer, own_only=link.is_from_holder
         )
         if connection is None:
-            borrow = not link.of_holder
+            borrow = not link.is_from_holder
             self._connections.grow(link.endpoint, link.customer, borrow=borrow)
             return False
         self._waiting.remove(link)
@@ -305,7 +305,7 @@
         return True
 
     def _check_wait(self, link: LinkRow, since: float) -> None:
-        if link not in self._waiting or link.waits_since != since:
+        if link not in self._waiting or link.waiting_since != since:
             return
         self._waiting.remove(link)
         if self._is_replaced(link):
@@ -345,7 +345,7 @@
         self._node.count("links_refused", endpoint=link.endpoint.name, code=code.value)
         group = self._group(link)
         if code is Code.BUSY and link.endpoint.name == group.primary:
-            group.turned_away_at = self.now
+            group.last_rejection_at = self.now
         # Without a floor the host would send its reads to the primary once more, which
         # is what most calls wait for after a start of all hosts.
         said = f"{self._node.identity.name}: {message}"
@@ -433,7 +433,7 @@
         samples of its neighbours its floors would be missing, and its reads would go
         to the primary.
         """
-        floor = self._floor_hint(link.endpoint.entry.service, link.called_at)
+        floor = self._floor_hint(link.endpoint.entry.service, link.last_call_at)
         return reply if floor is None else replace(reply, floor=floor)
 
     def _floor_hint(self, service: str, at: float) -> FloorHint | None:
@@ -456,7 +456,7 @@
         skipped: int,
     ) -> None:
         if any(reply.code is not Code.DONE for reply in replies[:skipped]):
-            connection.broken = True
+            connection.is_broken = True
         answers = replies[skipped:]
         link.in_flight -= len(answers)
         if not link.closed:
--- a/mallowpass/core/proxy/members.py
+++ b/mallowpass/core/proxy/members.py
@@ -9,13 +9,13 @@
 from mallowpass.core.proxy.signals import (
     ConfigurationAccepted,
     EndpointChanged,
-    EndpointForgotten,
+    EndpointExpired,
     EndpointRestarted,
     EraChanged,
     PrimaryChanged,
 )
 from mallowpass.core.proxy.storage import (
-    UNKNOWN_START,
+    UNKNOWN_START_TIME,
     EndpointEntry,
     Row,
     RowKey,
@@ -134,21 +134,21 @@
             return
         elif _is_of_another(entry, endpoint):
             endpoint = self._restarted(endpoint, entry, version)
-        elif entry.started_at == UNKNOWN_START:
+        elif entry.started_at == UNKNOWN_START_TIME:
             entry = replace(entry, started_at=endpoint.entry.started_at)
         if entry.slots != endpoint.entry.slots:
             self.tables.endpoints_version += 1
         known = replace(endpoint.entry, heartbeats=entry.heartbeats)
-        changed = known != entry or endpoint.gone_at is not None
+        changed = known != entry or endpoint.removed_at is not None
         if entry.is_primary != endpoint.entry.is_primary:
-            endpoint.lead_version = version
+            endpoint.primary_since_version = version
         endpoint.entry = entry
         endpoint.version = version
-        endpoint.gone_at = None
+        endpoint.removed_at = None
         if changed or endpoint.position is None:
             self._log(endpoint)
         if not entry.draining:
-            endpoint.retired = False
+            endpoint.is_retired = False
         elif is_new:
             self.timers.after(LEAVING_UNKNOWN_MAX, self._retire, endpoint)
         elif changed:
@@ -180,7 +180,7 @@
             self._put(entry, version)
 
     def _add(self, entry: EndpointEntry, version: int) -> EndpointRow:
-        endpoint = EndpointRow(entry, version, lead_version=version)
+        endpoint = EndpointRow(entry, version, primary_since_version=version)
         self.tables.endpoints[entry.name] = endpoint
         self.tables.group(entry.service).endpoints[entry.name] = endpoint
         self.tables.endpoints_version += 1
@@ -207,7 +207,7 @@
         group.endpoints.pop(before.name, None)
         endpoint = self._add(entry, version)
         if group.primary == before.name:
-            endpoint.doubted = True
+            endpoint.is_role_unconfirmed = True
             self._set_primary(group, "", "it started again")
         self._node.publish(EndpointRestarted(before, endpoint))
         return endpoint
@@ -215,7 +215,7 @@
     def _retire(self, endpoint: EndpointRow) -> None:
         if not endpoint.entry.draining or not self.tables.is_current(endpoint):
             return
-        endpoint.retired = True
+        endpoint.is_retired = True
         group = self.tables.group(endpoint.entry.service)
         if group.primary == endpoint.name:
             self._set_primary(group, "", "it should have left")
@@ -223,26 +223,26 @@
     def _vanished(self, name: str) -> None:
         self._unnamed.pop(name, None)
         endpoint = self.tables.endpoints.get(name)
-        if endpoint is None or endpoint.gone_at is not None:
+        if endpoint is None or endpoint.removed_at is not None:
             return
-        endpoint.gone_at = self.now
+        endpoint.removed_at = self.now
         self._log(endpoint)
         self._node.publish(EndpointChanged(endpoint))
-        self.timers.after(LAPSE_GRACE, self._forget, endpoint, endpoint.gone_at)
+        self.timers.after(LAPSE_GRACE, self._forget, endpoint, endpoint.removed_at)
 
-    def _forget(self, endpoint: EndpointRow, gone_at: float) -> None:
-        if endpoint.gone_at != gone_at or not self.tables.is_current(endpoint):
+    def _forget(self, endpoint: EndpointRow, removed_at: float) -> None:
+        if endpoint.removed_at != removed_at or not self.tables.is_current(endpoint):
             return
         group = self.tables.group(endpoint.entry.service)
-        if group.primary == endpoint.name and self.now < gone_at + PRIMARY_GRACE:
+        if group.primary == endpoint.name and self.now < removed_at + PRIMARY_GRACE:
             pause = PRIMARY_GRACE - LAPSE_GRACE
-            self.timers.after(pause, self._forget, endpoint, gone_at)
+            self.timers.after(pause, self._forget, endpoint, removed_at)
             return
         self.tables.endpoints.pop(endpoint.name, None)
         group.endpoints.pop(endpoint.name, None)
         if group.primary == endpoint.name:
             self._set_primary(group, "", "its entry is gone")
-        self._node.publish(EndpointForgotten(endpoint))
+        self._node.publish(EndpointExpired(endpoint))
 
     def _log(self, endpoint: EndpointRow) -> None:
         entry = endpoint.entry
@@ -255,7 +255,7 @@
             started_at=entry.started_at,
             primary=entry.is_primary,
             draining=entry.draining,
-            gone=endpoint.gone_at is not None,
+            gone=endpoint.removed_at is not None,
             version=endpoint.version,
         )
 
@@ -267,9 +267,12 @@
             if group.primary == endpoint.name:
                 self._set_primary(group, "", "its entry says replica")
             return
-        if endpoint.doubted or endpoint.denied_version >= endpoint.version:
+        if (
+            endpoint.is_role_unconfirmed
+            or endpoint.primary_denied_version >= endpoint.version
+        ):
             return
-        if endpoint.retired:
+        if endpoint.is_retired:
             return
         version = self._lead_version(endpoint)
         if group.primary == endpoint.name or version > group.primary_version:
@@ -282,14 +285,14 @@
         One that does not know that it was replaced may write its entry again, later
         than its successor: it tells of the same lead as before.
         """
-        if self.tables.lead_is_taken:
+        if self.tables.promotion_fences_primary:
             return endpoint.version
-        return endpoint.lead_version
+        return endpoint.primary_since_version
 
     def denied(self, endpoint: EndpointRow) -> None:
         """Take an endpoint's word that it does not lead."""
         group = self.tables.group(endpoint.entry.service)
-        endpoint.denied_version = endpoint.version
+        endpoint.primary_denied_version = endpoint.version
         if group.primary == endpoint.name:
             self._set_primary(group, "", "it refused a write")
 
@@ -301,7 +304,7 @@
         `position` is what its log showed, if that is known. One that started again with
         nothing may still say that it leads; reads there would miss all commits.
         """
-        if endpoint.retired:
+        if endpoint.is_retired:
             return
         group = self.tables.group(endpoint.entry.service)
         if position is not None and self._lacks(endpoint, position):
@@ -314,8 +317,8 @@
                 needed=group.must_hold.text,
             )
             return
-        endpoint.denied_version = -1
-        endpoint.doubted = False
+        endpoint.primary_denied_version = -1
+        endpoint.is_role_unconfirmed = False
         self._set_primary(group, endpoint.name, why)
 
     def _lacks(self, endpoint: EndpointRow, position: LogPosition) -> bool:
@@ -324,7 +327,7 @@
             return True
         # What a primary showed may be more than was acknowledged, but not all of it.
         has_commits = bool(group.samples) and group.samples[-1].position.position > 0
-        return endpoint.doubted and position.position == 0 and has_commits
+        return endpoint.is_role_unconfirmed and position.position == 0 and has_commits
 
     def _set_primary(self, group: GroupRow, name: str, why: str) -> None:
         if group.primary == name:
@@ -340,11 +343,11 @@
             why=why,
         )
         group.primary = name
-        if name and name != group.led_by:
-            group.led_by = name
-            group.term_before = group.term
+        if name and name != group.last_primary:
+            group.last_primary = name
+            group.previous_term = group.term
         if name and group.term:  # else it is the first one that this host learns of
-            group.led_at.append(self.now)
+            group.primary_change_times.append(self.now)
         group.no_primary_since = None if name else self.now
         self._node.publish(PrimaryChanged(group))
 
@@ -366,7 +369,7 @@
 
 def _is_of_earlier_start(entry: EndpointEntry, endpoint: EndpointRow) -> bool:
     # The store may carry out a write of an earlier start after those of a later one.
-    return UNKNOWN_START < entry.started_at < endpoint.entry.started_at
+    return UNKNOWN_START_TIME < entry.started_at < endpoint.entry.started_at
 
 
 def _is_of_another(entry: EndpointEntry, endpoint: EndpointRow) -> bool:
--- a/mallowpass/core/proxy/ordering.py
+++ b/mallowpass/core/proxy/ordering.py
@@ -120,7 +120,7 @@
         Not from one that started again: it may hold nothing, and hand over just that.
         """
         primary = attempt.group.endpoints.get(attempt.primary)
-        if primary is None or primary.doubted:
+        if primary is None or primary.is_role_unconfirmed:
             return
         target = attempt.group.endpoints.get(attempt.target)
         if attempt.target in attempt.paused and target is not None:
--- a/mallowpass/core/proxy/overdue.py
+++ b/mallowpass/core/proxy/overdue.py
@@ -5,7 +5,7 @@
 from mallowpass.core.proxy.answers import Answers
 from mallowpass.core.proxy.attempts import Attempts
 from mallowpass.core.proxy.connections import Connections
-from mallowpass.core.proxy.signals import AttemptLeft, AttemptOverdue, WriteStalled
+from mallowpass.core.proxy.signals import AttemptAbandoned, AttemptOverdue, WriteStalled
 from mallowpass.core.proxy.stalls import Stalls
 from mallowpass.core.proxy.statements import Access, Answer, Code, SessionState
 from mallowpass.core.proxy.tables import ConnectionRow, ProxySystem, RequestRow
@@ -51,7 +51,7 @@
             return  # all statements take long there: another one would not help
         self._leave(request, connection)
         request.tries += 1
-        request.avoided.add(endpoint.name)
+        request.avoided_endpoints.add(endpoint.name)
         request.detail = f"{endpoint.name}: no answer in time"
         self._node.log(
             "info",
@@ -60,7 +60,7 @@
             endpoint=endpoint.name,
             waited=round(self.now - request.sent_at, 3),
         )
-        self._node.publish(AttemptLeft(request))
+        self._node.publish(AttemptAbandoned(request))
 
     def _leave(self, request: RequestRow, connection: ConnectionRow) -> None:
         """Let go of a read that was sent, and that nobody waits for any more.
--- a/mallowpass/core/proxy/policy/admission.py
+++ b/mallowpass/core/proxy/policy/admission.py
@@ -21,7 +21,7 @@
 
 def held_until(request: RequestRow) -> float:
     """Return until when a statement waits for a full endpoint."""
-    return request.arrived + HOLD_SHARE * request.route.objective
+    return request.arrived_at + HOLD_SHARE * request.route.objective
 
 
 def is_turned_away(request: RequestRow, line: Sequence[RequestRow], now: float) -> bool:
--- a/mallowpass/core/proxy/policy/line.py
+++ b/mallowpass/core/proxy/policy/line.py
@@ -20,7 +20,7 @@
 
 def urgency(request: RequestRow) -> tuple[int, float]:
     """Return what a line is sorted by: the lower, the sooner."""
-    return (request.route.priority, request.arrived)
+    return (request.route.priority, request.arrived_at)
 
 
 @record
--- a/mallowpass/core/proxy/promotion.py
+++ b/mallowpass/core/proxy/promotion.py
@@ -34,7 +34,7 @@
     EndpointChanged,
     EndpointRestarted,
     PrimaryChanged,
-    PrimaryReplicates,
+    ReplicationConfirmed,
     WriteAcknowledged,
 )
 from mallowpass.core.proxy.standingorders import StandingOrders
@@ -254,7 +254,7 @@
 
     def _is_replaced(self, attempt: Replacement, status: EndpointStatus) -> bool:
         """Tell whether one that says that it leads has been replaced itself."""
-        if self.tables.lead_is_taken:
+        if self.tables.promotion_fences_primary:
             return False
         if not attempt.primary:
             return status.term < attempt.group.term
@@ -270,7 +270,7 @@
         """
         del attempt.received[endpoint.name]
         attempt.paused.discard(endpoint.name)
-        is_open = status.term == attempt.group.term_before
+        is_open = status.term == attempt.group.previous_term
         if is_open and attempt.rounds < ROUNDS_MAX // 2:
             return
         attempt.asked += 1
@@ -318,7 +318,7 @@
         if stalled and furthest >= attempt.shown:
             # What the primary had a moment ago has been received: it is not stalled.
             self._give_up(attempt, "its replicas receive")
-            self._node.publish(PrimaryReplicates(attempt.group))
+            self._node.publish(ReplicationConfirmed(attempt.group))
             return
         if not attempt.target:
             leading = [e for e in candidates if attempt.received[e.name] == furthest]
@@ -368,7 +368,7 @@
 
     def _lives(self, attempt: Replacement) -> bool:
         primary = attempt.group.endpoints.get(attempt.primary)
-        return primary is not None and primary.heard_at > self.now - ALIVE_TIME
+        return primary is not None and primary.last_reply_at > self.now - ALIVE_TIME
 
     def _end_survey(self, attempt: Replacement) -> None:
         """Go on with the replica that should lead, or give up where none needs to.
--- a/mallowpass/core/proxy/ratelimits/keepers.py
+++ b/mallowpass/core/proxy/ratelimits/keepers.py
@@ -380,7 +380,11 @@
         stage = Stage.FOLLOWING
         if before.is_left and self._stage(before) is not Stage.FOLLOWING:
             stage = Stage.STARTED
-        elif row is None and self.tables.first_start and not self._store.has_come_back:
+        elif (
+            row is None
+            and self.tables.first_start
+            and not self._store.has_been_restored
+        ):
             # Where the whole fleet starts, nobody can have kept the part before.
             stage = Stage.ALONE
         filled = stage is Stage.STARTED and before.stage is Stage.ALONE
--- a/mallowpass/core/proxy/relief.py
+++ b/mallowpass/core/proxy/relief.py
@@ -57,7 +57,7 @@
     def _consider(self, group: GroupRow) -> None:
         self._considered.discard(group.service)
         primary = group.primary_row
-        if primary is None or group.suspected:
+        if primary is None or group.is_suspected:
             return
         if not self._is_full(group, primary) or not self._has_led_long(group):
             return
@@ -66,14 +66,16 @@
         self._promotion.replace(group, primary.name, Reason.RELIEF, why)
 
     def _is_full(self, group: GroupRow, primary: EndpointRow) -> bool:
-        if group.turned_away_at > self.now - TURNED_AWAY_TIME:
+        if group.last_rejection_at > self.now - TURNED_AWAY_TIME:
             return True
         return self._load.queue_time(primary) >= QUEUE_TIME_MIN
 
     def _has_led_long(self, group: GroupRow) -> bool:
         # Where that was no help, it must not be done again and again.
         since = self.now - MEMORY
-        recent = sum(1 for led_at in group.led_at if led_at > since)
+        recent = sum(1 for led_at in group.primary_change_times if led_at > since)
         time = LED_TIME * 2.0**recent
         tried_at = self._tried_at.get(group.service, float("-inf"))
-        return self.now - max(tried_at, *group.led_at, float("-inf")) >= time
+        return (
+            self.now - max(tried_at, *group.primary_change_times, float("-inf")) >= time
+        )
--- a/mallowpass/core/proxy/requests.py
+++ b/mallowpass/core/proxy/requests.py
@@ -23,14 +23,14 @@
 from mallowpass.core.proxy.routing import Routing
 from mallowpass.core.proxy.sampling import Sampling
 from mallowpass.core.proxy.signals import (
-    AttemptLeft,
+    AttemptAbandoned,
     AttemptLost,
     AttemptRefused,
     ConnectionFreed,
     EndpointChanged,
-    FloorLearnt,
+    FloorReceived,
     PrimaryChanged,
-    PrimaryHeard,
+    PrimaryConfirmed,
     WriteAcknowledged,
 )
 from mallowpass.core.proxy.stalls import WRITES_STALL, Stalls
@@ -107,13 +107,13 @@
         self._stalls = node.system(Stalls)
         self._transactions = node.system(Transactions)
         node.subscribe(AttemptLost, self._on_lost)
-        node.subscribe(AttemptLeft, self._on_left)
+        node.subscribe(AttemptAbandoned, self._on_left)
         node.subscribe(AttemptRefused, self._on_attempt_refused)
         node.subscribe(ConnectionFreed, self._on_freed)
         node.subscribe(EndpointChanged, self._on_freed)
         node.subscribe(PrimaryChanged, self._on_group)
-        node.subscribe(PrimaryHeard, self._on_group)
-        node.subscribe(FloorLearnt, self._on_group)
+        node.subscribe(PrimaryConfirmed, self._on_group)
+        node.subscribe(FloorReceived, self._on_group)
 
     # -- Arrival -------------------------------------------------------------
 
@@ -138,8 +138,8 @@
             statement=statement,
             access=access,
             route=route,
-            arrived=self.now,
-            expires=expires,
+            arrived_at=self.now,
+            expires_at=expires,
             transaction=transaction,
             prepared=prepared,
         )
@@ -224,14 +224,14 @@
         choice = line.known(request.customer, floor)
         if choice is None:
             choice = self._routing.choose(request, group, floor)
-            if choice.connection is None and not request.avoided:
+            if choice.connection is None and not request.avoided_endpoints:
                 line.note(request.customer, floor, choice)
         request.detail = choice.why or request.detail
         if choice.connection is not None:
             group.waiting.remove(request)
             self._send(request, choice.connection, choice.floor)
         elif choice.full and is_turned_away(request, group.waiting, self.now):
-            group.turned_away_at = self.now
+            group.last_rejection_at = self.now
             self._answers.refuse(request, Code.BUSY, FULL)
 
     def _waits_for_floor(
@@ -248,7 +248,9 @@
     def _on_freed(self, signal: ConnectionFreed | EndpointChanged) -> None:
         self._dispatch(self.tables.group(signal.endpoint.entry.service))
 
-    def _on_group(self, signal: PrimaryChanged | PrimaryHeard | FloorLearnt) -> None:
+    def _on_group(
+        self, signal: PrimaryChanged | PrimaryConfirmed | FloorReceived
+    ) -> None:
         if signal.group.waiting:
             self._dispatch(signal.group)
 
@@ -289,7 +291,7 @@
             if floor is None:
                 # One that does not know of its successor accepts these as well. The
                 # answers come while the read runs.
-                self._floors.ask(connection.endpoint, request.route, request.arrived)
+                self._floors.ask(connection.endpoint, request.route, request.arrived_at)
 
         def on_replies(connection: ConnectionRow, replies: list[EndpointReply]) -> None:
             self._on_single_replies(request, connection, replies, setup)
@@ -306,7 +308,7 @@
         setup: int,
     ) -> None:
         if any(reply.code is not Code.DONE for reply in replies[:setup]):
-            connection.broken = True
+            connection.is_broken = True
         reply = replies[setup]
         guard = replies[setup + 1] if len(replies) > setup + 1 else None
         if request.connection is not connection:
@@ -316,7 +318,7 @@
         endpoint = connection.endpoint
         self._attempts.detach(request)
         if reply.code is Code.UNKNOWN_STATEMENT:
-            connection.broken = True
+            connection.is_broken = True
         self._connections.release(connection)
         if guard is not None and guard.code is not Code.DONE:
             self._refused(request, endpoint, guard)
@@ -342,7 +344,7 @@
             else:
                 self._refused(request, endpoint, UNPROVEN)
 
-        self._floors.prove(endpoint, request.route, request.arrived, on_proof)
+        self._floors.prove(endpoint, request.route, request.arrived_at, on_proof)
 
     def _on_done(
         self,
@@ -355,7 +357,7 @@
             self._floors.reached(endpoint)
         group = self.tables.group(request.route.service)
         if request.access is Access.WRITE:
-            self._durability.acknowledged(endpoint, request.shown)
+            self._durability.acknowledged(endpoint, request.position_before)
             self._node.publish(WriteAcknowledged(group))
             self._floors.committed(
                 request.session, endpoint, reply.position, request.sent_at
@@ -394,10 +396,10 @@
             self._members.denied(endpoint)
         elif reply.code is Code.BEHIND and request.floor is not None:
             self._floors.lacked(endpoint)
-            request.behind += 1
-            request.avoided.add(endpoint.name)
+            request.behind_count += 1
+            request.avoided_endpoints.add(endpoint.name)
         elif reply.code is not Code.UNREACHABLE:  # else by another holder, at once
-            request.avoided.add(endpoint.name)
+            request.avoided_endpoints.add(endpoint.name)
             request.retry_at = self.now + self._attempts.backoff(request)
         held = reply.code is Code.BUSY and self.now >= held_until(request)
         if held or request.tries >= TRIES_MAX:
@@ -413,7 +415,7 @@
         else:
             self._begin(request)  # it counts once more
 
-    def _on_left(self, signal: AttemptLeft) -> None:
+    def _on_left(self, signal: AttemptAbandoned) -> None:
         self._begin(signal.request)
 
     # -- What goes wrong -----------------------------------------------------
@@ -439,7 +441,7 @@
             return
         # A read, or a transaction that was not begun: nothing of it is kept.
         request.tries += 1
-        request.avoided.add(endpoint.name)
+        request.avoided_endpoints.add(endpoint.name)
         request.detail = f"{endpoint.name}: {why}"
         if request.tries >= TRIES_MAX:
             self._answers.refuse(request, Code.ABORTED, request.detail)
@@ -450,5 +452,5 @@
 def _writes(request: RequestRow) -> bool:
     """Tell whether a statement has something kept that its caller may have given up."""
     if isinstance(request.statement, Commit):
-        return request.transaction.wrote
+        return request.transaction.has_written
     return request.access is Access.WRITE
--- a/mallowpass/core/proxy/resumption.py
+++ b/mallowpass/core/proxy/resumption.py
@@ -155,9 +155,9 @@
 
     def _on_restarted(self, signal: EndpointRestarted) -> None:
         """Pause a replica again whose pause ended with its earlier start."""
-        task = self._task(signal.before.entry.service)
+        task = self._task(signal.previous.entry.service)
         if task is not None:
-            task.names.discard(signal.before.name)
+            task.names.discard(signal.previous.name)
             self._keep_paused(task, signal.endpoint)
 
     def _keep_paused(self, task: _Task, endpoint: EndpointRow) -> None:
@@ -166,7 +166,7 @@
             return
         if not self.tables.is_current(endpoint):
             return
-        if endpoint.name in task.leaders or endpoint.gone_at is not None:
+        if endpoint.name in task.leaders or endpoint.removed_at is not None:
             return
         if self._standing.may_receive(task.group, endpoint.name):
             return
@@ -207,7 +207,7 @@
         """Have primaries that were replaced step down before anybody receives."""
         replaced = task.leaders - task.demoted - {task.group.primary}
         replaced &= task.group.endpoints.keys()
-        if not replaced or self.tables.lead_is_taken:
+        if not replaced or self.tables.promotion_fences_primary:
             self._claim_round(task)
             return
         name = min(replaced)
--- a/mallowpass/core/proxy/rivals.py
+++ b/mallowpass/core/proxy/rivals.py
@@ -45,7 +45,7 @@
 
         The primary that is believed now leads a newer one than any seen before.
         """
-        return status.is_primary and status.term > group.term_before
+        return status.is_primary and status.term > group.previous_term
 
     def compare(
         self,
--- a/mallowpass/core/proxy/routing.py
+++ b/mallowpass/core/proxy/routing.py
@@ -95,9 +95,9 @@
     ) -> bool:
         if endpoint.name == group.primary:
             return True
-        if endpoint.is_leaving or endpoint.name in request.avoided:
+        if endpoint.is_leaving or endpoint.name in request.avoided_endpoints:
             return False
-        if endpoint.failures and not endpoint.connections:
+        if endpoint.connect_failures and not endpoint.connections:
             return False
         return self._floors.may_have(endpoint, floor)
 
@@ -109,7 +109,7 @@
         return cost(
             endpoint,
             leads=endpoint.name == group.primary,
-            avoided=endpoint.name in request.avoided,
+            avoided=endpoint.name in request.avoided_endpoints,
             is_near=identity.region_of(domain) == identity.region,
         )
 
--- a/mallowpass/core/proxy/sessions.py
+++ b/mallowpass/core/proxy/sessions.py
@@ -105,7 +105,7 @@
 
     def _open(self, event: SessionOpened) -> None:
         session = SessionRow(
-            event.stream, event.database, event.credential, touched_at=self.now
+            event.stream, event.database, event.credential, last_active_at=self.now
         )
         refusal = self._customers.identify(session)
         if refusal is not None:
@@ -168,9 +168,9 @@
                 self._note_lost(session, why)
 
     def _close_if_idle(self, session: SessionRow) -> None:
-        quiet = self.now - session.touched_at
+        quiet = self.now - session.last_active_at
         busy = session.request is not None or bool(session.received)
-        idle = session.operated or quiet >= QUIET
+        idle = session.has_ended_operation or quiet >= QUIET
         if session.state is SessionState.IDLE and idle and not busy:
             self.tables.sessions.pop(session.stream, None)
             session.closed = True
@@ -185,7 +185,7 @@
         if len(session.received) >= PIPELINE_MAX:
             self._node.emit(CloseSession(event.stream))
             return
-        session.touched_at = self.now
+        session.last_active_at = self.now
         session.received.append((event.request_id, event.statement))
         if session.request is None:
             self._run_next(session)
@@ -194,8 +194,8 @@
         """Go on after a statement's answer has left."""
         session, state = signal.session, signal.state
         session.state = state
-        session.touched_at = self.now
-        session.operated = state is SessionState.IDLE
+        session.last_active_at = self.now
+        session.has_ended_operation = state is SessionState.IDLE
         if state is SessionState.IDLE:
             self._end(session)
         elif session.transaction is not None:
@@ -209,7 +209,7 @@
         try:
             while session.received and session.request is None and not session.closed:
                 request_id, statement = session.received.popleft()
-                session.operated = False
+                session.has_ended_operation = False
                 self._stop_watching_idle(session)
                 self._run(session, request_id, statement)
         finally:
@@ -230,7 +230,7 @@
     ) -> None:
         if statement is None:
             self._fail(session, Code.MALFORMED, "the statement can't be read")
-        elif session.transaction is not None and session.transaction.lost_why:
+        elif session.transaction is not None and session.transaction.lost_reason:
             self._run_after_loss(session, statement)
         elif session.state is SessionState.FAILED and not isinstance(
             statement, _ENDING
@@ -249,8 +249,8 @@
             self._execute(statement, session, request_id)
 
     def _run_after_loss(self, session: SessionRow, statement: Statement) -> None:
-        why = session.transaction.lost_why
-        session.transaction.lost_why = ""
+        why = session.transaction.lost_reason
+        session.transaction.lost_reason = ""
         if isinstance(statement, Rollback):
             self._reply(session, SessionState.IDLE)
         elif isinstance(statement, Commit):
@@ -388,7 +388,7 @@
         transaction = session.transaction
         if transaction is None:
             return
-        session.operated = True
+        session.has_ended_operation = True
         if transaction.idle_timer is not None:
             transaction.idle_timer.cancel()
         if transaction.connection is not None:
@@ -418,7 +418,7 @@
     def _note_lost(self, session: SessionRow, why: str) -> None:
         """Remember that a transaction ended between two statements of its caller."""
         if session.state is SessionState.IN_TRANSACTION:
-            session.transaction.lost_why = why
+            session.transaction.lost_reason = why
         self._node.log("info", "transaction_lost", database=session.database, why=why)
 
 
--- a/mallowpass/core/proxy/shares.py
+++ b/mallowpass/core/proxy/shares.py
@@ -48,7 +48,7 @@
 
     def may_open(self, endpoint: EndpointRow, beyond_share: bool) -> bool:
         """Tell whether this host may open one more connection on its usual way."""
-        if self.now < endpoint.refused_until:
+        if self.now < endpoint.connect_backoff_until:
             return False
         if self._holders.is_cut_off(endpoint) and self._direct(endpoint) >= DIRECT_MAX:
             return False
@@ -116,7 +116,7 @@
         service = endpoint.entry.service
         if not self._holders.holds(service):
             return None
-        turned_away = self.now < endpoint.refused_until
+        turned_away = self.now < endpoint.connect_backoff_until
         if not turned_away and not self._holders.all_hold(service):
             return None
         lent = [c.holder for c in endpoint.connections.values() if c.holder]
--- a/mallowpass/core/proxy/signals.py
+++ b/mallowpass/core/proxy/signals.py
@@ -16,7 +16,7 @@
 from mallowpass.core.records import record
 
 __all__ = [
-    "AttemptLeft",
+    "AttemptAbandoned",
     "AttemptLost",
     "AttemptOverdue",
     "AttemptRefused",
@@ -25,22 +25,22 @@
     "ConnectionFreed",
     "DrainBegan",
     "EndpointChanged",
-    "EndpointForgotten",
+    "EndpointExpired",
     "EndpointRestarted",
     "EndpointUnreachable",
     "EraChanged",
-    "FloorLearnt",
+    "FloorReceived",
     "KeepersChanged",
     "PrimaryChanged",
-    "PrimaryHeard",
-    "PrimaryReplicates",
+    "PrimaryConfirmed",
+    "ReplicationConfirmed",
     "PrimaryStalled",
     "PrimarySuspected",
     "ReplicaStuck",
     "ReplicasBehind",
     "StatementAnswered",
     "TransactionLost",
-    "WayRefused",
+    "ForwardedConnectionRefused",
     "WriteAcknowledged",
     "WriteStalled",
 ]
@@ -61,7 +61,7 @@
 
 
 @record
-class EndpointForgotten(Signal):
+class EndpointExpired(Signal):
     """An endpoint was gone for so long that nothing is sent to it any more."""
 
     endpoint: EndpointRow
@@ -71,10 +71,10 @@
 class EndpointRestarted(Signal):
     """An endpoint started again under its name; `endpoint` is its new row.
 
-    Whatever was learnt of `before`, by whomever, is not true of it.
+    Whatever was learnt of `previous`, by whomever, is not true of it.
     """
 
-    before: EndpointRow
+    previous: EndpointRow
     endpoint: EndpointRow
 
 
@@ -101,30 +101,30 @@
 
 @record
 class EndpointUnreachable(Signal):
-    """An attempt to connect to an endpoint failed that was begun at `tried_at`."""
+    """An attempt to connect to an endpoint failed that was begun at `attempted_at`."""
 
     endpoint: EndpointRow
     why: str
-    tried_at: float
+    attempted_at: float
 
 
 @record
-class WayRefused(Signal):
+class ForwardedConnectionRefused(Signal):
     """No connection to an endpoint was opened by way of another host.
 
-    `is_answer` tells that the host itself said so, or that none runs there.
+    `is_definitive` tells that the host itself said so, or that none runs there.
     """
 
     endpoint: EndpointRow
     host: str
-    is_answer: bool
+    is_definitive: bool
 
 
 @record
 class EraChanged(Signal):
     """The store came back from a copy: what was written there since is gone."""
 
-    before: int
+    previous_era: int
     era: int
 
 
@@ -150,14 +150,14 @@
 
 
 @record
-class PrimaryReplicates(Signal):
+class ReplicationConfirmed(Signal):
     """What a primary had shown has been received: its writes are acknowledged."""
 
     group: GroupRow
 
 
 @record
-class FloorLearnt(Signal):
+class FloorReceived(Signal):
     """Another host told where a primary's log was, at or after `asked_at`."""
 
     group: GroupRow
@@ -178,7 +178,7 @@
 
 
 @record
-class PrimaryHeard(Signal):
+class PrimaryConfirmed(Signal):
     """A group's primary proved that it leads and commits."""
 
     group: GroupRow
@@ -212,7 +212,7 @@
 
 
 @record
-class AttemptLeft(Signal):
+class AttemptAbandoned(Signal):
     """A read that was overdue is to be tried elsewhere."""
 
     request: RequestRow
--- a/mallowpass/core/proxy/silence.py
+++ b/mallowpass/core/proxy/silence.py
@@ -40,7 +40,7 @@
         """
         endpoint = connection.endpoint
         answered = not connection.pending or connection.pending[0].sent_at > sent_at
-        if answered or connection.holder or endpoint.heard_at > sent_at:
+        if answered or connection.holder or endpoint.last_reply_at > sent_at:
             return
         if connection.number in self.tables.connections:
             self._connections.grow(endpoint, connection.customer, beyond_share=True)
--- a/mallowpass/core/proxy/stalls.py
+++ b/mallowpass/core/proxy/stalls.py
@@ -15,8 +15,8 @@
 from mallowpass.core.node import Node
 from mallowpass.core.proxy.signals import (
     PrimaryChanged,
-    PrimaryReplicates,
     PrimaryStalled,
+    ReplicationConfirmed,
     WriteAcknowledged,
     WriteStalled,
 )
@@ -64,7 +64,7 @@
     def start(self) -> None:
         """Subscribe to writes, answered or not."""
         self._node.subscribe(WriteStalled, self._on_stalled)
-        self._node.subscribe(PrimaryReplicates, self._on_acknowledged)
+        self._node.subscribe(ReplicationConfirmed, self._on_acknowledged)
         self._node.subscribe(WriteAcknowledged, self._on_acknowledged)
         self._node.subscribe(PrimaryChanged, self._on_primary)
 
@@ -130,7 +130,9 @@
         if stall.writes >= STALLS:
             self._node.publish(PrimaryStalled(endpoint))
 
-    def _on_acknowledged(self, signal: WriteAcknowledged | PrimaryReplicates) -> None:
+    def _on_acknowledged(
+        self, signal: WriteAcknowledged | ReplicationConfirmed
+    ) -> None:
         self._end(signal.group.service, "one was acknowledged")
 
     def _on_primary(self, signal: PrimaryChanged) -> None:
--- a/mallowpass/core/proxy/storage.py
+++ b/mallowpass/core/proxy/storage.py
@@ -22,12 +22,12 @@
     "StoreReply",
     "StoreStatus",
     "Table",
-    "UNKNOWN_START",
+    "UNKNOWN_START_TIME",
     "Unreadable",
     "WatchRows",
     "era_of",
-    "version_at_store",
-    "version_in",
+    "store_version",
+    "make_version",
 ]
 
 
@@ -48,7 +48,7 @@
 _ERA_SIZE = 1 << 40
 
 
-def version_in(era: int, version: int) -> int:
+def make_version(era: int, version: int) -> int:
     """Return a version of an era as it is compared here."""
     return era * _ERA_SIZE + version
 
@@ -58,12 +58,12 @@
     return version // _ERA_SIZE
 
 
-def version_at_store(version: int) -> int:
+def store_version(version: int) -> int:
     """Return a version as the store gave it out."""
     return version % _ERA_SIZE
 
 
-UNKNOWN_START = 0  # of an entry that does not tell when its endpoint started
+UNKNOWN_START_TIME = 0  # of an entry that does not tell when its endpoint started
 
 
 @record
@@ -82,7 +82,7 @@
     slots: int
     draining: bool
     is_primary: bool
-    started_at: int = UNKNOWN_START
+    started_at: int = UNKNOWN_START_TIME
     heartbeats: int = 0  # that it has written since its start
 
 
@@ -166,7 +166,7 @@
 class StoreReply:
     """Answer a call; `time` is the store's steady clock in seconds.
 
-    `whole` tells that the rows are all that a table has. The store's `era` grows each
+    `is_snapshot` tells that the rows are a whole table. The store's `era` grows each
     time that it comes back from a copy, and what was written since that is gone.
     """
 
@@ -175,5 +175,5 @@
     version: int = 0
     time: float = 0.0  # 0: another host answered
     message: str = ""
-    whole: bool = False
+    is_snapshot: bool = False
     era: int = 0
--- a/mallowpass/core/proxy/store.py
+++ b/mallowpass/core/proxy/store.py
@@ -143,7 +143,7 @@
         return self._era
 
     @property
-    def has_come_back(self) -> bool:
+    def has_been_restored(self) -> bool:
         """Tell whether the store came back from a copy while this host ran."""
         return self._era_since > float("-inf")
 
--- a/mallowpass/core/proxy/succession.py
+++ b/mallowpass/core/proxy/succession.py
@@ -45,7 +45,7 @@
         group = self.tables.group(endpoint.entry.service)
         if group.primary == endpoint.name and endpoint.is_leaving:
             pause = self._node.random.uniform(0.0, JITTER)
-            if endpoint.gone_at is not None:
+            if endpoint.removed_at is not None:
                 pause += GONE_TIME
             self.timers.after(pause, self._consider, endpoint)
 
@@ -56,19 +56,19 @@
         if not self.tables.is_current(endpoint):
             return
         why = "it is draining"
-        if endpoint.gone_at is not None:
+        if endpoint.removed_at is not None:
             why = "its entry is gone"
         self._promotion.replace(group, endpoint.name, Reason.LEAVING, why)
         self.timers.after(RETRY, self._consider, endpoint)
 
     def _on_restarted(self, signal: EndpointRestarted) -> None:
-        if signal.endpoint.doubted:
+        if signal.endpoint.is_role_unconfirmed:
             pause = RESTART_TIME + self._node.random.uniform(0.0, JITTER)
             self.timers.after(pause, self._consider_restarted, signal.endpoint)
 
     def _consider_restarted(self, endpoint: EndpointRow) -> None:
         group = self.tables.group(endpoint.entry.service)
-        if endpoint.doubted and not group.primary:
+        if endpoint.is_role_unconfirmed and not group.primary:
             why = "it started again, and may hold nothing"
             self._promotion.replace(group, endpoint.name, Reason.SILENT, why)
 
--- a/mallowpass/core/proxy/suspicion.py
+++ b/mallowpass/core/proxy/suspicion.py
@@ -21,10 +21,10 @@
     EndpointUnreachable,
     EraChanged,
     PrimaryChanged,
-    PrimaryHeard,
-    PrimaryReplicates,
+    PrimaryConfirmed,
     PrimaryStalled,
     PrimarySuspected,
+    ReplicationConfirmed,
     WriteAcknowledged,
 )
 from mallowpass.core.proxy.storage import (
@@ -117,8 +117,8 @@
         self._store = node.system(Store)
         node.subscribe(EndpointUnreachable, self._on_unreachable)
         node.subscribe(PrimaryStalled, self._on_stalled)
-        node.subscribe(PrimaryHeard, self._on_heard)
-        node.subscribe(PrimaryReplicates, self._on_acknowledged)
+        node.subscribe(PrimaryConfirmed, self._on_heard)
+        node.subscribe(ReplicationConfirmed, self._on_acknowledged)
         node.subscribe(WriteAcknowledged, self._on_acknowledged)
         node.subscribe(EndpointRestarted, self._on_restarted)
         node.subscribe(PrimaryChanged, self._on_changed)
@@ -135,19 +135,21 @@
         if self._leads(signal.endpoint):
             self._suspect(signal.endpoint, "writes get no answer", stalls=True)
 
-    def _on_heard(self, signal: PrimaryHeard) -> None:
+    def _on_heard(self, signal: PrimaryConfirmed) -> None:
         # One that can't commit may well answer reads.
         suspect = self._suspects.get(signal.group.service)
         if suspect is not None and not suspect.stalls:
             self._clear(signal.group.service, "it answers")
 
-    def _on_acknowledged(self, signal: WriteAcknowledged | PrimaryReplicates) -> None:
+    def _on_acknowledged(
+        self, signal: WriteAcknowledged | ReplicationConfirmed
+    ) -> None:
         self._clear(signal.group.service, "it acknowledges writes")
 
     def _on_restarted(self, signal: EndpointRestarted) -> None:
-        service = signal.before.entry.service
+        service = signal.previous.entry.service
         suspect = self._suspects.get(service)
-        if suspect is not None and suspect.primary == signal.before.name:
+        if suspect is not None and suspect.primary == signal.previous.name:
             self._clear(service, "it started again")
 
     def _on_changed(self, signal: PrimaryChanged) -> None:
@@ -168,7 +170,7 @@
         return group.primary == endpoint.name
 
     def _is_silent(self, endpoint: EndpointRow) -> bool:
-        return endpoint.heard_at < self.now - QUIET or not endpoint.connections
+        return endpoint.last_reply_at < self.now - QUIET or not endpoint.connections
 
     # -- Reports -------------------------------------------------------------
 
@@ -186,17 +188,17 @@
             service=service,
             primary=endpoint.name,
             why=why,
-            heard_ago=round(self.now - endpoint.heard_at, 3),
+            heard_ago=round(self.now - endpoint.last_reply_at, 3),
         )
         group = self.tables.group(service)
-        group.suspected = True
+        group.is_suspected = True
         self._node.publish(PrimarySuspected(group))
         self._look(service, suspect)
 
     def _clear(self, service: str, why: str) -> None:
         suspect = self._suspects.pop(service, None)
         if suspect is not None:
-            self.tables.group(service).suspected = False
+            self.tables.group(service).is_suspected = False
             self._node.log(
                 "info",
                 "primary_cleared",
--- a/mallowpass/core/proxy/tables.py
+++ b/mallowpass/core/proxy/tables.py
@@ -85,16 +85,16 @@
     values: dict[str, str] = field(default_factory=dict)
     prepared: set[str] = field(default_factory=set)
     pending: deque[Batch] = field(default_factory=deque)
-    last_used: float = 0.0
-    broken: bool = False  # to be closed once its calls are answered
+    last_used_at: float = 0.0
+    is_broken: bool = False  # to be closed once its calls are answered
     on_lost: Callable[[ConnectionRow, str], None] | None = None  # of its user
     holder: str = ""  # the host by way of which it goes; empty: none
-    reserved: bool = False  # serves one question of this host, then it is closed
+    is_single_use: bool = False  # serves one question of this host, then it is closed
     # In whose name it was opened. None: in this host's own. By way of a holder it
     # serves all customers.
     customer: str | None = None
 
-    def serves(self, customer: str | None) -> bool:
+    def can_serve(self, customer: str | None) -> bool:
         """Tell whether statements of a customer may run on it; None: this host's."""
         return customer is None or bool(self.holder) or self.customer == customer
 
@@ -107,26 +107,30 @@
     version: int  # of its entry in the store
     connections: dict[int, ConnectionRow] = field(default_factory=dict)
     # Owned by connections.
-    refused_until: float = float("-inf")  # no new connection is tried before
-    failures: int = 0  # attempts to connect that failed in a row
+    connect_backoff_until: float = float("-inf")  # no new connection is tried before
+    connect_failures: int = 0  # attempts to connect that failed in a row
     # Owned by requests and floors.
     position: LogPosition | None = None  # that its log had applied when last heard
-    heard_at: float = float("-inf")
-    behind_until: float = float("-inf")  # no higher floor is asked of it before
-    behind_pause: float = 0.0  # that was kept after its last refusal; 0: it had none
+    last_reply_at: float = float("-inf")
+    behind_backoff_until: float = float("-inf")  # no higher floor is asked of it before
+    behind_backoff: float = 0.0  # that was kept after its last refusal; 0: it had none
     behind_since: float | None = None  # first refusal since it last had a floor
-    stuck_told: int = 0  # times that it was said to be stuck since then
+    stuck_reports: int = 0  # times that it was said to be stuck since then
     latency: float = 0.0  # moving average of statements, seconds; owned by load
     least_latency: float = 0.0  # of a statement that did not wait; owned by load
     in_flight: int = 0  # statements of this host
     overdue: int = 0  # statements that it has not answered in time
     # Owned by members.
-    gone_at: float | None = None  # when its entry vanished
-    doubted: bool = False  # it led before it started again: its entry proves nothing
-    retired: bool = False  # it is leaving for so long that nothing may reach it
-    lead_version: int = 0  # of the first entry that named it primary without a break
+    removed_at: float | None = None  # when its entry vanished
+    is_role_unconfirmed: bool = (
+        False  # it led before it started again: its entry proves nothing
+    )
+    is_retired: bool = False  # it is leaving for so long that nothing may reach it
+    primary_since_version: int = (
+        0  # of the first entry that named it primary without a break
+    )
     # Newest version of an entry that names it primary though it said that it is not.
-    denied_version: int = -1
+    primary_denied_version: int = -1
 
     @property
     def name(self) -> str:
@@ -136,7 +140,7 @@
     @property
     def is_leaving(self) -> bool:
         """Tell whether it should get no new work."""
-        return self.entry.draining or self.gone_at is not None
+        return self.entry.draining or self.removed_at is not None
 
 
 @record
@@ -161,23 +165,23 @@
     term: int = 0  # newest that was seen in a position
     # Who was believed to lead last, and the newest term that was seen before it was.
     # Owned by members.
-    led_by: str = ""
-    term_before: int = 0
+    last_primary: str = ""
+    previous_term: int = 0
     must_hold: LogPosition = ZERO_POSITION  # is acknowledged; owned by durability
     samples: deque[FloorSample] = field(default_factory=deque)  # oldest first
     # Floors that were looked up, by accepted age, and when; owned by floors.
-    floors_at: dict[float, tuple[float, LogPosition | None]] = field(
+    floor_cache: dict[float, tuple[float, LogPosition | None]] = field(
         default_factory=dict
     )
     # Newest time at which its primary is known to have led alone; owned by leadership.
-    sole_at: float = float("-inf")
+    sole_primary_at: float = float("-inf")
     waiting: list[RequestRow] = field(default_factory=list)
     # When this host learnt that another one leads, the newest last; owned by members.
-    led_at: deque[float] = field(default_factory=lambda: deque(maxlen=8))
+    primary_change_times: deque[float] = field(default_factory=lambda: deque(maxlen=8))
     no_primary_since: float | None = None
-    suspected: bool = False  # this host suspects its primary; owned by suspicion
+    is_suspected: bool = False  # this host suspects its primary; owned by suspicion
     # When a statement was last refused for want of room; owned by requests and links.
-    turned_away_at: float = float("-inf")
+    last_rejection_at: float = float("-inf")
 
     @property
     def primary_row(self) -> EndpointRow | None:
@@ -213,10 +217,12 @@
     route: Route
     began_at: float
     connection: ConnectionRow | None = None
-    wrote: bool = False
-    proven: bool = False  # its reads miss nothing that was acknowledged before it
+    has_written: bool = False
+    has_proven_floor: bool = (
+        False  # its reads miss nothing that was acknowledged before it
+    )
     idle_timer: Timer | None = None
-    lost_why: str = ""  # why it ended without its caller knowing
+    lost_reason: str = ""  # why it ended without its caller knowing
 
 
 @dataclass(slots=True, eq=False)
@@ -237,8 +243,8 @@
     received: deque[tuple[str, Statement | None]] = field(default_factory=deque)
     request: RequestRow | None = None  # the statement that is being run
     closed: bool = False
-    touched_at: float = 0.0  # when its caller last sent something, or was answered
-    operated: bool = False  # its last statement ended an operation
+    last_active_at: float = 0.0  # when its caller last sent something, or was answered
+    has_ended_operation: bool = False  # its last statement ended an operation
     is_running_next: bool = False  # a statement that it received is being begun
 
 
@@ -251,19 +257,21 @@
     statement: Statement
     access: Access
     route: Route
-    arrived: float
-    expires: float
+    arrived_at: float
+    expires_at: float
     transaction: TransactionRow | None = None
     prepared: PreparedStatement | None = None
     endpoint: EndpointRow | None = None  # where it was sent
     connection: ConnectionRow | None = None
     sent_at: float = 0.0
-    shown: LogPosition | None = None  # by its endpoint's log before it was sent
+    position_before: LogPosition | None = (
+        None  # by its endpoint's log before it was sent
+    )
     tries: int = 0
-    avoided: set[str] = field(default_factory=set)
+    avoided_endpoints: set[str] = field(default_factory=set)
     retry_at: float = 0.0  # not sent before
     floor: LogPosition | None = None  # that was demanded last; None: the primary's
-    behind: int = 0  # times that a member had not reached the floor
+    behind_count: int = 0  # times that a member had not reached the floor
     # Until when it may begin by its customer's limit; None: it has begun, or has not
     # been allowed to yet.
     granted_until: float | None = None
@@ -323,16 +331,16 @@
 
     number: int
     endpoint: EndpointRow
-    of_holder: bool  # the host that asks holds connections to the endpoint itself
+    is_from_holder: bool  # the host that asks holds connections to the endpoint itself
     values: dict[str, str] = field(default_factory=dict)
     prepared: dict[str, PreparedStatement] = field(default_factory=dict)  # by name
     waiting: deque[EndpointCall] = field(default_factory=deque)
     connection: ConnectionRow | None = None
     in_flight: int = 0  # calls that the endpoint has not answered
-    waits_since: float = 0.0
+    waiting_since: float = 0.0
     on_behalf_of: OnBehalfOf | None = None  # of its calls; None: this fleet's own
     priority: int = 0  # of what waits; 0 is served first
-    called_at: float = 0.0  # when calls last came
+    last_call_at: float = 0.0  # when calls last came
     closed: bool = False
 
     @property
@@ -349,7 +357,9 @@
     """Hold every table of a host."""
 
     first_start: bool = False  # the whole fleet starts for the first time
-    lead_is_taken: bool = False  # from a primary, at the moment its successor leads
+    promotion_fences_primary: bool = (
+        False  # from a primary, at the moment its successor leads
+    )
     # Seconds after a disruption until which hosts may go by what held before.
     settle_time: float = 6.0
     # Seconds within which a change of the configuration must be in force at all hosts.
--- a/mallowpass/core/proxy/transactions.py
+++ b/mallowpass/core/proxy/transactions.py
@@ -76,7 +76,7 @@
         """
         self._attempts.attach(request, connection)
         connection.state = ConnectionState.PINNED
-        request.transaction.proven = floor is not None
+        request.transaction.has_proven_floor = floor is not None
         # A primary accepts a transaction that may write only while it leads. That is
         # how a read learns that the primary was not replaced.
         read_only = floor is not None
@@ -111,7 +111,7 @@
     def send(self, request: RequestRow) -> None:
         """Send a statement on its transaction's connection."""
         connection = request.transaction.connection
-        if request.access is Access.READ and not request.transaction.proven:
+        if request.access is Access.READ and not request.transaction.has_proven_floor:
             began_at = request.transaction.began_at
             self._floors.ask(connection.endpoint, request.route, began_at)
         self._attempts.attach(request, connection)
@@ -149,7 +149,7 @@
             self._connections.roll_back(connection)
             return
         if any(reply.code is not Code.DONE for reply in replies[:setup]):
-            connection.broken = True
+            connection.is_broken = True
         reply = replies[setup]
         endpoint = connection.endpoint
         self._attempts.detach(request)
@@ -159,8 +159,8 @@
             return
         if reply.code is Code.DONE:
             self._load.measured(endpoint, self.now - request.sent_at)
-            transaction.wrote |= request.access is Access.WRITE
-            if request.access is Access.READ and not transaction.proven:
+            transaction.has_written |= request.access is Access.WRITE
+            if request.access is Access.READ and not transaction.has_proven_floor:
                 self._prove(request, connection, reply)
             else:
                 self._on_done(request, connection, reply)
@@ -197,7 +197,7 @@
             if request.finished or request.transaction.connection is not connection:
                 return
             if sole:
-                request.transaction.proven = True
+                request.transaction.has_proven_floor = True
                 self._on_done(request, connection, reply)
             else:
                 self._fail(request, connection, UNPROVEN)
@@ -230,9 +230,9 @@
         else:
             self._connections.roll_back(connection)
         if reply.code is Code.DONE:
-            if transaction.wrote:
+            if transaction.has_written:
                 group = self.tables.group(request.route.service)
-                self._durability.acknowledged(endpoint, request.shown)
+                self._durability.acknowledged(endpoint, request.position_before)
                 self._node.publish(WriteAcknowledged(group))
                 self._floors.committed(
                     request.session, endpoint, reply.position, request.sent_at
@@ -255,7 +255,7 @@
     def lost(self, request: RequestRow, why: str) -> None:
         """Answer a statement whose transaction lost its connection."""
         is_commit = isinstance(request.statement, Commit)
-        if is_commit and request.transaction.wrote:
+        if is_commit and request.transaction.has_written:
             self._answers.in_doubt(request, why)
             return
         # An endpoint rolls back what a lost connection left open, and no commit
--- a/mallowpass/core/proxy/watches.py
+++ b/mallowpass/core/proxy/watches.py
@@ -164,14 +164,14 @@
             self._retry(self._list)
             return
         self._listed_at = self._store.now
-        self._take(replace(reply, whole=True), by_relay=False)
+        self._take(replace(reply, is_snapshot=True), by_relay=False)
         self._follow()
 
     def _take(self, reply: StoreReply, by_relay: bool) -> None:
         self._version = max(self._version, reply.version)
         self._store.heard(self._table)
         self._feeds.learnt(self._table, reply, by_relay)
-        self._handler(reply.rows, reply.whole)
+        self._handler(reply.rows, reply.is_snapshot)
         if self._table is Table.HOSTS:
             self._store.hosts_known()
 
--- a/mallowpass/core/systems/changes.py
+++ b/mallowpass/core/systems/changes.py
@@ -27,7 +27,7 @@
 from mallowpass.core.systems.platform import PlatformClient
 from mallowpass.errors import ErrorCode, MallowpassError
 
-__all__ = ["SERVICES_TABLE", "Change", "content_of", "version_in"]
+__all__ = ["SERVICES_TABLE", "Change", "content_of", "make_version"]
 
 SERVICES_TABLE = "services"
 HISTORY_LENGTH = 8
@@ -43,7 +43,7 @@
     return xxhash.xxh64_digest(encode_service(asked))
 
 
-def version_in(row: TableRow) -> ServiceVersion:
+def make_version(row: TableRow) -> ServiceVersion:
     """Return the service in a row; raises BadRequestError for what is not one."""
     version = decode_service(row.value)
     if (version.name, version.version) != (row.key, row.version):
@@ -171,7 +171,7 @@
 
     def _judge(self, row: TableRow | None) -> None:
         try:
-            current = version_in(row) if row is not None else None
+            current = make_version(row) if row is not None else None
         except MallowpassError as error:
             self._finish(error.error_code, str(error))
             return
--- a/mallowpass/core/systems/polling.py
+++ b/mallowpass/core/systems/polling.py
@@ -18,7 +18,7 @@
     TableRow,
 )
 from mallowpass.core.services import ServiceVersion
-from mallowpass.core.systems.changes import SERVICES_TABLE, version_in
+from mallowpass.core.systems.changes import SERVICES_TABLE, make_version
 from mallowpass.core.systems.membership import Membership
 from mallowpass.core.systems.platform import PlatformClient
 from mallowpass.errors import MallowpassError
@@ -110,7 +110,7 @@
 
     def _take_over(self, row: TableRow) -> None:
         try:
-            version = version_in(row)
+            version = make_version(row)
         except MallowpassError as error:
             # One row that can't be read must not keep the others from coming.
             self._node.log("error", "service_row_unreadable", key=row.key, why=error)
--- a/mallowpass/measure/policy/mechanisms.py
+++ b/mallowpass/measure/policy/mechanisms.py
@@ -66,11 +66,11 @@
 
 
 def _by_arrival(request: RequestRow) -> tuple[int, float]:
-    return (0, request.arrived)
+    return (0, request.arrived_at)
 
 
 def _until_timeout(request: RequestRow) -> float:
-    return request.expires
+    return request.expires_at
 
 
 def _direct_plan(service: str, limit: int, fleet: Fleet, statements: int) -> Plan:
--- a/mallowpass/platform/documents.py
+++ b/mallowpass/platform/documents.py
@@ -24,7 +24,7 @@
 )
 from mallowpass.core.proxy.credentials import credential_of
 from mallowpass.core.proxy.customers import ANONYMOUS
-from mallowpass.core.proxy.storage import UNKNOWN_START, EndpointEntry
+from mallowpass.core.proxy.storage import UNKNOWN_START_TIME, EndpointEntry
 from mallowpass.platform.settings import Address, SettingsError
 
 __all__ = ["CONSISTENCY", "DocumentError", "decode_configuration", "decode_entry"]
@@ -58,16 +58,16 @@
     if not isinstance(limits, dict):
         raise _wrong("limits", limits)
     # Where the document knows of no customers, callers show no keys.
-    identifies = "tenants" in document
-    customers = _customers(document) if identifies else []
+    authenticates_callers = "tenants" in document
+    customers = _customers(document) if authenticates_callers else []
     return Configuration(
         version=int(_number(document, "version")),
         routes={route.database: route for route in routes},
         services={service.name: service for service in services},
         transaction_idle=_seconds(limits, "txIdleMs", _TRANSACTION_IDLE),
-        identifies=identifies,
+        authenticates_callers=authenticates_callers,
         customers={customer.name: customer for customer in customers},
-        owners=_owners(customers),
+        credential_owners=_owners(customers),
     )
 
 
@@ -150,7 +150,7 @@
         draining=_word(document, "state", _IS_DRAINING),
         is_primary=_word(document, "dbRole", _IS_PRIMARY),
         # Endpoints that have not started again say nothing of it.
-        started_at=_whole(document, "born", UNKNOWN_START),
+        started_at=_whole(document, "born", UNKNOWN_START_TIME),
         heartbeats=_whole(document, "seq"),
     )
 
--- a/mallowpass/platform/runtime.py
+++ b/mallowpass/platform/runtime.py
@@ -109,7 +109,7 @@
         # that does not has it go on until it hears of its successor.
         tables = ProxyTables(
             settings.first_start,
-            lead_is_taken=settings.fences,
+            promotion_fences_primary=settings.fences,
             settle_time=settings.settle_time,
             # Without a port for it nobody can follow the store by way of another.
             apply_time=0.0 if settings.feeds is None else settings.apply_time,
--- a/mallowpass/platform/store.py
+++ b/mallowpass/platform/store.py
@@ -21,8 +21,8 @@
     Unreadable,
     WatchRows,
     era_of,
-    version_at_store,
-    version_in,
+    make_version,
+    store_version,
 )
 from mallowpass.platform.documents import (
     DocumentError,
@@ -123,7 +123,7 @@
             era = _era(response)
             rows += decode_rows(body, era)
             if not body.get("hasMore") or not rows:
-                version = version_in(era, body["ver"])
+                version = make_version(era, body["ver"])
                 time = _time(body)
                 done = StoreStatus.DONE
                 return StoreReply(done, tuple(rows), version, time, era=era)
@@ -137,7 +137,7 @@
     async def _(self, call: WatchRows, timeout: float) -> StoreReply:
         query = {
             "table": TABLE_NAMES[call.table],
-            "after": call.after if self._of_host else version_at_store(call.after),
+            "after": call.after if self._of_host else store_version(call.after),
             "waitMs": int(call.wait * 1000),
         }
         headers = _ACCEPTS if self._of_host else ()
@@ -149,7 +149,7 @@
     async def _(self, call: ChangeRows, timeout: float) -> StoreReply:
         body = {
             "expected": [
-                _key(key) | {"ver": version_at_store(version)}
+                _key(key) | {"ver": store_version(version)}
                 for key, version in call.expected
             ],
             "puts": [_key(key) | {"value": _encode(text)} for key, text in call.puts],
@@ -176,7 +176,7 @@
     return StoreReply(
         _STATUSES[response.status],
         tuple(decode_rows(body, era)),
-        version_in(era, body.get("ver", 0)),
+        make_version(era, body.get("ver", 0)),
         _time(body),
         era=era,
     )
@@ -192,7 +192,7 @@
     whole = body.get(_WHOLE) is True
     era = era_of(version)
     status = _STATUSES[response.status]
-    return StoreReply(status, rows, version, whole=whole, era=era)
+    return StoreReply(status, rows, version, is_snapshot=whole, era=era)
 
 
 def _era(response: Response) -> int:
@@ -228,10 +228,10 @@
             continue
         key = RowKey(table, part, item["key"])
         if item.get("removed") or "value" not in item:
-            rows.append(Row(key, version_in(era, item.get("ver", 0))))
+            rows.append(Row(key, make_version(era, item.get("ver", 0))))
         else:
             encoded = item["value"] if isinstance(item["value"], str) else ""
-            version = version_in(era, item["ver"])
+            version = make_version(era, item["ver"])
             rows.append(Row(key, version, _value(key, item["value"]), encoded))
     return rows
 
@@ -261,7 +261,7 @@
     if reply.status is not StoreStatus.DONE:
         return Response(_UNAVAILABLE)
     rows = [_item(row) for row in reply.rows]
-    body = {"rows": rows, "ver": reply.version, _WHOLE: reply.whole}
+    body = {"rows": rows, "ver": reply.version, _WHOLE: reply.is_snapshot}
     data = json.dumps(body, separators=(",", ":")).encode()
     if compressed and len(data) >= COMPRESSED_MIN:
         return Response(200, zlib.compress(data, COMPRESSION_LEVEL), CODING)
--- a/mallowpass/standins/proxied/httpserver.py
+++ b/mallowpass/standins/proxied/httpserver.py
@@ -20,7 +20,7 @@
     StoreReply,
     StoreStatus,
     WatchRows,
-    version_at_store,
+    store_version,
 )
 from mallowpass.platform.documents import CONSISTENCY
 from mallowpass.platform.http import HttpServer, Request, Response
@@ -91,7 +91,7 @@
         reply = await answer
         body = {
             "rows": [_row(row) for row in reply.rows],
-            "ver": version_at_store(reply.version),
+            "ver": store_version(reply.version),
             "nowMs": int(1000 * reply.time),
             "hasMore": False,
         }
@@ -140,7 +140,7 @@
         "table": TABLE_NAMES[row.key.table],
         "part": row.key.part,
         "key": row.key.key,
-        "ver": version_at_store(row.version),
+        "ver": store_version(row.version),
     }
     if row.value is None:
         return fields | {"removed": True}
--- a/mallowpass/standins/proxied/rows.py
+++ b/mallowpass/standins/proxied/rows.py
@@ -20,8 +20,8 @@
     Table,
     Unreadable,
     WatchRows,
-    version_at_store,
-    version_in,
+    make_version,
+    store_version,
 )
 from mallowpass.core.timers import TimerService
 
@@ -104,7 +104,7 @@
         self._version += 1
         self._write(key, value)
         self._notify()
-        return version_in(self._era, self._version)
+        return make_version(self._era, self._version)
 
     def delete(self, key: RowKey) -> None:
         """Delete a row as an operator or endpoint does."""
@@ -200,7 +200,7 @@
 
     @_carry_out.register
     def _(self, call: WatchRows, caller: str, answer: Answer) -> None:
-        after = version_at_store(call.after)
+        after = store_version(call.after)
         if after > self._version:
             answer(self._reply(StoreStatus.HISTORY_GONE))
             return
@@ -235,7 +235,7 @@
     def _is(self, key: RowKey, version: int) -> bool:
         # The store knows no eras in versions.
         known = self._rows.get(key, Row(key)).version
-        return known == version_at_store(version)
+        return known == store_version(version)
 
     def _write(self, key: RowKey, value: Value | None) -> None:
         row = Row(key, self._version, value)
@@ -277,10 +277,10 @@
 
     def _told(self, row: Row) -> Row:
         """Return a row as it is told, with a version of this era."""
-        version = version_in(self._era, row.version) if row.version else 0
+        version = make_version(self._era, row.version) if row.version else 0
         return replace(row, version=version)
 
     def _reply(self, status: StoreStatus, rows: list[Row] | None = None) -> StoreReply:
         told = tuple(map(self._told, rows or ()))
-        version = version_in(self._era, self._version)
+        version = make_version(self._era, self._version)
         return StoreReply(status, told, version, self._timers.now, era=self._era)
--- a/mallowpass/standins/proxied/virtual/customers.py
+++ b/mallowpass/standins/proxied/virtual/customers.py
@@ -72,7 +72,7 @@
     def ran(self, request_id: str, customer: str | None, now: float) -> None:
         """Judge that an endpoint runs a statement on a connection of a customer."""
         sent = self._sent.get(request_id)
-        if sent is None or not any(c.identifies for _, c in self._versions):
+        if sent is None or not any(c.authenticates_callers for _, c in self._versions):
             return
         names = self._names(sent)
         if not names:
--- a/mallowpass/standins/proxied/virtual/hosts.py
+++ b/mallowpass/standins/proxied/virtual/hosts.py
@@ -134,10 +134,10 @@
         address = f"{name}:7440"
         identity = HostIdentity(name, domain, 0, address, seed, world.domains)
         now = world.timers.now
-        lead_is_taken = world.fences and not world.group.goes_on
+        promotion_fences_primary = world.fences and not world.group.goes_on
         tables = ProxyTables(
             world.first_start,
-            lead_is_taken=lead_is_taken,
+            promotion_fences_primary=promotion_fences_primary,
             apply_time=world.apply_time,
             key_lapse=world.key_lapse,
         )
--- a/mallowpass/standins/proxied/virtual/world.py
+++ b/mallowpass/standins/proxied/virtual/world.py
@@ -106,9 +106,9 @@
     """Return a configuration by which callers show keys."""
     return configuration(
         version,
-        identifies=True,
+        authenticates_callers=True,
         customers={customer.name: customer for customer in customers},
-        owners=index_credentials(customers),
+        credential_owners=index_credentials(customers),
         **changes,
     )
 
--- a/tests/core/proxy/policy/test_admission.py
+++ b/tests/core/proxy/policy/test_admission.py
@@ -36,11 +36,11 @@
             line.append(request(now))
         if tick % 10 == 0 and line:
             first = line.pop(0)
-            served.append(now - first.arrived)
+            served.append(now - first.arrived_at)
         for one in list(line):
             if is_turned_away(one, line, now):
                 line.remove(one)
-                waited.append(now - one.arrived)
+                waited.append(now - one.arrived_at)
     assert len(served) >= 199
     assert max(served) <= OBJECTIVE / 2
     assert max(waited) <= OBJECTIVE / 2
--- a/tests/core/proxy/test_customers.py
+++ b/tests/core/proxy/test_customers.py
@@ -173,7 +173,7 @@
     host = world.hosts[holder]
     primary = host.tables.endpoints[world.primary.name]
     before = set(primary.connections)
-    primary.refused_until = world.timers.now + 10.0
+    primary.connect_backoff_until = world.timers.now + 10.0
     for index in range(10, 20):
         world.caller(holder, "strict", f"key-{index}").send(Read("a"))
     world.run(0.1)
@@ -228,7 +228,7 @@
     for connection in list(holder.connections):
         holder.lose(connection, "reset")
     for row in holder.tables.endpoints.values():
-        row.refused_until = world.timers.now + 10.0
+        row.connect_backoff_until = world.timers.now + 10.0
     caller = world.caller(entry, "strict", "key-c")
     for _ in range(3):
         caller.run(Write("b 1"))
--- a/tests/core/proxy/test_links.py
+++ b/tests/core/proxy/test_links.py
@@ -386,11 +386,11 @@
     holder = next(host for host in world.hosts if _holds(host))
     group = holder.tables.groups[SERVICE]
     group.samples.clear()
-    group.sole_at = -math.inf
+    group.sole_primary_at = -math.inf
     holder.node.system(Floors).sample(group, LogPosition(1, 7), world.timers.now)
     links = holder.node.system(Links)
     assert links._floor_hint(SERVICE, world.timers.now) is None
-    group.sole_at = world.timers.now
+    group.sole_primary_at = world.timers.now
     world.run(0.1)
     holder.node.system(Floors).sample(group, LogPosition(1, 7), world.timers.now)
     hint = links._floor_hint(SERVICE, world.timers.now)
--- a/tests/core/proxy/test_members.py
+++ b/tests/core/proxy/test_members.py
@@ -22,7 +22,7 @@
     Write,
 )
 from mallowpass.core.proxy.storage import (
-    UNKNOWN_START,
+    UNKNOWN_START_TIME,
 )
 from mallowpass.core.proxy.tables import ConnectionState, EndpointRow
 from mallowpass.standins.proxied.virtual.hosts import Host
@@ -61,13 +61,13 @@
     """
     before = _row(world)
     before.latency = before.least_latency = 0.4
-    before.behind_until = float("inf")
+    before.behind_backoff_until = float("inf")
     before.behind_since = world.timers.now
-    before.behind_pause = 0.8
-    before.stuck_told = 2
+    before.behind_backoff = 0.8
+    before.stuck_reports = 2
     before.overdue = 3
-    before.failures = 4
-    before.refused_until = float("inf")
+    before.connect_failures = 4
+    before.connect_backoff_until = float("inf")
     _enter_start(world)
     endpoint = _row(world)
     fresh = EndpointRow(endpoint.entry, endpoint.version)
@@ -75,16 +75,16 @@
     for name in (
         "latency",
         "least_latency",
-        "behind_until",
+        "behind_backoff_until",
         "behind_since",
-        "behind_pause",
-        "stuck_told",
+        "behind_backoff",
+        "stuck_reports",
         "overdue",
-        "failures",
-        "refused_until",
-        "gone_at",
-        "retired",
-        "denied_version",
+        "connect_failures",
+        "connect_backoff_until",
+        "removed_at",
+        "is_retired",
+        "primary_denied_version",
     ):
         assert getattr(endpoint, name) == getattr(fresh, name), name
     group = world.hosts[0].tables.groups[SERVICE]
@@ -97,7 +97,7 @@
     host.node.subscribe(EndpointRestarted, told.append)
     before = _row(world)
     _enter_start(world)
-    assert [(signal.before, signal.endpoint) for signal in told] == [
+    assert [(signal.previous, signal.endpoint) for signal in told] == [
         (before, _row(world))
     ]
     (logged,) = host.logged("endpoint_restarted")
@@ -249,7 +249,7 @@
 def test_entry_that_tells_no_start_is_of_the_one_known(world):
     endpoint = _row(world)
     entry = world.entry(REPLICA)
-    world.put_entry(replace(entry, started_at=UNKNOWN_START, slots=4))
+    world.put_entry(replace(entry, started_at=UNKNOWN_START_TIME, slots=4))
     assert _row(world) is endpoint
     assert endpoint.entry.slots == 4
     world.put_entry(entry)
@@ -258,7 +258,9 @@
 
 def test_unknown_starts_are_no_restart(world):
     for slots in (4, 5):
-        entry = replace(world.entry(REPLICA), name="db-old", started_at=UNKNOWN_START)
+        entry = replace(
+            world.entry(REPLICA), name="db-old", started_at=UNKNOWN_START_TIME
+        )
         world.put_entry(replace(entry, slots=slots))
     assert _row(world, "db-old").entry.slots == 5
     assert not world.hosts[0].logged("endpoint_restarted")
@@ -317,7 +319,7 @@
     endpoint = _row(world)
     world.run(LEAVING_MAX)
     assert _row(world) is endpoint
-    assert not endpoint.retired
+    assert not endpoint.is_retired
 
 
 def test_replica_that_started_again_serves_once_it_has_the_floor(world):
@@ -351,7 +353,7 @@
     before = _row(world)
     for connection in before.connections.values():
         connection.state = ConnectionState.PINNED  # none is free
-    before.refused_until = float("inf")
+    before.connect_backoff_until = float("inf")
     replies = []
     control = world.hosts[0].node.system(Control)
     control.ask(before, (Status(),), replies.append, QUESTION_TIME)
--- a/tests/core/proxy/test_relays.py
+++ b/tests/core/proxy/test_relays.py
@@ -294,25 +294,25 @@
 # -- What a relay answers ----------------------------------------------------
 
 
-def _reply(version: int, *names: str, whole: bool = False, gone: bool = False):
+def _reply(version: int, *names: str, is_snapshot: bool = False, gone: bool = False):
     rows = [
         Row(RowKey(Table.HOSTS, "", name), version, None if gone else "text")
         for name in names
     ]
-    return StoreReply(StoreStatus.DONE, tuple(rows), version, whole=whole)
+    return StoreReply(StoreStatus.DONE, tuple(rows), version, is_snapshot=is_snapshot)
 
 
 @pytest.fixture
 def feeds() -> Feeds:
     world = ProxyWorld()
     feeds = world.hosts[0].node.system(Feeds)
-    feeds.learnt(Table.HOSTS, _reply(10, "a", "b", whole=True), by_relay=False)
+    feeds.learnt(Table.HOSTS, _reply(10, "a", "b", is_snapshot=True), by_relay=False)
     return feeds
 
 
 def _told(feeds: Feeds, after: int) -> tuple[list[str], bool]:
     reply = feeds._changes(feeds._copies[Table.HOSTS], after)
-    return [row.key.key for row in reply.rows], reply.whole
+    return [row.key.key for row in reply.rows], reply.is_snapshot
 
 
 def test_changes_after_a_version_are_told(feeds):
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -86,7 +86,7 @@
 
 def test_customers_are_known_by_digests_of_their_keys():
     found = decode_configuration(_with_customers(CUSTOMER))
-    assert found.identifies
+    assert found.authenticates_callers
     customer = found.customer_of(credential_of("uddedev3"))
     assert (customer.name, customer.priority) == ("bode960", 1)
     assert (customer.rate, customer.burst) == (57, 20)
@@ -95,8 +95,10 @@
 
 
 def test_configuration_without_customers_asks_nobody_for_a_key():
-    assert not decode_configuration(json.dumps(CONFIGURATION).encode()).identifies
-    assert decode_configuration(_with_customers()).identifies
+    assert not decode_configuration(
+        json.dumps(CONFIGURATION).encode()
+    ).authenticates_callers
+    assert decode_configuration(_with_customers()).authenticates_callers
 
 
 def test_customer_without_limits_may_send_any_number():
--- a/tests/platform/test_relays.py
+++ b/tests/platform/test_relays.py
@@ -83,7 +83,7 @@
 
 
 def test_rows_arrive_as_they_were_told(free_port):
-    sent = StoreReply(StoreStatus.DONE, ROWS, 11, whole=True)
+    sent = StoreReply(StoreStatus.DONE, ROWS, 11, is_snapshot=True)
     asked, answer = asyncio.run(_play(sent, free_port))
     assert (asked.table, asked.after, asked.wait) == (Table.HOSTS, 7, 0.2)
     assert answer == sent
@@ -94,7 +94,7 @@
         Row(RowKey(Table.HOSTS, "", f"host-{i}"), i, "casa - 1", "Y2FzYSAtIDE=")
         for i in range(1, count)
     )
-    return StoreReply(StoreStatus.DONE, rows, count, whole=True)
+    return StoreReply(StoreStatus.DONE, rows, count, is_snapshot=True)
 
 
 def test_many_rows_arrive_compressed(free_port):
--- a/tests/platform/test_store_eras.py
+++ b/tests/platform/test_store_eras.py
@@ -19,8 +19,8 @@
     Table,
     WatchRows,
     era_of,
-    version_at_store,
-    version_in,
+    make_version,
+    store_version,
 )
 from mallowpass.core.timers import TimerService
 from mallowpass.platform.http import Response
@@ -33,9 +33,9 @@
 
 
 def test_version_of_a_later_era_is_above_all_earlier_ones():
-    assert version_in(2, 1) > version_in(1, 10**9)
-    assert version_in(0, 7) == 7
-    assert (era_of(version_in(3, 7)), version_at_store(version_in(3, 7))) == (3, 7)
+    assert make_version(2, 1) > make_version(1, 10**9)
+    assert make_version(0, 7) == 7
+    assert (era_of(make_version(3, 7)), store_version(make_version(3, 7))) == (3, 7)
 
 
 def _answer(headers: tuple[tuple[bytes, bytes], ...], status: int = 200) -> Response:
@@ -50,8 +50,8 @@
 def test_era_is_read_from_each_answer(value, era):
     reply = _reply(_answer(((b"store-era", value),)))
     assert reply.era == era
-    assert reply.version == version_in(era, 9)
-    assert reply.rows[0].version == version_in(era, 7)
+    assert reply.version == make_version(era, 9)
+    assert reply.rows[0].version == make_version(era, 7)
 
 
 def test_answer_of_a_store_without_eras_is_read_as_before():
@@ -64,12 +64,12 @@
 
 
 def test_hosts_tell_each_other_versions_with_their_eras():
-    version = version_in(3, 7)
+    version = make_version(3, 7)
     reply = StoreReply(
-        StoreStatus.DONE, (Row(KEY, version, "a", "YQ=="),), version_in(3, 9)
+        StoreStatus.DONE, (Row(KEY, version, "a", "YQ=="),), make_version(3, 9)
     )
     told = _reply_of_host(render_rows(reply))
-    assert (told.era, told.version) == (3, version_in(3, 9))
+    assert (told.era, told.version) == (3, make_version(3, 9))
     assert told.rows[0].version == version
 
 
