--- a/mallowpass/core/proxy/feeds.py
+++ b/mallowpass/core/proxy/feeds.py
@@ -1,12 +1,11 @@
-"""Telling other hosts what this one learns of the store's tables.
+"""Forward changes of the store's tables to other hosts.
 
-A follower names the version up to which it knows a table, and is told what is newer: at
-once, or as soon as there is something. Versions are the store's, so it may go from one
-relay to another, or to the store, and misses nothing.
+A follower sends the version up to which it knows a table, and gets all newer rows, at
+once or as soon as there are any. The versions are those of the store, so a follower can
+switch to another relay or to the store without missing a change.
 
-Nobody is told anything by a host that does not follow the store itself just now. Two
-hosts that see the fleet differently would else follow each other, and neither learn
-anything.
+A host only answers followers while it follows the store itself. Otherwise two hosts
+with different lists of hosts could follow each other, and neither would get any change.
 """
 
 from __future__ import annotations
@@ -32,8 +31,8 @@
 __all__ = ["Feeds"]
 
 WAIT_MAX = 30.0  # seconds that a follower may wait for changes
-# Rows that were removed are kept for followers, as many of a table. Whoever knows an
-# older version than those is told the whole table.
+# Number of removed rows that are kept for each table, to forward the removals. A
+# follower whose version is older than these gets the whole table.
 REMOVED_MAX = 1000
 
 STOPPING = "this host is stopping"
@@ -42,7 +41,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Follower:
-    """Hold one call that waits for changes."""
+    """A follower's call that waits for changes."""
 
     number: int
     after: int
@@ -50,72 +49,72 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Copy:
-    """Hold what is known of one table, by whichever way it was learnt."""
+class _TableCopy:
+    """Copy of one table, as read from the store or from a relay."""
 
-    rows: dict[RowKey, Row] = field(default_factory=dict)  # also those removed
-    since: int = 0  # all that was removed after this version is known
+    rows: dict[RowKey, Row] = field(default_factory=dict)  # including removed ones
+    complete_since: int = 0  # all later removals are in `rows`
     version: int = 0  # up to which the table is known
-    is_current: bool = False  # the store itself answered last
+    is_current: bool = False  # the latest reply came from the store itself
     followers: list[_Follower] = field(default_factory=list)
 
 
 class Feeds(ProxySystem):
-    """Answer hosts that follow tables by way of this one."""
+    """Answer the calls of hosts that follow tables at this one."""
 
-    __slots__ = ("_copies", "_stopping")
+    __slots__ = ("_copies", "_is_draining")
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
-        self._copies = {table: _Copy() for table in Table}
-        self._stopping = False
+        self._copies = {table: _TableCopy() for table in Table}
+        self._is_draining = False
 
     def start(self) -> None:
-        """Subscribe to what other hosts ask for."""
+        """Subscribe to calls of followers."""
         self._node.subscribe(FeedAsked, self._on_asked)
         self._node.subscribe(DrainBegan, self._on_drain)
 
-    # -- What this host learns -----------------------------------------------
+    # -- Copies of tables ----------------------------------------------------
 
-    def learnt(self, table: Table, reply: StoreReply, by_relay: bool) -> None:
-        """Take what the store, or a relay, told of a table."""
+    def apply(self, table: Table, reply: StoreReply, by_relay: bool) -> None:
+        """Apply a reply of the store, or of a relay, to the copy of a table."""
         copy = self._copies[table]
         before = copy.rows
         if reply.is_snapshot:
             copy.rows = {}
-            copy.since = reply.version
+            copy.complete_since = reply.version
         for row in reply.rows:
-            copy.rows[row.key] = _newest(before.get(row.key), row)
+            copy.rows[row.key] = _keep_newest_configuration(before.get(row.key), row)
         copy.version = max(copy.version, reply.version)
-        self._trim(copy)
+        self._trim_removed(copy)
         if by_relay:
-            self.lost(table)
+            self.mark_stale(table)
             return
         copy.is_current = True
         if reply.rows:
-            self._tell(copy)
+            self._notify_followers(copy)
 
-    def lost(self, table: Table) -> None:
-        """Note that the store did not answer, or that it isn't asked any more."""
+    def mark_stale(self, table: Table) -> None:
+        """Mark a table as not followed at the store, and refuse its followers."""
         copy = self._copies[table]
         copy.is_current = False
         self._refuse_all(copy, NOT_FOLLOWING)
 
     @staticmethod
-    def _trim(copy: _Copy) -> None:
+    def _trim_removed(copy: _TableCopy) -> None:
         removed = [row for row in copy.rows.values() if row.value is None]
         removed.sort(key=lambda row: row.version)
         for row in removed[: max(0, len(removed) - REMOVED_MAX)]:
             del copy.rows[row.key]
-            copy.since = max(copy.since, row.version)
+            copy.complete_since = max(copy.complete_since, row.version)
 
     # -- Followers -----------------------------------------------------------
 
     def _on_asked(self, event: FeedAsked) -> None:
         copy = self._copies[event.table]
         is_behind = era_of(event.after) > era_of(copy.version)
-        if self._stopping or is_behind or not copy.is_current:
-            self._refuse(event.feed, STOPPING if self._stopping else NOT_FOLLOWING)
+        if self._is_draining or is_behind or not copy.is_current:
+            self._refuse(event.feed, STOPPING if self._is_draining else NOT_FOLLOWING)
             return
         reply = self._changes(copy, event.after)
         if reply.rows or reply.is_snapshot:
@@ -125,13 +124,13 @@
         follower = _Follower(
             event.feed,
             event.after,
-            self.timers.after(wait, self._end_wait, copy, event.feed),
+            self.timers.after(wait, self._on_wait_ended, copy, event.feed),
         )
         copy.followers.append(follower)
 
-    def _changes(self, copy: _Copy, after: int) -> StoreReply:
-        """Return what is newer than a version; the whole table if that is not known."""
-        is_snapshot = after < copy.since
+    def _changes(self, copy: _TableCopy, after: int) -> StoreReply:
+        """Return the rows newer than a version; the whole table if some are unknown."""
+        is_snapshot = after < copy.complete_since
         rows = [
             row
             for row in copy.rows.values()
@@ -143,9 +142,9 @@
         done = StoreStatus.DONE
         return StoreReply(done, tuple(rows), version, is_snapshot=is_snapshot, era=era)
 
-    def _tell(self, copy: _Copy) -> None:
+    def _notify_followers(self, copy: _TableCopy) -> None:
         followers, copy.followers = copy.followers, []
-        # Most know the same version, and are told the same.
+        # Most followers have the same version, and get the same reply.
         replies: dict[int, StoreReply] = {}
         for follower in followers:
             reply = replies.get(follower.after)
@@ -157,7 +156,7 @@
             else:
                 copy.followers.append(follower)
 
-    def _end_wait(self, copy: _Copy, number: int) -> None:
+    def _on_wait_ended(self, copy: _TableCopy, number: int) -> None:
         for follower in list(copy.followers):
             if follower.number == number:
                 copy.followers.remove(follower)
@@ -165,11 +164,11 @@
                 self._node.emit(AnswerFeed(number, reply))
 
     def _on_drain(self, signal: DrainBegan) -> None:
-        self._stopping = True
+        self._is_draining = True
         for copy in self._copies.values():
             self._refuse_all(copy, STOPPING)
 
-    def _refuse_all(self, copy: _Copy, why: str) -> None:
+    def _refuse_all(self, copy: _TableCopy, why: str) -> None:
         followers, copy.followers = copy.followers, []
         for follower in followers:
             follower.timer.cancel()
@@ -181,11 +180,11 @@
         self._node.emit(AnswerFeed(number, reply))
 
 
-def _newest(known: Row | None, row: Row) -> Row:
-    """Return a row; a configuration that was learnt is told on by later versions.
+def _keep_newest_configuration(known: Row | None, row: Row) -> Row:
+    """Return `row`, but with the known configuration if that of `row` is older.
 
-    A store that came back from a copy has an earlier one until operators write theirs
-    again. A host that starts meanwhile would go by it.
+    A store that was restored from a backup has an older configuration until operators
+    write theirs again. A host that starts meanwhile must not use it.
     """
     if known is None or not isinstance(known.value, Configuration):
         return row
--- a/mallowpass/core/proxy/relays.py
+++ b/mallowpass/core/proxy/relays.py
@@ -1,15 +1,16 @@
-"""Which hosts follow the store for the others of their failure domain.
-
-Each call to the store is charged, and it takes so many a second from all hosts. If each
-host of a large fleet waited there for changes, calls would grow with the fleet, and the
-store would tell each change to each host. So a few hosts of each failure domain, the
-relays, wait for changes at the store, and the others wait at these, see `feeds`. Small
-failure domains of one region share relays.
-
-What can go wrong: a relay ends, freezes or is cut off. Its followers notice by a call
-that is not answered within a second or so, and go to the next relay at once; where none
-is left, to the store itself. A relay that is cut off from the store answers on until it
-notices: for as long its followers learn nothing, and the settings must allow that.
+"""Choice of relays: hosts that follow the store for others of their failure domain.
+
+Each call to the store is charged, and the store limits the calls a second of all hosts
+together. If each host of a large fleet waited at the store for changes, the calls would
+grow with the fleet, and the store would send each change to each host. So only a few
+hosts of each failure domain, the relays, wait for changes at the store. The others,
+their followers, wait at the relays, see `feeds`. Small failure domains of a region
+share relays.
+
+A relay may end, freeze or be cut off. Its followers notice by a call that is not
+answered within about a second, and switch to the next relay at once, or to the store if
+no relay is left. A relay that is cut off from the store answers its followers until it
+notices. Until then these get no changes, which the settings must allow for.
 """
 
 from __future__ import annotations
@@ -20,42 +21,42 @@
 
 __all__ = ["Relays"]
 
-RELAYS = 2  # in one failure domain, or of those that share them
-# Fewer hosts have no relays: there would be as many as followers.
+RELAYS_PER_DOMAIN = 2  # or for all failure domains that share relays
+# Least number of hosts in a failure domain, or in those that share relays, for relays
+# to be used. With fewer hosts, there would be about as many relays as followers.
 HOSTS_MIN = 5
-# How long a relay that did not answer is passed over.
-FAILED_TIME = 2.0  # seconds
-# How long a relay may take to notice that it can't reach the store, and to tell its
-# followers. Where changes must be in force sooner, each host follows the store itself.
-UNNOTICED_MAX = 4.5  # seconds
+FAILED_TIME = 2.0  # seconds that a relay is skipped after it did not answer
+# Seconds that a relay may take to notice that it can't reach the store, and to refuse
+# its followers. If changes must be in force sooner, each host follows the store itself.
+FAILURE_DETECTION_MAX = 4.5
 
 
 class Relays(ProxySystem):
-    """Know which hosts are relays; every host works it out from the same entries."""
+    """Choose relays; each host computes the same ones from the entries of all hosts."""
 
-    __slots__ = ("_failed", "_plan", "_plan_for")
+    __slots__ = ("_failed", "_plan", "_plan_version")
 
     def start(self) -> None:
-        """Start with nothing known."""
+        """Start without a plan or failed relays."""
         self._failed: dict[str, float] = {}  # until when, by host
         self._plan: dict[str, list[HostRow]] = {}  # by failure domain
-        self._plan_for = -1
+        self._plan_version = -1
 
     @property
-    def are_known(self) -> bool:
-        """Tell whether the other hosts were learnt."""
+    def are_hosts_known(self) -> bool:
+        """Return whether the list of hosts is known."""
         return self.tables.hosts_version > 0
 
     @property
     def has_relays(self) -> bool:
-        """Tell whether this host is to follow the store by way of others."""
-        if self.tables.apply_time < UNNOTICED_MAX or not self.are_known:
+        """Return whether this host is to follow relays instead of the store."""
+        if self.tables.apply_time < FAILURE_DETECTION_MAX or not self.are_hosts_known:
             return False
         own = self._of_domain(self._node.identity.failure_domain)
         return bool(own) and all(h.name != self._node.identity.name for h in own)
 
     def choose(self) -> HostRow | None:
-        """Return the relay to follow; None: this host follows the store itself."""
+        """Return the relay to follow, None to follow the store itself."""
         if not self.has_relays:
             return None
         own = self._of_domain(self._node.identity.failure_domain)
@@ -64,21 +65,21 @@
             candidates = [host for host in self._of_region() if self._is_usable(host)]
         return min(candidates, key=self._weight, default=None)
 
-    def failed(self, relay: str) -> None:
-        """Pass a relay over for a while that did not answer."""
+    def mark_failed(self, relay: str) -> None:
+        """Skip a relay for a while, as it did not answer."""
         self._failed[relay] = self.now + FAILED_TIME
 
-    def forgive(self) -> None:
-        """Have relays asked again that did not answer."""
+    def clear_failures(self) -> None:
+        """Use failed relays again."""
         self._failed.clear()
 
     def _is_usable(self, host: HostRow) -> bool:
         return self._failed.get(host.name, 0.0) <= self.now
 
     def _of_domain(self, domain: str) -> list[HostRow]:
-        if self._plan_for != self.tables.hosts_version:
-            self._plan_for = self.tables.hosts_version
-            self._plan = self._make()
+        if self._plan_version != self.tables.hosts_version:
+            self._plan_version = self.tables.hosts_version
+            self._plan = self._make_plan()
         return self._plan.get(domain, [])
 
     def _of_region(self) -> list[HostRow]:
@@ -91,14 +92,15 @@
         ]
         return [host for domain in domains for host in self._of_domain(domain)]
 
-    def _make(self) -> dict[str, list[HostRow]]:
+    def _make_plan(self) -> dict[str, list[HostRow]]:
         identity = self._node.identity
         domains: dict[str, list[HostRow]] = {}
         for host in self.tables.hosts.values():
             if host.address:
                 domains.setdefault(host.domain, []).append(host)
-        # Hosts of small failure domains, by region. They follow none of a larger one:
-        # its relays have followers enough, and its other hosts are followers.
+        # Hosts of small failure domains, by region. They do not follow hosts of a large
+        # failure domain: its relays have enough followers, and its other hosts are
+        # followers themselves.
         shared: dict[str, list[HostRow]] = {}
         for domain, hosts in domains.items():
             if len(hosts) < HOSTS_MIN:
@@ -108,14 +110,15 @@
             sharing = shared.get(identity.region_of(domain), [])
             candidates = hosts if len(hosts) >= HOSTS_MIN else sharing
             if len(candidates) >= HOSTS_MIN:
-                plan[domain] = sorted(candidates, key=_rank)[:RELAYS]
+                plan[domain] = sorted(candidates, key=_rank)[:RELAYS_PER_DOMAIN]
         return plan
 
     def _weight(self, host: HostRow) -> int:
-        # Different for each follower, so that relays have equal parts of them.
+        # Differs between followers, so that each relay gets an equal share of them.
         return crc32(f"{self._node.identity.name} {host.name}".encode())
 
 
 def _rank(host: HostRow) -> int:
-    # The same at every host; not by size, as holders are, so that it is other hosts.
+    # The same at each host. Independent of capacity, by which holders are chosen, so
+    # that other hosts than the holders become relays.
     return crc32(f"relay {host.name}".encode())
--- a/mallowpass/core/proxy/store.py
+++ b/mallowpass/core/proxy/store.py
@@ -1,4 +1,7 @@
-"""Calls of this host to the store, and for how long changes are waited for there."""
+"""Calls to the store: matching of replies, retries after failures, and wait times.
+
+Each call is charged, and the store admits a limited number a second from all hosts.
+"""
 
 from __future__ import annotations
 
@@ -19,8 +22,8 @@
 )
 from mallowpass.core.proxy.tables import HostRow, ProxySystem
 from mallowpass.core.proxy.watches import (
-    FIRST_START_TIME,
-    RETURN_JITTER,
+    FIRST_START_DELAY,
+    RESUME_JITTER,
     WATCH_SLACK,
     ReplyHandler,
     RowsHandler,
@@ -29,58 +32,62 @@
 
 __all__ = ["Store"]
 
-CALL_TIMEOUT = 1.5  # seconds; a store that is slow answers within half of it
-# Seconds that one call waits for changes at the most: each call is charged.
+CALL_TIMEOUT = 1.5  # seconds; a slow store answers within half of it
+# Limits of the time that one call to the store waits for changes, in seconds. A long
+# wait saves calls, which are charged.
 WATCH_WAIT_MAX = 29.0
 WATCH_WAIT_MIN = 1.0
-# The same for calls to relays, which are not charged. A relay that was frozen shows in
-# nothing else but that it does not answer in time.
+# Seconds that one call to a relay waits for changes. These calls are not charged, so
+# the wait can be short: only the end of the wait reveals a frozen relay.
 RELAY_WAIT = {
     Table.CONFIGURATION: 1.0,
     Table.ENDPOINTS: 1.0,
     Table.HOSTS: 10.0,
     Table.LIMITS: 10.0,
 }
-# How long a host that starts again waits for the list of hosts, before it follows
-# tables without knowing its relays.
-HOSTS_LISTED_MAX = 0.05  # seconds
-# Seconds after a new era began within which hosts have written again what they know:
-# until then nobody acts on what the store does not hold.
+# Seconds that a restarting host waits for the list of hosts, before it follows tables
+# without knowing its relays.
+HOSTS_LIST_TIMEOUT = 0.05
+# Seconds within which hosts rewrite their rows after a new era began. Until then, no
+# host acts on the absence of a row.
 SETTLE_TIME = 1.5
 BACKOFF_MIN = 0.1  # seconds after a first failure; doubled by each further one
 BACKOFF_MAX = 2.0
-# The same where this host has relays, which ask as well.
+# Longer for hosts that follow relays, as the relays retry as well.
 RELAYED_BACKOFF_MIN = 0.5
 RELAYED_BACKOFF_MAX = 3.0
-# How long a call waits for changes while the store fails: its answer is to tell soon
-# that the store is back.
-PROBE_WAIT = 0.05  # seconds
+# Seconds that a call waits for changes while the store fails: a short wait shows soon
+# that the store answers again.
+PROBE_WAIT = 0.05
 
 _ENTERED_AT_START = (Table.ENDPOINTS, Table.HOSTS)
-# Seconds for which further changes are waited for after some came, so that one answer
-# tells of all: where all hosts start at once, each would else be told of each. Nothing
-# about hosts is urgent: one that stops serves on for longer.
-CHANGES_GAP = {
+# Seconds between the arrival of changes and the next call, so that one reply brings all
+# further changes. Otherwise, when all hosts start at once, each would get one reply for
+# each of the others. The table of hosts is not urgent: a host that stops goes on
+# serving for longer than this.
+BATCH_TIME = {
     Table.CONFIGURATION: 0.5,
     Table.ENDPOINTS: 0.1,
     Table.HOSTS: 1.5,
     Table.LIMITS: 0.5,
 }
-# Late news of these tables does no harm: hosts that they named before are passed over
-# once they do not answer.
-_UNHURRIED = (Table.HOSTS, Table.LIMITS)
-# Calls a second that all hosts together make to be told of each other's changes, if
-# each asks the store. A fleet that is restarted in turn would make as many as the
-# square of its size; and with each change that is told, other hosts may be holders.
-HOSTS_CALLS_MAX = 10.0
-# The same while the whole fleet starts for the first time: endpoints enter themselves
-# by turns over some seconds, and callers come well after.
-FIRST_START_GAP = 1.0
-FIRST_START_TURNS = 6.0  # seconds after a start
+# Changes of these tables may arrive late without harm: a host that they list wrongly is
+# skipped as soon as it does not answer.
+_NOT_URGENT = (Table.HOSTS, Table.LIMITS)
+# Calls a second that all hosts together make to follow the table of hosts, if each
+# follows it at the store. Without this limit, a rolling restart would take a number of
+# calls that grows with the square of the fleet, and each change may move the role of
+# holder to other hosts.
+HOSTS_CALL_RATE_MAX = 10.0
+# Batch time of endpoints while the whole fleet starts for the first time, in seconds:
+# endpoints write their entries one after the other over some seconds, and callers only
+# connect well after that.
+FIRST_START_BATCH_TIME = 1.0
+FIRST_START_DURATION = 6.0  # seconds after the start of this host
 
 
 class Store(ProxySystem):
-    """Call the store, and tell whether it answers."""
+    """Call the store, and track whether it answers."""
 
     __slots__ = (
         "_awaiting_hosts",
@@ -90,83 +97,83 @@
         "_era_since",
         "_failing_since",
         "_feeds",
-        "_heard_at",
+        "_current_at",
         "_prober",
-        "_relayed",
+        "_relay_calls",
         "_relays",
         "_started_at",
-        "_waiting",
+        "_waiting_retries",
     )
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
         self._feeds: Feeds
         self._relays: Relays
-        # What is to be done once the other hosts are known.
+        # Actions to run once the other hosts are known.
         self._awaiting_hosts: list[Callable[[], None]] = []
-        # What to do with a reply, and the era that the call was made in.
+        # Handler of the reply and era at the time of the call, by number of the call.
         self._calls: dict[int, tuple[ReplyHandler, int]] = {}
         self._clock_offset: float | None = None
         self._era = 0
         self._era_since = float("-inf")
         self._failing_since: float | None = None
-        self._heard_at: dict[Table, float] = {}
+        self._current_at: dict[Table, float] = {}
         self._prober: Watch | None = None
-        self._relayed: set[int] = set()  # calls that another host answers
+        self._relay_calls: set[int] = set()  # numbers of calls to relays
         self._started_at = node.timers.now
-        self._waiting: list[Callable[[], None]] = []
+        self._waiting_retries: list[Callable[[], None]] = []
 
     def start(self) -> None:
-        """Subscribe to the store's answers."""
+        """Subscribe to answers of the store."""
         self._feeds = self._node.system(Feeds)
         self._relays = self._node.system(Relays)
         self._node.subscribe(StoreAnswered, self._on_answered)
 
     @property
     def feeds(self) -> Feeds:
-        """Return the system that tells other hosts what this one learns."""
+        """Return the system that forwards changes of tables to other hosts."""
         return self._feeds
 
     @property
     def relays(self) -> Relays:
-        """Return the system that knows by way of whom tables are followed."""
+        """Return the system that chooses the relay to follow tables at."""
         return self._relays
 
     @property
     def failing_since(self) -> float | None:
-        """Return when calls began to fail, None while they are answered."""
+        """Return when calls started to fail, None while they are answered."""
         return self._failing_since
 
     @property
     def era(self) -> int:
-        """Return the newest era that this host knows of."""
+        """Return the newest known era of the store; 0: not known yet."""
         return self._era
 
     @property
     def has_been_restored(self) -> bool:
-        """Tell whether the store came back from a copy while this host ran."""
+        """Return whether the store was restored from a backup while this host ran."""
         return self._era_since > float("-inf")
 
     @property
     def is_settled(self) -> bool:
-        """Tell whether what hosts know was written again since the era began."""
+        """Return whether hosts have had time to rewrite their rows in this era."""
         return self.now >= self._era_since + SETTLE_TIME
 
-    def follow_eras(self, handler: Callable[[EraChanged], None]) -> None:
-        """Have a handler called whenever the store came back from a copy."""
+    def subscribe_to_eras(self, handler: Callable[[EraChanged], None]) -> None:
+        """Call a handler each time that the store was restored from a backup."""
         self._node.subscribe(EraChanged, handler)
 
-    def heard(self, table: Table) -> None:
-        """Note that a table is known as it is now."""
-        self._heard_at[table] = self.now
+    def note_current(self, table: Table) -> None:
+        """Record that this host knows the present state of a table."""
+        self._current_at[table] = self.now
 
     def age(self, table: Table) -> float:
-        """Return for how long changes of a table may not be known, in seconds."""
-        return self.now - self._heard_at.get(table, float("-inf"))
+        """Return for how long changes of a table may have been missed, in seconds."""
+        return self.now - self._current_at.get(table, float("-inf"))
 
     @property
     def time(self) -> float | None:
-        """Return the store's clock as far as known, in seconds."""
+        """Return the estimate of the store's clock in seconds, None if unknown."""
         if self._clock_offset is None:
             return None
         return self.now + self._clock_offset
@@ -174,7 +181,7 @@
     def call(
         self, request: StoreCall, handler: ReplyHandler, timeout: float = CALL_TIMEOUT
     ) -> None:
-        """Call the store; the handler gets its reply, or that there was none."""
+        """Call the store; if no reply comes, the handler gets REFUSED or UNKNOWN."""
         number = self._node.number()
         self._calls[number] = (handler, self._era)
         self._node.emit(CallStore(number, request, timeout))
@@ -183,82 +190,84 @@
     def call_relay(
         self, relay: HostRow, request: WatchRows, handler: ReplyHandler, timeout: float
     ) -> None:
-        """Ask another host for what it learns from the store."""
+        """Request changes of a table from another host that follows the store."""
         number = self._node.number()
         self._calls[number] = (handler, self._era)
-        self._relayed.add(number)
+        self._relay_calls.add(number)
         self._node.emit(CallStore(number, request, timeout, relay.address))
         self._node.count("relay_calls")
 
     def watch(self, table: Table, handler: RowsHandler) -> None:
-        """Have a handler called with all rows of a table, then with each change."""
+        """Call a handler with all rows of a table, then with each change."""
         if self.tables.first_start and table in _ENTERED_AT_START:
-            self.timers.after(FIRST_START_TIME, Watch, self, table, handler)
+            self.timers.after(FIRST_START_DELAY, Watch, self, table, handler)
         else:
             Watch(self, table, handler)
 
-    def once_hosts_are_known(self, action: Callable[[], None]) -> None:
-        """Do something once the other hosts are known, or not listed in time."""
-        if self._relays.are_known:
+    def when_hosts_known(self, action: Callable[[], None]) -> None:
+        """Run an action once the other hosts are known, or after a timeout."""
+        if self._relays.are_hosts_known:
             action()
             return
         if not self._awaiting_hosts:
-            self.timers.after(HOSTS_LISTED_MAX, self.hosts_known)
+            self.timers.after(HOSTS_LIST_TIMEOUT, self.run_awaiting_hosts)
         self._awaiting_hosts.append(action)
 
-    def hosts_known(self) -> None:
-        """Do what waits for the other hosts."""
+    def run_awaiting_hosts(self) -> None:
+        """Run the actions that wait for the other hosts to be known."""
         actions, self._awaiting_hosts = self._awaiting_hosts, []
         for action in actions:
             action()
 
-    def call_again(
-        self, watch: Watch, again: Callable[[], None], failures: int
+    def retry(
+        self, watch: Watch, retry_call: Callable[[], None], failures: int
     ) -> None:
-        """Have a watch repeat a call that failed.
+        """Schedule the repetition of a call that failed for a watch.
 
-        While no call is answered, one watch tries for all: each call is charged, also
-        a refused one, and what one learns is true for the others.
+        While the store does not answer, one watch retries on behalf of all. Refused
+        calls are charged as well, and the result holds for the other watches too.
         """
         if self._failing_since is not None:
             if self._prober is None:
                 self._prober = watch
             if self._prober is not watch:
-                self._waiting.append(again)
+                self._waiting_retries.append(retry_call)
                 return
-        # Hosts that lose the store together must not come back together. Those that
-        # have relays learn from them that it is back.
+        # The backoff is random, as all hosts lose the store at the same time. Hosts
+        # that follow relays retry less often: the relays show them that the store
+        # answers.
         least, most = BACKOFF_MIN, BACKOFF_MAX
         if self._relays.has_relays:
             least, most = RELAYED_BACKOFF_MIN, RELAYED_BACKOFF_MAX
-        self.timers.after(self._node.backoff(failures, least, most), again)
+        self.timers.after(self._node.backoff(failures, least, most), retry_call)
 
     def jitter(self, longest: float) -> float:
-        """Return a pause in seconds, another one for each host and call."""
+        """Return a random pause up to `longest` seconds."""
         return self._node.random.uniform(0.0, longest)
 
-    def may_probe(self, watch: Watch) -> bool:
-        """Tell whether a watch may call a store that may not answer."""
+    def can_probe(self, watch: Watch) -> bool:
+        """Return whether a watch may call the store, though it may not answer."""
         return self._failing_since is None or self._prober in (None, watch)
 
-    def go_on(self) -> None:
-        """Have all tables followed again: one of them is, by way of a relay."""
+    def resume_watches(self) -> None:
+        """Resume the watches that wait for the store to answer."""
         self._prober = None
-        waiting, self._waiting = self._waiting, []
-        for again in waiting:
-            self.timers.after(self.jitter(RETURN_JITTER), again)
+        waiting, self._waiting_retries = self._waiting_retries, []
+        for retry_call in waiting:
+            self.timers.after(self.jitter(RESUME_JITTER), retry_call)
 
     def watch_wait(self, table: Table) -> float:
         """Return how long one call waits for changes of a table, in seconds.
 
-        A store that was silent for a while never answers a call that came meanwhile,
-        and its connection stays open: nothing tells that but the end of the wait. Until
-        then this host goes by an old configuration, and sends statements to endpoints
-        that have left. So it ends within the time that hosts have after a disruption.
+        A store that stopped answering for a while never answers calls that arrived
+        meanwhile, and keeps their connections open, so that only the end of the wait
+        shows the loss. Until then this host uses an old configuration and sends
+        statements to endpoints that have left. So the wait is shorter than the time
+        within which hosts have to recover from a disruption.
         """
         if self.failing_since is not None:
             return PROBE_WAIT
-        if table in _UNHURRIED:
+        if table in _NOT_URGENT:
             return WATCH_WAIT_MAX
         longest = min(self.tables.settle_time, self.tables.key_lapse)
         wait = longest - WATCH_SLACK
@@ -266,60 +275,61 @@
 
     def relay_wait(self, table: Table) -> float:
         """Return how long a relay may wait for changes of a table, in seconds."""
-        # Others follow once the first is answered.
-        return PROBE_WAIT if self._waiting else RELAY_WAIT[table]
-
-    def changes_gap(self, table: Table) -> float:
-        """Return for how long further changes are waited for after some came."""
-        starting = self.now < self._started_at + FIRST_START_TURNS
-        if self.tables.first_start and starting and table is Table.ENDPOINTS:
-            return FIRST_START_GAP
-        gap = CHANGES_GAP[table]
+        # A short wait while other watches wait for this call to be answered.
+        return PROBE_WAIT if self._waiting_retries else RELAY_WAIT[table]
+
+    def batch_time(self, table: Table) -> float:
+        """Return the seconds between changes of a table and the next call."""
+        is_starting = self.now < self._started_at + FIRST_START_DURATION
+        if self.tables.first_start and is_starting and table is Table.ENDPOINTS:
+            return FIRST_START_BATCH_TIME
+        batch_time = BATCH_TIME[table]
         if table is Table.HOSTS:
-            return max(gap, len(self.tables.hosts) / HOSTS_CALLS_MAX)
-        return gap
+            return max(batch_time, len(self.tables.hosts) / HOSTS_CALL_RATE_MAX)
+        return batch_time
 
     def _on_answered(self, event: StoreAnswered) -> None:
         reply = event.reply
-        handler, asked_in = self._calls.pop(event.call, (None, 0))
+        handler, call_era = self._calls.pop(event.call, (None, 0))
         failed = reply.status in (StoreStatus.REFUSED, StoreStatus.UNKNOWN)
         if not failed:
             self._note_era(reply.era)
-        if event.call in self._relayed:
-            # It tells nothing of the way from here to the store.
-            self._relayed.discard(event.call)
+        if event.call in self._relay_calls:
+            # The reply of a relay shows nothing about the store's connection to this
+            # host.
+            self._relay_calls.discard(event.call)
         elif failed:
             self._note_failure(reply)
         else:
             self._note_success(reply)
         if handler is not None:
-            handler(self._of_era(reply, asked_in))
+            handler(self._reject_other_eras(reply, call_era))
 
     def _note_era(self, era: int) -> None:
-        """Have all parts know that the store came back from a copy."""
+        """Publish that the store was restored from a backup, if the era is newer."""
         if era <= self._era:
             return
         before, self._era = self._era, era
         if before == 0:
-            return  # the first one that this host learns of
+            return  # the first era known to this host
         self._era_since = self.now
         self._clock_offset = None
         self._node.log("warning", "store_era", era=era, before=before)
         self._node.count("store_eras")
         self._node.publish(EraChanged(before, era))
 
-    def _of_era(self, reply: StoreReply, asked_in: int) -> StoreReply:
-        """Return a reply; one that began or ended in an earlier era counts for nothing.
+    def _reject_other_eras(self, reply: StoreReply, call_era: int) -> StoreReply:
+        """Return a reply, or REFUSED if its call or the reply is of an earlier era.
 
-        Versions that a call named, or that its answer tells, may since stand for other
-        rows. What it wrote may be gone.
+        The versions in the call or the reply may stand for other rows in this era, and
+        rows that the call wrote may be lost.
         """
-        is_first = asked_in == 0
+        is_first = call_era == 0
         if reply.status in (StoreStatus.REFUSED, StoreStatus.UNKNOWN):
             return reply
-        if reply.era == self._era and (is_first or asked_in == self._era):
+        if reply.era == self._era and (is_first or call_era == self._era):
             return reply
-        message = f"the store came back from a copy in era {self._era}"
+        message = f"the store was restored from a backup; its era is now {self._era}"
         return StoreReply(StoreStatus.REFUSED, message=message, era=reply.era)
 
     def _note_failure(self, reply: StoreReply) -> None:
@@ -329,13 +339,14 @@
 
     def _note_success(self, reply: StoreReply) -> None:
         if reply.time:
-            # An answer is never newer than its arrival: the largest offset is best.
+            # A reply arrives after the time that it states: the largest offset is the
+            # most exact one.
             offset = reply.time - self.now
             if self._clock_offset is None or offset > self._clock_offset:
                 self._clock_offset = offset
         if self._failing_since is None:
             return
-        away = self.now - self._failing_since
+        outage = self.now - self._failing_since
         self._failing_since = None
-        self._node.log("info", "store_regained", after=round(away, 3))
-        self.go_on()
+        self._node.log("info", "store_regained", after=round(outage, 3))
+        self.resume_watches()
--- a/mallowpass/core/proxy/watches.py
+++ b/mallowpass/core/proxy/watches.py
@@ -1,4 +1,7 @@
-"""Following the tables of the store, each by itself: at a relay, or at the store."""
+"""Follow tables of the store, each independently: at a relay, or at the store.
+
+A relay is a host that follows the store itself and forwards the changes, see `relays`.
+"""
 
 from __future__ import annotations
 
@@ -22,48 +25,49 @@
     from mallowpass.core.proxy.store import Store
 
 __all__ = [
-    "FIRST_START_TIME",
-    "RETURN_JITTER",
+    "FIRST_START_DELAY",
+    "RESUME_JITTER",
     "WATCH_SLACK",
     "RowsHandler",
     "Watch",
 ]
 
-WATCH_SLACK = 1.5  # seconds that the answer to a call for changes may be late
-RELAY_SLACK = 0.5
-# Seconds for which further changes are waited for after some came by a relay. Where
-# many endpoints enter themselves, it would else tell each follower of each by itself.
-RELAY_GAP = 0.3
-# After a start, hosts are waited for so long before a table is followed, in seconds.
-KNOWN_MAX = 3.0
-KNOWN_LOOK = 0.05  # seconds between looks whether they are known
-# How long a host that starts again waits for a relay to tell it a table, until it lists
-# the table at the store. Where all hosts start again callers wait for this, and relays
-# may be out of power still.
-RELAY_TELLS_MAX = 0.03  # seconds
-# Where the whole fleet starts, relays have learnt the tables so long after the hosts
-# are known, in seconds.
-RELAYS_START_TIME = 0.5
-# Where the whole fleet starts for the first time, endpoints and hosts all enter
-# themselves within this time; whoever follows the entries meanwhile is told of each by
-# itself.
-FIRST_START_TIME = 2.0  # seconds
-# Seconds over which the calls of tables are spread that follow once one is answered.
-RETURN_JITTER = 0.3
-
-# Called with rows, and with whether these are all that the table has.
+WATCH_SLACK = 1.5  # seconds that the store may answer after the end of the wait
+RELAY_SLACK = 0.5  # the same for a relay
+# Seconds between changes from a relay and the next call. When many endpoints write
+# their entries, the relay would otherwise send each follower each change separately.
+RELAY_BATCH_TIME = 0.3
+# Seconds after a start that a watch waits for the list of hosts before it goes on
+# without, and between checks for that list.
+HOSTS_KNOWN_TIMEOUT = 3.0
+HOSTS_KNOWN_POLL_INTERVAL = 0.05
+# Seconds that a restarting host waits for a relay to send it a whole table, before it
+# lists the table at the store. Short, as after a power failure of all hosts callers
+# wait for this, and relays may still be down.
+RELAY_SNAPSHOT_TIMEOUT = 0.03
+# Seconds that relays get to read the tables, once the hosts are known at a start of the
+# whole fleet, or once the store has a new era.
+RELAY_START_DELAY = 0.5
+# Seconds within which all endpoints and hosts write their entries when the whole fleet
+# starts for the first time. A host that followed the entries during this time would get
+# a reply for each of them.
+FIRST_START_DELAY = 2.0
+# Seconds over which the calls of waiting watches are spread once the store answers.
+RESUME_JITTER = 0.3
+
+# Called with rows, and with whether these are all rows of the table.
 RowsHandler = Callable[[tuple[Row, ...], bool], None]
 ReplyHandler = Callable[[StoreReply], None]
 
 
 class Watch:
-    """Follow one table: all its rows first, then each change, for ever.
+    """Follow one table without end: first all its rows, then each change.
 
-    Changes are waited for at a relay where this host has one, else at the store.
+    Changes come from a relay if this host has one, else from the store.
     """
 
     __slots__ = (
-        "_calls",
+        "_call_number",
         "_failures",
         "_feeds",
         "_follows_relay",
@@ -82,23 +86,23 @@
         self._table = table
         self._handler = handler
         self._version = 0
-        self._calls = 0  # that were made; only the last one's answer counts
+        self._call_number = 0  # of the latest call; replies to earlier ones are ignored
         self._follows_relay = False
         self._failures = 0
-        store.follow_eras(self._on_era)
+        store.subscribe_to_eras(self._on_era)
         self._listed_at = store.now
         if table is Table.HOSTS:
             self._list()
         elif store.tables.first_start:
-            self._begin()
+            self._start_with_fleet()
         else:
-            store.once_hosts_are_known(self._begin_again)
+            store.when_hosts_known(self._start_after_restart)
 
-    def _begin_again(self) -> None:
-        """Learn the whole table from a relay, where this host alone may start.
+    def _start_after_restart(self) -> None:
+        """Read the whole table from a relay, when this host may restart alone.
 
-        Lists of all hosts that are restarted would be bytes at the store as the square
-        of the fleet.
+        If each restarted host listed the table at the store, the bytes read there in a
+        rolling restart would grow with the square of the fleet.
         """
         relay = self._relays.choose()
         if relay is None:
@@ -110,51 +114,54 @@
                 self._list()
                 return
             self._listed_at = self._store.now
-            self._take(reply, by_relay=True)
-            self._follow_after(RELAY_GAP)
+            self._apply(reply, by_relay=True)
+            self._follow_after(RELAY_BATCH_TIME)
 
         call = WatchRows(self._table, self._version, 0.0)
-        self._store.call_relay(relay, call, on_reply, RELAY_TELLS_MAX)
+        self._store.call_relay(relay, call, on_reply, RELAY_SNAPSHOT_TIMEOUT)
 
-    def _begin(self) -> None:
-        """Learn the whole table from a relay, where the whole fleet starts.
+    def _start_with_fleet(self) -> None:
+        """Read the whole table from a relay, when the whole fleet starts.
 
-        Each host's own list of it would be a call; nobody waits for it yet.
+        This saves one call to the store for each host. It may take longer, as no caller
+        is connected yet.
         """
-        known_by = self._listed_at + FIRST_START_TIME + KNOWN_MAX
-        if not self._relays.are_known and self._store.now < known_by:
-            self._store.timers.after(KNOWN_LOOK, self._begin)
+        deadline = self._listed_at + FIRST_START_DELAY + HOSTS_KNOWN_TIMEOUT
+        if not self._relays.are_hosts_known and self._store.now < deadline:
+            self._store.timers.after(HOSTS_KNOWN_POLL_INTERVAL, self._start_with_fleet)
         elif self._relays.choose() is None:
             self._list()
         else:
-            self._store.timers.after(RELAYS_START_TIME, self._follow)
+            self._store.timers.after(RELAY_START_DELAY, self._follow)
 
     def _on_era(self, signal: EraChanged) -> None:
-        """Learn the table anew: changes since an earlier era's version mean nothing."""
+        """Read the whole table again: versions of an earlier era are not comparable."""
         if self._version == 0 or self._follows_relay:
             return
-        self._calls += 1  # what is in flight has no answer that counts
-        pause = self._store.jitter(RETURN_JITTER)
+        self._call_number += 1  # the reply to the call in flight is ignored
+        pause = self._store.jitter(RESUME_JITTER)
         if self._relays.has_relays:
-            # They did not answer while the store was away, and list it now.
-            self._relays.forgive()
-            self._store.timers.after(RELAYS_START_TIME + pause, self._follow)
+            # The relays refused their followers during the outage, and list the tables
+            # again now.
+            self._relays.clear_failures()
+            self._store.timers.after(RELAY_START_DELAY + pause, self._follow)
         else:
             self._store.timers.after(pause, self._list)
 
     def _list(self) -> None:
-        self._store.call(ListRows(self._table), self._newest(self._on_listed))
+        self._store.call(ListRows(self._table), self._if_latest(self._on_listed))
 
-    def _newest(self, handler: ReplyHandler) -> ReplyHandler:
-        """Return a handler for the answer to a call, if no later one was made.
+    def _if_latest(self, handler: ReplyHandler) -> ReplyHandler:
+        """Wrap the handler of a new call to ignore the reply if a later call follows.
 
-        Each answer leads to the next call: of two in flight one must be left.
+        Each handled reply leads to the next call, so that handling the replies of two
+        calls in flight would start two loops.
         """
-        self._calls += 1
-        number = self._calls
+        self._call_number += 1
+        number = self._call_number
 
         def on_reply(reply: StoreReply) -> None:
-            if self._calls == number:
+            if self._call_number == number:
                 handler(reply)
 
         return on_reply
@@ -164,35 +171,38 @@
             self._retry(self._list)
             return
         self._listed_at = self._store.now
-        self._take(replace(reply, is_snapshot=True), by_relay=False)
+        self._apply(replace(reply, is_snapshot=True), by_relay=False)
         self._follow()
 
-    def _take(self, reply: StoreReply, by_relay: bool) -> None:
+    def _apply(self, reply: StoreReply, by_relay: bool) -> None:
         self._version = max(self._version, reply.version)
-        self._store.heard(self._table)
-        self._feeds.learnt(self._table, reply, by_relay)
+        self._store.note_current(self._table)
+        self._feeds.apply(self._table, reply, by_relay)
         self._handler(reply.rows, reply.is_snapshot)
         if self._table is Table.HOSTS:
-            self._store.hosts_known()
+            self._store.run_awaiting_hosts()
 
     def _follow(self) -> None:
-        if not self._relays.are_known and self._store.now < self._listed_at + KNOWN_MAX:
-            # The list of hosts comes in a moment; it tells whether there is a relay.
-            self._store.timers.after(KNOWN_LOOK, self._follow)
+        if (
+            not self._relays.are_hosts_known
+            and self._store.now < self._listed_at + HOSTS_KNOWN_TIMEOUT
+        ):
+            # The list of hosts, which shows whether there is a relay, is about to come.
+            self._store.timers.after(HOSTS_KNOWN_POLL_INTERVAL, self._follow)
             return
         relay = self._relays.choose()
         if relay is not None:
             self._follow_relay(relay)
         elif self._relays.has_relays:
-            # They did not answer, most likely as the store does not answer them. One
-            # table is enough to see that.
-            pause = self._store.jitter(RETURN_JITTER)
-            self._store.timers.after(pause, self._follow_alone)
+            # No relay answered, most likely because the store does not answer them. One
+            # watch is enough to find out.
+            pause = self._store.jitter(RESUME_JITTER)
+            self._store.timers.after(pause, self._probe_store)
         else:
             self._follow_store()
 
-    def _follow_alone(self) -> None:
-        if self._store.may_probe(self):
+    def _probe_store(self) -> None:
+        if self._store.can_probe(self):
             self._follow_store()
         else:
             self._retry(self._follow)
@@ -204,20 +214,20 @@
         self._follows_relay = False
         wait = self._store.watch_wait(self._table)
         call = WatchRows(self._table, self._version, wait)
-        on_reply = self._newest(self._on_changes)
+        on_reply = self._if_latest(self._on_changes)
         self._store.call(call, on_reply, wait + WATCH_SLACK)
 
     def _on_changes(self, reply: StoreReply) -> None:
         if reply.status is StoreStatus.HISTORY_GONE:
             self._on_history_gone()
         elif reply.status is not StoreStatus.DONE:
-            self._feeds.lost(self._table)
+            self._feeds.mark_stale(self._table)
             self._retry(self._follow)
         else:
             self._failures = 0
-            self._take(reply, by_relay=False)
-            gap = self._store.changes_gap(self._table)
-            self._follow_after(gap if reply.rows else 0.0)
+            self._apply(reply, by_relay=False)
+            batch_time = self._store.batch_time(self._table)
+            self._follow_after(batch_time if reply.rows else 0.0)
 
     def _follow_after(self, pause: float) -> None:
         if pause:
@@ -226,37 +236,37 @@
             self._follow()
 
     def _follow_relay(self, relay: HostRow) -> None:
-        asked_at = self._store.now
+        sent_at = self._store.now
         wait = self._store.relay_wait(self._table)
         self._follows_relay = True
 
         def on_reply(reply: StoreReply) -> None:
             if reply.status is StoreStatus.DONE:
                 self._failures = 0
-                self._store.go_on()
-                self._take(reply, by_relay=True)
-                self._follow_after(RELAY_GAP if reply.rows else 0.0)
+                self._store.resume_watches()
+                self._apply(reply, by_relay=True)
+                self._follow_after(RELAY_BATCH_TIME if reply.rows else 0.0)
                 return
-            self._relays.failed(relay.name)
-            silent = self._store.now - asked_at >= wait
+            self._relays.mark_failed(relay.name)
+            has_timed_out = self._store.now - sent_at >= wait
             if self._version == 0:
                 self._list()
-            elif silent:
-                # Perhaps it is this host that is cut off from others: to ask one after
-                # the other would take longer than a change may.
-                self._follow_alone()
+            elif has_timed_out:
+                # This host may be cut off from all other hosts. Trying the relays one
+                # after the other would take longer than a change may take.
+                self._probe_store()
             else:
                 self._follow()
 
         call = WatchRows(self._table, self._version, wait)
-        newest = self._newest(on_reply)
-        self._store.call_relay(relay, call, newest, wait + RELAY_SLACK)
+        latest_only = self._if_latest(on_reply)
+        self._store.call_relay(relay, call, latest_only, wait + RELAY_SLACK)
 
     def _on_history_gone(self) -> None:
-        """List the rows anew; not at once if that was no help.
+        """List the rows again; with a backoff if listing them did not help.
 
-        A store whose reads are behind lists rows of a version that it has no history
-        after. One would see each host list and follow without a pause.
+        A store whose reads are behind lists rows of a version from which it has no
+        history. Without the backoff, each host would list and follow in a tight loop.
         """
         if self._failures == 0:
             self._failures = 1
@@ -264,6 +274,6 @@
         else:
             self._retry(self._list)
 
-    def _retry(self, again: Callable[[], None]) -> None:
-        self._store.call_again(self, again, self._failures)
+    def _retry(self, retry_call: Callable[[], None]) -> None:
+        self._store.retry(self, retry_call, self._failures)
         self._failures += 1
--- a/tests/core/proxy/test_relays.py
+++ b/tests/core/proxy/test_relays.py
@@ -306,43 +306,43 @@
 def feeds() -> Feeds:
     world = ProxyWorld()
     feeds = world.hosts[0].node.system(Feeds)
-    feeds.learnt(Table.HOSTS, _reply(10, "a", "b", is_snapshot=True), by_relay=False)
+    feeds.apply(Table.HOSTS, _reply(10, "a", "b", is_snapshot=True), by_relay=False)
     return feeds
 
 
-def _told(feeds: Feeds, after: int) -> tuple[list[str], bool]:
+def _changes_after(feeds: Feeds, after: int) -> tuple[list[str], bool]:
     reply = feeds._changes(feeds._copies[Table.HOSTS], after)
     return [row.key.key for row in reply.rows], reply.is_snapshot
 
 
 def test_changes_after_a_version_are_told(feeds):
-    feeds.learnt(Table.HOSTS, _reply(12, "c"), by_relay=False)
-    assert _told(feeds, 10) == (["c"], False)
-    assert _told(feeds, 12) == ([], False)
+    feeds.apply(Table.HOSTS, _reply(12, "c"), by_relay=False)
+    assert _changes_after(feeds, 10) == (["c"], False)
+    assert _changes_after(feeds, 12) == ([], False)
 
 
 def test_whoever_knows_too_little_is_told_the_whole_table(feeds):
-    assert _told(feeds, 9) == (["a", "b"], True)
+    assert _changes_after(feeds, 9) == (["a", "b"], True)
 
 
 def test_removed_rows_are_told_and_are_no_part_of_the_whole(feeds):
-    feeds.learnt(Table.HOSTS, _reply(13, "a", gone=True), by_relay=False)
-    assert _told(feeds, 10) == (["a"], False)
-    assert _told(feeds, 1) == (["b"], True)
+    feeds.apply(Table.HOSTS, _reply(13, "a", gone=True), by_relay=False)
+    assert _changes_after(feeds, 10) == (["a"], False)
+    assert _changes_after(feeds, 1) == (["b"], True)
 
 
 def test_a_follower_that_knows_more_is_told_nothing_older(feeds):
-    assert _told(feeds, 99) == ([], False)
+    assert _changes_after(feeds, 99) == ([], False)
 
 
 def test_removed_rows_are_not_kept_for_ever(feeds):
     for number in range(REMOVED_MAX + 5):
         gone = _reply(20 + number, f"n{number}", gone=True)
-        feeds.learnt(Table.HOSTS, gone, by_relay=False)
+        feeds.apply(Table.HOSTS, gone, by_relay=False)
     copy = feeds._copies[Table.HOSTS]
     assert len(copy.rows) == REMOVED_MAX + 2
-    assert _told(feeds, 22)[1]
-    assert not _told(feeds, 24)[1]
+    assert _changes_after(feeds, 22)[1]
+    assert not _changes_after(feeds, 24)[1]
 
 
 def test_many_changes_are_told_by_few_answers(world):
