--- a/tests/core/proxy/test_eras.py
+++ b/tests/core/proxy/test_eras.py
@@ -1,4 +1,4 @@
-"""The store comes back from a copy: what hosts wrote there since is gone."""
+"""The store is restored from a backup: what hosts wrote after the backup is lost."""
 
 from __future__ import annotations
 
@@ -20,25 +20,25 @@
     identified,
 )
 
-RELAYED = 18  # hosts, of which each failure domain has relays
-NOTICED = 2.5  # seconds within which each host knows of a new era
+RELAYED = 18  # hosts; enough for relays in each failure domain
+NOTICE_TIME = 2.5  # seconds within which each host notices a new era
 
 
-def _work(world: ProxyWorld, gap: float = 0.03) -> None:
-    """Have each host write and read, again and again."""
+def _keep_sending(world: ProxyWorld, gap: float = 0.03) -> None:
+    """Have each host write and read every `gap` seconds."""
     for index, host in enumerate(world.hosts):
         if not host.exited:
             world.caller(index, "own").send(Write("a 1"))
             world.caller(index, "strict").send(Read("a"))
-    world.timers.after(gap, _work, world, gap)
+    world.timers.after(gap, _keep_sending, world, gap)
 
 
 def _era(world: ProxyWorld, index: int) -> int:
     return world.hosts[index].node.system(Store).era
 
 
-def _check(world: ProxyWorld) -> None:
-    """Check that nothing that was promised is lost, and no token was used twice."""
+def _check_guarantees(world: ProxyWorld) -> None:
+    """Check that all guarantees held, and that no fencing token was used twice."""
     assert world.group.lost == []
     assert world.oracle.stale == []
     assert world.judge.breaches == []
@@ -47,17 +47,17 @@
 
 
 @pytest.mark.parametrize("hosts", [3, RELAYED])
-def test_all_hosts_notice(hosts):
+def test_all_hosts_notice_a_new_era(hosts):
     world = ProxyWorld(hosts=hosts)
     world.run(4.0)
     world.come_back(world.store.copy())
-    world.run(NOTICED)
+    world.run(NOTICE_TIME)
     assert {_era(world, index) for index in range(hosts)} == {world.store.era}
 
 
 @pytest.mark.parametrize("hosts", [3, RELAYED])
-def test_changes_after_a_copy_are_learnt(hosts):
-    """Guard against cursors that look whole: versions are given out again."""
+def test_changes_after_a_restore_reach_all_hosts(hosts):
+    """Guard against missed changes: a restored store assigns versions again."""
     world = ProxyWorld(hosts=hosts)
     world.run(2.0)
     copy = world.store.copy()
@@ -66,7 +66,7 @@
     world.run(2.0)
     world.come_back(copy, written_again=0.1)
     world.configure(configuration(20, transaction_idle=7.0))
-    world.run(NOTICED)
+    world.run(NOTICE_TIME)
     for host in world.hosts:
         assert host.tables.configuration.transaction_idle == 7.0
 
@@ -83,7 +83,8 @@
     assert {host.tables.configuration.version for host in world.hosts} == {5}
 
 
-def test_host_that_starts_meanwhile_is_told_by_its_neighbours():
+def test_host_that_starts_after_a_restore_gets_the_configuration_from_relays():
+    """Guard against the use of an older configuration, with a revoked key."""
     world = ProxyWorld(hosts=RELAYED)
     world.configure(identified(customer("acme", "key-a", "key-b")))
     world.run(4.0)
@@ -91,7 +92,7 @@
     world.configure(identified(customer("acme", "key-a"), version=5))
     world.run(2.0)
     world.come_back(copy, written_again=60.0)
-    world.run(NOTICED)
+    world.run(NOTICE_TIME)
     index = next(
         i
         for i, host in enumerate(world.hosts)
@@ -104,31 +105,31 @@
     assert world.caller(index, "own", "key-b").refusal is Code.UNAUTHENTICATED
 
 
-def test_entry_of_a_copy_makes_no_old_primary_lead():
-    """Guard against an entry that says that a replaced primary leads, once more."""
+def test_restored_entry_does_not_make_a_replaced_primary_lead():
+    """Guard against a restored entry that names a replaced endpoint primary again."""
     world = ProxyWorld()
     world.run(1.0)
     copy = world.store.copy()
     world.crash("db-casa")
-    _work(world)
+    _keep_sending(world)
     world.run(3.0)
-    leader = world.primary.name
-    assert leader != "db-casa"
+    successor = world.primary.name
+    assert successor != "db-casa"
     world.restart("db-casa")
     world.run(1.0)
     world.come_back(copy, written_again=1.0)
-    believed = set()
+    primaries = set()
     for _ in range(30):
         world.run(0.1)
-        believed |= {h.tables.group("claims-core").primary for h in world.hosts}
-    assert believed == {leader}
-    _check(world)
+        primaries |= {h.tables.group("claims-core").primary for h in world.hosts}
+    assert primaries == {successor}
+    _check_guarantees(world)
 
 
-def test_tokens_rise_above_those_that_the_store_forgot():
-    """Guard against two holders that order promotions with one token."""
+def test_fencing_tokens_rise_above_those_that_the_store_lost():
+    """Guard against two claim holders that order promotions with the same token."""
     world = ProxyWorld()
-    _work(world)
+    _keep_sending(world)
     world.run(1.0)
     copy = world.store.copy()
     for name in ("db-casa", "db-tanger"):
@@ -144,41 +145,44 @@
     after = [order.fencing_token for order in world.orders[len(before) :]]
     assert before and after
     assert min(after) > max(before)
-    _check(world)
+    _check_guarantees(world)
 
 
-def test_entries_of_hosts_are_written_again():
+def test_hosts_rewrite_their_entries_after_a_restore():
     world = ProxyWorld(hosts=3, first_start=True)
     copy = world.store.copy()
     world.run(6.0)
     world.come_back(copy)
-    world.run(NOTICED + 2.0)
+    world.run(NOTICE_TIME + 2.0)
     assert all(len(host.tables.hosts) == 3 for host in world.hosts)
 
 
-def _calls_of(world: ProxyWorld, go_away: Callable[[], None]) -> int:
+def _calls_of(world: ProxyWorld, disrupt: Callable[[], None]) -> int:
     world.run(10.0)
     before = world.store.calls
-    go_away()
+    disrupt()
     world.run(5.0)
     return world.store.calls - before
 
 
-def test_new_era_takes_no_more_calls_than_the_store_being_away():
-    """Guard against a storm of lists: calls are charged, and refused beyond a rate."""
-    plain, copied = ProxyWorld(hosts=60), ProxyWorld(hosts=60)
+def test_new_era_takes_no_more_calls_than_an_outage():
+    """Guard against lists by all hosts at once: calls are charged and rate limited."""
+    outage, restored = ProxyWorld(hosts=60), ProxyWorld(hosts=60)
 
-    def go_away() -> None:
-        plain.store.refuse_all()
-        plain.run(0.3)
-        plain.store.faults.refusing = False
+    def disrupt() -> None:
+        outage.store.refuse_all()
+        outage.run(0.3)
+        outage.store.faults.refusing = False
 
-    away = _calls_of(plain, go_away)
-    assert _calls_of(copied, lambda: copied.come_back(copied.store.copy())) <= away
+    outage_calls = _calls_of(outage, disrupt)
+    assert (
+        _calls_of(restored, lambda: restored.come_back(restored.store.copy()))
+        <= outage_calls
+    )
 
 
 def test_tables_are_followed_once_after_a_new_era():
-    """Guard against two loops that follow one table, by a relay and beside it."""
+    """Guard against two loops that follow one table, at a relay and at the store."""
     world = ProxyWorld(hosts=RELAYED)
     world.run(10.0)
 
@@ -199,43 +203,43 @@
     return sum(count.value for count in host.counts if count.name == name)
 
 
-# -- Beside the replacement of a primary -------------------------------------
+# -- During the replacement of a primary -------------------------------------
 
-COPIED = (-2.0, -0.5, 0.05, 0.2, 0.4, 0.6, 0.8, 1.0, 1.3)  # seconds after the crash
-AGES = (0.1, 0.4, 0.9, 2.0)  # of the copy as the store comes back
+BACKUPS = (-2.0, -0.5, 0.05, 0.2, 0.4, 0.6, 0.8, 1.0, 1.3)  # seconds after the crash
+AGES = (0.1, 0.4, 0.9, 2.0)  # seconds from the crash or a later backup to the restore
 
 
 @pytest.mark.parametrize("fences", [True, False])
 @pytest.mark.parametrize("age", AGES)
-@pytest.mark.parametrize("copied", COPIED)
-def test_copy_at_any_moment_of_a_replacement(copied, age, fences):
-    """Guard against lost claims, orders and evidence, whenever the store forgets."""
+@pytest.mark.parametrize("backup_at", BACKUPS)
+def test_backup_at_any_moment_of_a_replacement(backup_at, age, fences):
+    """Guard against lost claims, orders and reports, whichever writes are lost."""
     times = GroupTimes(promotion=0.6)
     world = ProxyWorld(hosts=4, fences=fences, goes_on=not fences, times=times)
-    _work(world)
+    _keep_sending(world)
     world.run(1.0)
-    if copied > 0.0:
+    if backup_at > 0.0:
         world.crash("db-casa")
-        world.run(copied)
+        world.run(backup_at)
         copy = world.store.copy()
         world.run(age)
     else:
         copy = world.store.copy()
-        world.run(max(0.0, -copied - 0.5))
+        world.run(max(0.0, -backup_at - 0.5))
         world.crash("db-casa")
         world.run(age)
     world.come_back(copy)
     world.run(8.0)
     assert world.caller(0, "own").run(Write("b 1")).code is Code.DONE
-    _check(world)
+    _check_guarantees(world)
 
 
 @pytest.mark.parametrize("age", AGES)
 @pytest.mark.parametrize("fences", [True, False])
-def test_order_that_is_carried_out_late_after_the_store_forgot_it(age, fences):
-    """Guard against commits by way of another member than the one ordered to lead."""
+def test_promotion_order_carried_out_late_after_the_store_lost_it(age, fences):
+    """Guard against commits on another endpoint than the one ordered to be promoted."""
     world = ProxyWorld(hosts=4, fences=fences, goes_on=not fences)
-    _work(world)
+    _keep_sending(world)
     world.run(1.0)
     copy = world.store.copy()
     world.orders_lost, world.orders_late = 1, 4.0
@@ -245,10 +249,10 @@
     world.restart("db-casa")
     world.run(12.0)
     assert world.caller(0, "own").run(Write("b 1")).code is Code.DONE
-    _check(world)
+    _check_guarantees(world)
 
 
-def test_copy_costs_a_replacement_no_more_than_a_second_or_so():
+def test_restore_delays_a_replacement_by_at_most_the_settle_time():
     def gap(copies: bool) -> float:
         world = ProxyWorld(hosts=4)
         world.run(1.0)
@@ -267,21 +271,21 @@
     assert gap(True) - gap(False) <= SETTLE_TIME
 
 
-# -- Beside rate limits ------------------------------------------------------
+# -- During rate limiting ----------------------------------------------------
 
 
 @pytest.mark.parametrize("age", [1.0, 8.0, 15.0])
-def test_parts_of_limits_are_granted_by_one_keeper_each(age):
-    """Guard against a keeper of before that the copy names once more."""
+def test_each_part_of_a_limit_has_one_keeper_after_a_restore(age):
+    """Guard against a restored row that names a former keeper of a part again."""
     limited = customer("acme", "key-a", rate=20.0, burst=20.0)
     world = ProxyWorld(hosts=12, slots=50, max_connections=200)
     world.configure(identified(limited))
     world.run(25.0)
     copy = world.store.copy()
-    flood = itertools.cycle(range(12))
+    host_indexes = itertools.cycle(range(12))
 
     def send() -> None:
-        index = next(flood)
+        index = next(host_indexes)
         if not world.hosts[index].exited:
             caller = world.caller(index, "own", "key-a")
             if caller.opened:
--- a/tests/core/proxy/test_eras_random.py
+++ b/tests/core/proxy/test_eras_random.py
@@ -1,4 +1,4 @@
-"""The store comes back from copies, beside all other faults in random order."""
+"""Restores of the store from backups, among all other faults in random order."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @pytest.mark.parametrize("fences", [True, False])
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_no_promise_is_broken(seed: int, fences: bool):
+def test_no_guarantee_is_broken(seed: int, fences: bool):
     play = RandomPlay(seed, 0.6, fences=fences, copies=True)
     play.run()
     group, world = play.world.group, play.world
--- a/tests/core/proxy/test_relays.py
+++ b/tests/core/proxy/test_relays.py
@@ -1,4 +1,4 @@
-"""Hosts of a large fleet that follow the store by way of others."""
+"""Hosts of a large fleet that follow the store by way of relays."""
 
 from __future__ import annotations
 
@@ -28,8 +28,10 @@
     for region in REGIONS
     for number in (1, 2)
 )
-CALM = 60.0  # seconds
-NO_RELAYS = 3.0  # seconds within which changes must be in force: too few for relays
+CALM_TIME = 60.0  # seconds without changes
+NO_RELAYS_APPLY_TIME = (
+    3.0  # seconds to apply a change; too short a time for relays to be used
+)
 APPLY_TIME = 5.0  # seconds within which a change must be in force everywhere
 
 
@@ -57,42 +59,44 @@
     return {host.tables.configuration.version for host in hosts if not host.exited}
 
 
-def test_calls_on_a_calm_day_are_those_of_the_relays(world):
-    """Symptom: half of what a calm day costs at 195 hosts are calls to the store.
+def test_only_relays_call_the_store_when_nothing_changes(world):
+    """Guard against store calls that are half of the cost of a calm day at 195 hosts.
 
-    Sequence: nothing happens. Cause: each host waited there for changes of each table.
+    Each host would wait at the store for changes of each table, though nothing happens.
     """
     before = world.store.calls
-    world.run(CALM)
+    world.run(CALM_TIME)
     calls = world.store.calls - before
     assert len(_relays(world)) == 6
-    alone = ProxyWorld(hosts=HOSTS, apply_time=NO_RELAYS)
-    alone.run(8.0)
-    before = alone.store.calls
-    alone.run(CALM)
-    assert calls <= (alone.store.calls - before) / 3
+    without_relays = ProxyWorld(hosts=HOSTS, apply_time=NO_RELAYS_APPLY_TIME)
+    without_relays.run(8.0)
+    before = without_relays.store.calls
+    without_relays.run(CALM_TIME)
+    assert calls <= (without_relays.store.calls - before) / 3
 
 
 def test_small_failure_domains_of_a_region_share_relays():
-    """Symptom: a fleet of small failure domains calls the store as if it had no relays.
+    """Guard against a fleet of small failure domains that has no relays.
 
-    Sequence: nothing happens. Cause: each failure domain had too few hosts for relays
-    of its own, and each host waited at the store.
+    Each failure domain has too few hosts for relays of its own, so that each host would
+    wait at the store.
     """
     world = ProxyWorld(hosts=HOSTS, domains=SMALL_DOMAINS)
     world.run(8.0)
     assert len(_relays(world)) == 2 * len(REGIONS)
     before = world.store.calls
-    world.run(CALM)
+    world.run(CALM_TIME)
     calls = world.store.calls - before
-    alone = ProxyWorld(hosts=HOSTS, domains=SMALL_DOMAINS, apply_time=NO_RELAYS)
-    alone.run(8.0)
-    before = alone.store.calls
-    alone.run(CALM)
-    assert calls <= (alone.store.calls - before) / 3
+    without_relays = ProxyWorld(
+        hosts=HOSTS, domains=SMALL_DOMAINS, apply_time=NO_RELAYS_APPLY_TIME
+    )
+    without_relays.run(8.0)
+    before = without_relays.store.calls
+    without_relays.run(CALM_TIME)
+    assert calls <= (without_relays.store.calls - before) / 3
 
 
-def test_small_failure_domains_share_relays_that_fail():
+def test_changes_arrive_when_shared_relays_freeze():
     world = ProxyWorld(hosts=HOSTS, domains=SMALL_DOMAINS)
     world.run(8.0)
     region = {d.name for d in SMALL_DOMAINS if d.region == REGIONS[0]}
@@ -105,11 +109,11 @@
     assert _versions([h for h in world.hosts if h not in frozen]) == {2}
 
 
-def test_a_small_failure_domain_follows_none_of_a_larger_one():
-    """Symptom: hosts whose relay refuses them call the store by turns, for ever.
+def test_a_small_failure_domain_follows_no_relays_of_a_large_one():
+    """Guard against hosts that are refused by their relay and call the store for ever.
 
-    Sequence: a region has a failure domain with relays and a small one. Cause: the
-    small one chose relays of both, among them hosts that follow others themselves.
+    A region has a large failure domain with relays and a small one. The small one would
+    choose relays among the hosts of both, also hosts that follow relays themselves.
     """
     places = 5 * ("casa-1",) + 3 * ("casa-2",) + 5 * ("tanger-1",)
     domains = tuple(FailureDomain(p, p.partition("-")[0], 0) for p in places)
@@ -120,18 +124,18 @@
 
 
 def test_first_start_takes_two_calls_of_a_follower():
-    """Each enters itself and lists the hosts; the rest it learns from its relay."""
+    """A follower writes its entry and lists the hosts; the rest is for its relay."""
     world = ProxyWorld(hosts=HOSTS, first_start=True)
     world.run(6.0)
     assert all(host.ready for host in world.hosts)
     assert world.store.calls <= 2 * HOSTS + 8 * len(_relays(world))
 
 
-def test_a_host_that_starts_again_lists_the_hosts_alone(world):
-    """Symptom: restarts in turn read bytes at the store as the square of the fleet.
+def test_a_restarting_follower_lists_only_the_hosts(world):
+    """Guard against a rolling restart that reads a square of the fleet's size in bytes.
 
-    Sequence: a host that is no relay is killed, and starts again. Cause: it listed
-    three tables at the store, of which its relays could tell it two.
+    A host that is no relay is killed and restarts. It would list three tables at the
+    store, two of which it can read from its relays.
     """
     follower = world.hosts.index(_followers(world)[0])
     before = world.store.calls
@@ -147,8 +151,8 @@
     assert _versions([host]) == {2}
 
 
-def test_a_host_that_starts_again_beside_dead_relays_lists_by_itself(world):
-    """Where all hosts lost power, those that are back first do not wait for relays."""
+def test_a_restarting_follower_does_not_wait_for_dead_relays(world):
+    """After a power failure of all hosts, relays may still be down."""
     follower = world.hosts.index(_followers(world)[0])
     for relay in _relays(world):
         relay.frozen = True
@@ -159,7 +163,7 @@
     assert _versions([host]) == {1}
 
 
-def test_a_host_that_starts_again_without_the_list_of_hosts_waits_for_none(world):
+def test_a_restarting_follower_does_not_wait_for_a_slow_list_of_hosts(world):
     world.store.faults.delay = 0.2
     follower = world.hosts.index(_followers(world)[0])
     world.kill(follower)
@@ -168,7 +172,7 @@
     assert host.ready
 
 
-def test_first_start_without_relays_that_answer():
+def test_first_start_when_no_relay_answers():
     world = ProxyWorld(hosts=HOSTS, first_start=True)
     for host in world.hosts:
         host.cut_from.update(other.name for other in world.hosts)
@@ -176,13 +180,13 @@
     assert all(host.ready for host in world.hosts)
 
 
-def test_a_change_is_known_everywhere_at_once(world):
+def test_a_change_reaches_all_hosts_at_once(world):
     _change(world, 2)
     world.run(0.1)
     assert _versions(world.hosts) == {2}
 
 
-def test_a_relay_that_ends_is_left_at_once(world):
+def test_followers_leave_a_killed_relay_at_once(world):
     dead = _relays(world)[0]
     world.kill(world.hosts.index(dead))
     world.run(0.6)
@@ -191,18 +195,18 @@
     assert _versions(world.hosts) == {2}
 
 
-def test_a_relay_that_stops_is_left_at_once(world):
+def test_followers_leave_a_stopping_relay_at_once(world):
     _relays(world)[0].stop()
     _change(world, 2)
     world.run(0.1)
     assert _versions(world.hosts) == {2}
 
 
-def test_relays_that_freeze_are_left_in_time(world):
-    """Symptom: hosts that nothing ails go by an old configuration.
+def test_followers_leave_frozen_relays_in_time(world):
+    """Guard against healthy hosts that use an old configuration.
 
-    Sequence: both relays of a failure domain freeze; their sockets stay open.
-    Cause: their followers waited for an answer that could not come.
+    Both relays of a failure domain freeze, and their sockets stay open. Their followers
+    would wait for an answer that never comes.
     """
     frozen = [host for host in _relays(world) if host.domain == "casa"]
     for relay in frozen:
@@ -212,11 +216,11 @@
     assert _versions([h for h in world.hosts if h not in frozen]) == {2}
 
 
-def test_a_relay_that_the_store_turns_away_is_left(world):
-    """Symptom: hosts that nothing ails go by an old configuration.
+def test_followers_leave_relays_that_the_store_refuses(world):
+    """Guard against healthy hosts that use an old configuration.
 
-    Sequence: the store turns both relays of a failure domain away.
-    Cause: these answered on that nothing had changed.
+    The store refuses both relays of a failure domain. The relays would go on to answer
+    that nothing has changed.
     """
     cut = [host for host in _relays(world) if host.domain == "casa"]
     world.store.faults.turned_away = {host.name for host in cut}
@@ -226,7 +230,7 @@
     assert _versions([h for h in world.hosts if h not in cut]) == {2}
 
 
-def test_a_relay_that_is_cut_from_the_store_is_left_once_it_notices(world):
+def test_followers_leave_relays_that_notice_a_cut_off_from_the_store(world):
     cut = [host for host in _relays(world) if host.domain == "casa"]
     for relay in cut:
         relay.cut_from.add("store")
@@ -235,11 +239,11 @@
     assert _versions([h for h in world.hosts if h not in cut]) == {2}
 
 
-def test_a_host_that_is_cut_off_from_all_others_learns_in_time(world):
-    """Symptom: a host that nothing else ails goes by an old configuration.
+def test_a_host_that_is_cut_off_from_all_others_gets_changes_in_time(world):
+    """Guard against an otherwise healthy host that uses an old configuration.
 
-    Sequence: it is cut off from all other hosts, and not from the store.
-    Cause: it asked all relays of its region, and waited for each in turn.
+    The host is cut off from all other hosts, but not from the store. It would try all
+    relays of its region, and wait for each in turn.
     """
     host = _followers(world)[0]
     for number in range(10):
@@ -252,7 +256,7 @@
         world.run(10.0 + number / 10)  # it follows a relay again
 
 
-def test_an_outage_is_looked_at_by_few_calls(world):
+def test_an_outage_takes_few_calls(world):
     before = world.store.calls
     world.store.refuse_all()
     world.run(9.0)
@@ -263,7 +267,7 @@
     assert _versions(world.hosts) == {2}
 
 
-def test_a_host_that_the_store_turns_away_learns_by_its_relay(world):
+def test_a_host_that_the_store_refuses_gets_changes_from_its_relay(world):
     host = _followers(world)[0]
     world.store.faults.turned_away = {host.name}
     _change(world, 2)
@@ -271,7 +275,7 @@
     assert _versions([host]) == {2}
 
 
-def test_a_follower_that_goes_to_another_relay_misses_nothing(world):
+def test_a_follower_that_switches_relays_misses_no_change(world):
     host = _followers(world)[0]
     near = [relay for relay in _relays(world) if relay.domain == host.domain]
     for version, relay in enumerate(2 * near, 2):
@@ -283,7 +287,7 @@
         assert _versions([host]) == {version}
 
 
-def test_hosts_that_come_and_go_change_few_relays(world):
+def test_a_stopping_follower_does_not_change_the_relays(world):
     before = {host.name for host in _relays(world)}
     leaving = next(h for h in _followers(world) if h.domain == "casa")
     leaving.stop()
@@ -291,7 +295,7 @@
     assert {host.name for host in _relays(world)} - {leaving.name} == before
 
 
-# -- What a relay answers ----------------------------------------------------
+# -- Answers of a relay ------------------------------------------------------
 
 
 def _reply(version: int, *names: str, is_snapshot: bool = False, gone: bool = False):
@@ -315,27 +319,27 @@
     return [row.key.key for row in reply.rows], reply.is_snapshot
 
 
-def test_changes_after_a_version_are_told(feeds):
+def test_changes_after_a_version_are_sent(feeds):
     feeds.apply(Table.HOSTS, _reply(12, "c"), by_relay=False)
     assert _changes_after(feeds, 10) == (["c"], False)
     assert _changes_after(feeds, 12) == ([], False)
 
 
-def test_whoever_knows_too_little_is_told_the_whole_table(feeds):
+def test_a_follower_with_too_old_a_version_gets_the_whole_table(feeds):
     assert _changes_after(feeds, 9) == (["a", "b"], True)
 
 
-def test_removed_rows_are_told_and_are_no_part_of_the_whole(feeds):
+def test_removed_rows_are_sent_as_changes_but_not_in_a_snapshot(feeds):
     feeds.apply(Table.HOSTS, _reply(13, "a", gone=True), by_relay=False)
     assert _changes_after(feeds, 10) == (["a"], False)
     assert _changes_after(feeds, 1) == (["b"], True)
 
 
-def test_a_follower_that_knows_more_is_told_nothing_older(feeds):
+def test_a_follower_with_a_newer_version_gets_no_older_rows(feeds):
     assert _changes_after(feeds, 99) == ([], False)
 
 
-def test_removed_rows_are_not_kept_for_ever(feeds):
+def test_the_number_of_kept_removed_rows_is_limited(feeds):
     for number in range(REMOVED_MAX + 5):
         gone = _reply(20 + number, f"n{number}", gone=True)
         feeds.apply(Table.HOSTS, gone, by_relay=False)
@@ -345,21 +349,21 @@
     assert not _changes_after(feeds, 24)[1]
 
 
-def test_many_changes_are_told_by_few_answers(world):
-    """Symptom: a relay of a large fleet sends more than its link takes.
+def test_many_changes_are_sent_in_few_answers(world):
+    """Guard against a relay of a large fleet that exceeds its network bandwidth.
 
-    Sequence: entries of endpoints change many times within seconds, as at their start.
-    Cause: each change was told to each follower by itself.
+    Entries of endpoints change many times within seconds, as when they start. Each
+    change would be sent to each follower separately.
     """
     followers = len(_followers(world))
-    before = sum(_answers(host) for host in world.hosts)
+    before = sum(_answer_count(host) for host in world.hosts)
     for _ in range(40):
         for name in ("db-tanger", "db-agadir"):
             world.enter(world.group.replicas[name])
         world.run(0.05)
-    told = sum(_answers(host) for host in world.hosts) - before
-    assert told <= 12 * followers
+    answers = sum(_answer_count(host) for host in world.hosts) - before
+    assert answers <= 12 * followers
 
 
-def _answers(host: Host) -> int:
+def _answer_count(host: Host) -> int:
     return sum(1 for count in host.counts if count.name == "relay_calls")
--- a/tests/core/proxy/test_store.py
+++ b/tests/core/proxy/test_store.py
@@ -1,4 +1,4 @@
-"""The store's faults: outages, lost answers, history that is gone."""
+"""Faults of the store: outages, lost answers, and lost history."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
     configuration,
 )
 
-SETTLE_TIME = 6.0  # seconds after a disruption, as the hosts of this world are told
+SETTLE_TIME = 6.0  # seconds after a disruption, as configured for the hosts here
 
 
 def _versions(world: ProxyWorld) -> set[int]:
     return {host.tables.configuration.version for host in world.hosts}
 
 
-def test_change_after_lost_history_is_learnt():
+def test_change_after_lost_history_reaches_all_hosts():
     world = ProxyWorld()
     world.store.forget_history()
     world.store.put(CONFIGURATION_KEY, configuration(2))
@@ -24,11 +24,11 @@
     assert _versions(world) == {2}
 
 
-def test_history_that_stays_gone_is_not_asked_for_without_a_pause():
-    """Symptom: hundreds of calls to the store within seconds.
+def test_lost_history_is_not_requested_in_a_tight_loop():
+    """Guard against hundreds of calls to the store within seconds.
 
-    Sequence: the store drops its history, and its reads are behind for a while. Cause:
-    each list gives a version that has no history after it, and is made again at once.
+    The store drops its history, and its reads are behind for a while. Each list then
+    returns a version from which there is no history, so that hosts list again at once.
     """
     world = ProxyWorld()
     forgotten = world.store._forgotten
@@ -45,7 +45,7 @@
     assert _versions(world) == {3}
 
 
-def test_statements_run_while_the_store_is_away():
+def test_statements_run_during_an_outage_of_the_store():
     world = ProxyWorld()
     world.store.faults.silent = True
     caller = world.caller(0, "own")
@@ -55,7 +55,7 @@
         world.run(0.2)
 
 
-def test_change_made_while_the_store_was_away_is_learnt_soon_after():
+def test_change_made_during_an_outage_reaches_all_hosts_soon_after():
     world = ProxyWorld()
     world.store.faults.refusing = True
     world.run(5.0)
@@ -84,10 +84,10 @@
 
 
 def test_restart_of_all_hosts_takes_few_calls():
-    """Symptom: the store gets the square of the number of hosts in calls.
+    """Guard against calls that grow with the square of the number of hosts.
 
-    Sequence: all hosts lose power and start again. Cause: each enters itself anew, and
-    each is told of each by itself.
+    All hosts lose power and restart. Each host writes its entry again, and each host
+    would get the entry of each other host in a separate reply.
     """
     world = ProxyWorld(hosts=20)
     world.run(4.0)
@@ -98,11 +98,11 @@
     assert all(host.ready for host in world.hosts)
 
 
-def test_an_outage_is_looked_at_by_one_call_of_each_host():
-    """Symptom: half of a day's store calls are made while the store refuses them.
+def test_each_host_retries_one_call_at_a_time_during_an_outage():
+    """Guard against half of a day's store calls being made during one outage.
 
-    Sequence: the store refuses some hosts for nine seconds.
-    Cause: each host repeats the calls of all three tables that it follows.
+    The store refuses all hosts for nine seconds. Each host would retry the calls of all
+    three tables that it follows, and refused calls are charged.
     """
     world = ProxyWorld()
     before = world.store.calls
@@ -115,11 +115,11 @@
     assert _versions(world) == {2}
 
 
-def test_versions_in_quick_succession_are_learnt_in_few_calls():
-    """Symptom: a storm of configurations is a storm of calls by all hosts.
+def test_versions_in_quick_succession_take_few_calls():
+    """Guard against one call of each host for each of many versions.
 
-    Sequence: 25 versions within two seconds.
-    Cause: each host asks for the next change the moment that it has one.
+    Operators write 25 versions of the configuration within two seconds. Each host would
+    request the next change as soon as it has received one.
     """
     world = ProxyWorld()
     before = world.store.calls
@@ -131,13 +131,12 @@
     assert world.store.calls - before < 8 * len(world.hosts)
 
 
-def test_change_after_a_silent_outage_is_learnt_in_time():
-    """Symptom: statements reach an endpoint ten seconds after it said that it leaves,
-    and nobody replaces it, though it is the primary.
+def test_change_after_an_outage_without_answers_reaches_hosts_in_time():
+    """Guard against a host that misses changes for long after an outage.
 
-    Sequence: the store answers nothing for four seconds. A host asks for changes
-    meanwhile; the store is back and never answers that call.
-    Cause: hosts waited for its answer for 32 seconds, and learnt of no change.
+    The store answers nothing for four seconds, and never answers calls that it received
+    meanwhile. A host that waited 32 seconds for such an answer sent statements to a
+    leaving primary ten seconds after it had announced that, and did not replace it.
     """
     world = ProxyWorld()
     world.store.faults.silent = True
