--- a/mallowpass/core/proxy/links.py
+++ b/mallowpass/core/proxy/links.py
@@ -25,7 +25,7 @@
 from mallowpass.core.proxy.holders import Holders
 from mallowpass.core.proxy.load import Load
 from mallowpass.core.proxy.pauses import Pauses
-from mallowpass.core.proxy.sessionstate import calls_to_set_up
+from mallowpass.core.proxy.sessionstate import make_setup_calls
 from mallowpass.core.proxy.signals import (
     ConnectionFreed,
     EndpointExpired,
@@ -34,7 +34,7 @@
     WriteAcknowledged,
     WriteStalled,
 )
-from mallowpass.core.proxy.stalls import WRITES_STALL, Stalls
+from mallowpass.core.proxy.stalls import WRITES_STALLED_MESSAGE, Stalls
 from mallowpass.core.proxy.statements import (
     Access,
     Begin,
@@ -201,7 +201,7 @@
             self._refuse(link, Code.UNAUTHENTICATED, "no such customer")
         elif link not in self._waiting:
             if self._holds_back(link):
-                self._refuse(link, Code.BUSY, WRITES_STALL)
+                self._refuse(link, Code.BUSY, WRITES_STALLED_MESSAGE)
                 return
             if not _is_reached(link.endpoint) and self._is_replaced(link):
                 self._refuse(link, Code.NOT_PRIMARY, "another one leads")
@@ -217,15 +217,15 @@
 
     def _is_outdated(self, link: LinkRow) -> bool:
         """Tell whether writes that were read after a pause may be too old to run."""
-        waited = self._pauses.wait_max
-        timeout = self._stalls.statement_timeout(link.endpoint.entry.service)
+        waited = self._pauses.max_input_delay
+        timeout = self._stalls.shortest_statement_timeout(link.endpoint.entry.service)
         if waited < timeout:
             return False
         return any(_is_write(link, call.statement) for call in link.waiting)
 
     def _refuse_outdated(self, link: LinkRow) -> None:
         if link.connection is None:
-            why = f"it was paused for {self._pauses.wait_max:.1f} s"
+            why = f"it was paused for {self._pauses.max_input_delay:.1f} s"
             self._refuse(link, Code.BUSY, why)
         else:
             self._end(link)  # which rolls its transaction back
@@ -242,7 +242,7 @@
         """Tell whether a write that waits would hang at a primary that stalls."""
         if not any(_is_write(link, call.statement) for call in link.waiting):
             return False
-        return self._stalls.holds_back_write(self._group(link))
+        return self._stalls.should_refuse_write(self._group(link))
 
     def _group(self, link: LinkRow) -> GroupRow:
         return self.tables.group(link.endpoint.entry.service)
@@ -290,7 +290,7 @@
             return False
         # What a holder asks for is not passed on to a third host: two that are short of
         # connections would wait for each other.
-        connection = self._connections.take(
+        connection = self._connections.acquire(
             link.endpoint, link.values, link.customer, own_only=link.is_from_holder
         )
         if connection is None:
@@ -362,7 +362,7 @@
             calls = [replace(call, on_behalf_of=link.on_behalf_of) for call in calls]
         names = {c.statement.name for c in calls if isinstance(c.statement, Execute)}
         prepared = [link.prepared[name] for name in names if name in link.prepared]
-        set_up = calls_to_set_up(connection, link.values, prepared)
+        set_up = make_setup_calls(connection, link.values, prepared)
         link.in_flight += len(calls)
         skipped = len(set_up)
         sent_at = self.now
@@ -402,7 +402,7 @@
             reply.code is Code.DONE and call.statement.takes_slot
             for call, reply in zip(calls, replies, strict=True)
         ):
-            self._load.measured(link.endpoint, self.now - sent_at)
+            self._load.record_latency(link.endpoint, self.now - sent_at)
         for call, reply in zip(calls, replies, strict=True):
             if call.minimum is not None:
                 self._note_floor(link.endpoint, reply)
@@ -412,9 +412,9 @@
                 continue
             if reply.state is SessionState.IDLE:  # a write that stood alone
                 self._node.publish(WriteAcknowledged(group))
-                self._floors.acknowledged(link.endpoint, reply.position, sent_at)
+                self._floors.record_commit(link.endpoint, reply.position, sent_at)
             else:
-                self._floors.sample(group, reply.position, sent_at)
+                self._floors.record_sample(group, reply.position, sent_at)
 
     def _note_floor(self, endpoint: EndpointRow, reply: EndpointReply) -> None:
         """Learn whether an endpoint is behind from what it answers other hosts.
@@ -422,9 +422,9 @@
         A holder has few callers of its own, and is the one that has it relieved.
         """
         if reply.code is Code.BEHIND:
-            self._floors.lacked(endpoint)
+            self._floors.mark_behind(endpoint)
         elif reply.code is Code.DONE:
-            self._floors.reached(endpoint)
+            self._floors.mark_caught_up(endpoint)
 
     def _with_floor(self, link: LinkRow, reply: EndpointReply) -> EndpointReply:
         """Return a reply with the newest sample, for the host that asked.
--- a/mallowpass/core/proxy/suspicion.py
+++ b/mallowpass/core/proxy/suspicion.py
@@ -254,14 +254,14 @@
             report = self._read(row)
             if report is None:
                 continue
-            self._durability.learn(group, report.must_hold)
+            self._durability.raise_must_hold(group, report.must_hold)
             young = reply.time - report.time < REPORT_TIME
             if report.primary == suspect.primary and young:
                 hosts.add(row.key.key)
         if len(hosts) < self._quorum(service):
             return False
         why = f"{suspect.why}; seen by {','.join(sorted(hosts))}"
-        reason = Reason.STALLED if suspect.stalls else Reason.SILENT
+        reason = Reason.STALLED if suspect.stalls else Reason.UNAVAILABLE
         self._promotion.replace(group, suspect.primary, reason, why)
         return True
 
@@ -273,7 +273,7 @@
             return None
 
     def _quorum(self, service: str) -> int:
-        hosts = self._holders.holding_hosts(service)
+        hosts = self._holders.holder_count(service)
         if hosts == 1 and self.now >= self._started_at + ALONE_TIME:
             return 1
         return max(QUORUM_MIN, math.ceil(QUORUM_SHARE * hosts))
