--- a/mallowpass/core/proxy/configuration.py
+++ b/mallowpass/core/proxy/configuration.py
@@ -96,7 +96,8 @@
 class Configuration:
     """One complete version of the configuration; `transaction_idle` in seconds.
 
-    If `authenticates_callers`, callers have to show the credential of a customer.
+    If `authenticates_callers`, callers have to show the credential of a customer,
+    except on public routes.
     """
 
     version: int
@@ -109,7 +110,7 @@
     credential_owners: dict[str, Customer] = field(default_factory=dict)
 
     def customer_of(self, credential: str) -> Customer | None:
-        """Return the customer that holds a credential, None if there is none."""
+        """Return the customer that holds a credential, None if no customer does."""
         return self.credential_owners.get(credential)
 
 
--- a/mallowpass/core/proxy/effects.py
+++ b/mallowpass/core/proxy/effects.py
@@ -143,7 +143,7 @@
 
 @record
 class CloseLink(ProxyEffect):
-    """Close a link; its unanswered calls are not answered any more."""
+    """Close a link; its unanswered calls remain unanswered."""
 
     link: int
 
--- a/mallowpass/core/proxy/signals.py
+++ b/mallowpass/core/proxy/signals.py
@@ -20,8 +20,8 @@
     "AttemptLost",
     "AttemptOverdue",
     "AttemptRefused",
-    "ConfigurationAccepted",
     "CallsSent",
+    "ConfigurationAccepted",
     "ConnectionFreed",
     "DrainBegan",
     "EndpointChanged",
@@ -30,17 +30,17 @@
     "EndpointUnreachable",
     "EraChanged",
     "FloorReceived",
+    "ForwardedConnectionRefused",
     "KeepersChanged",
     "PrimaryChanged",
     "PrimaryConfirmed",
-    "ReplicationConfirmed",
     "PrimaryStalled",
     "PrimarySuspected",
     "ReplicaStuck",
     "ReplicasBehind",
+    "ReplicationConfirmed",
     "StatementAnswered",
     "TransactionLost",
-    "ForwardedConnectionRefused",
     "WriteAcknowledged",
     "WriteStalled",
 ]
@@ -123,7 +123,7 @@
 
 @record
 class EraChanged(Signal):
-    """The store was restored from a backup; later writes to it are lost."""
+    """The store was restored from a backup; writes after that backup are lost."""
 
     previous_era: int
     era: int
@@ -152,9 +152,9 @@
 
 @record
 class ReplicationConfirmed(Signal):
-    """Replicas received the log position that a primary had reported.
+    """Replicas received the log up to the position that a primary had reported.
 
-    So the primary's writes are acknowledged.
+    So replication works, and writes to the primary are acknowledged.
     """
 
     group: GroupRow
--- a/mallowpass/core/proxy/statements.py
+++ b/mallowpass/core/proxy/statements.py
@@ -213,13 +213,12 @@
 
 @record
 class EndpointCall:
-    """A call of an endpoint to run one statement.
+    """A call to an endpoint, or to a holder, to run one statement.
 
     `request_id` is the caller's, empty for statements of this host itself. The endpoint
-    refuses the call unless its log has reached `minimum`. `priority` and `on_behalf_of`
-    are None in calls sent to an endpoint; in calls sent to a holder, a host that
-    forwards them, they state the order (0 first) and the customer whose connections the
-    holder uses.
+    refuses the call unless its log has reached `minimum`. A holder is a host that
+    forwards calls: it serves them by `priority`, 0 first, on connections of the
+    customer that `on_behalf_of` names. Both are None in calls sent to an endpoint.
     """
 
     statement: Statement
--- a/mallowpass/core/proxy/storage.py
+++ b/mallowpass/core/proxy/storage.py
@@ -25,8 +25,8 @@
     "Unreadable",
     "WatchRows",
     "era_of",
-    "store_version",
     "make_version",
+    "store_version",
 ]
 
 
@@ -86,7 +86,7 @@
 
 @record
 class Unreadable:
-    """A stored value that is malformed for its table, as another writer's may be."""
+    """Stands for a stored value that is malformed, as another program wrote it."""
 
     reason: str
 
@@ -165,8 +165,8 @@
     """Reply to a call; `time` is the store's steady clock in seconds.
 
     If `is_snapshot`, the rows are all rows of the table, else only the changed ones.
-    `era` grows each time that the store is restored from a backup, by which it loses
-    later writes.
+    `era` grows each time that the store is restored from a backup; writes after that
+    backup are lost.
     """
 
     status: StoreStatus
--- a/mallowpass/core/proxy/tables.py
+++ b/mallowpass/core/proxy/tables.py
@@ -100,7 +100,7 @@
     customer: str | None = None
 
     def can_serve(self, customer: str | None) -> bool:
-        """Return whether it may run statements of a customer; None: of this host."""
+        """Return whether it may run a customer's statements; None: this host's own."""
         return customer is None or bool(self.holder) or self.customer == customer
 
 
@@ -122,7 +122,7 @@
     last_reply_at: float = float("-inf")
     # Reads whose floor is above `position` are not sent to it before this time.
     behind_backoff_until: float = float("-inf")
-    behind_backoff: float = 0.0  # seconds; 0: it reached the last floor asked of it
+    behind_backoff: float = 0.0  # seconds; 0: reached the last floor asked of it
     behind_since: float | None = None  # first refusal since it last reached a floor
     stuck_reports: int = 0  # times that ReplicaStuck was published since then
     latency: float = 0.0  # moving average of statements, seconds; owned by load
@@ -136,7 +136,7 @@
     is_role_unconfirmed: bool = False
     # It has been leaving for longer than the time limit: nothing may be sent to it.
     is_retired: bool = False
-    # Version of the first entry since which all entries named it primary.
+    # Version of the first of the consecutive entries that name it primary.
     primary_since_version: int = 0
     # Newest version of an entry that names it primary although the endpoint itself
     # answered that it is not.
@@ -173,8 +173,8 @@
     primary: str = ""  # name of the endpoint assumed to be primary; empty: unknown
     primary_version: int = 0  # of the store entry that names it primary
     term: int = 0  # newest one seen in a log position
-    # The last known primary, and the newest term seen before it became primary. Kept
-    # while `primary` is empty. Owned by members.
+    # The last known primary, also while `primary` is empty, and the newest term seen
+    # before that endpoint became primary. Owned by members.
     last_primary: str = ""
     previous_term: int = 0
     # Position that any new primary must have reached, as commits up to it are, or may
@@ -237,7 +237,7 @@
     # Its reads are known to see all commits acknowledged before the transaction.
     has_proven_floor: bool = False
     idle_timer: Timer | None = None
-    # Why it ended between two statements, which its caller has yet to be told.
+    # Why it ended between two statements; reported on the caller's next statement.
     lost_reason: str = ""
 
 
@@ -302,7 +302,7 @@
 
     @property
     def primary_only(self) -> bool:
-        """Return whether replicas may not run it, whatever their log position."""
+        """Return whether only the primary may run it, however recent replicas are."""
         return self.needs_primary or self.route.consistency is Consistency.PRIMARY
 
     @property
