--- a/mallowpass/core/proxy/control.py
+++ b/mallowpass/core/proxy/control.py
@@ -1,4 +1,4 @@
-"""This host's own questions and orders to endpoints, ahead of callers' statements."""
+"""Statements that this host itself sends to endpoints, ahead of callers' statements."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 
 __all__ = ["Control", "ControlRequest"]
 
-BUSY_PAUSE = 0.03  # seconds before a question is repeated that found no slot
+RETRY_DELAY = 0.03  # seconds before statements that found no free slot are sent again
 
-# Answers after which another attempt may do, by another way perhaps.
-_TRY_AGAIN = (Code.BUSY, Code.UNREACHABLE)
+# Codes after which another attempt may succeed, perhaps through another holder.
+_RETRIED_CODES = (Code.BUSY, Code.UNREACHABLE)
 
-# Called with the replies, None when none came in time.
+# Called with the replies, None if they did not come in time.
 RepliesHandler = Callable[[list[EndpointReply] | None], None]
 
 
 class ControlRequest:
-    """Hold statements that wait for a connection or for their replies."""
+    """Statements that wait for a connection or for their replies."""
 
     __slots__ = (
         "calls",
@@ -42,7 +42,7 @@
         "expires",
         "handler",
         "timer",
-        "way",
+        "via",
     )
 
     def __init__(
@@ -51,10 +51,10 @@
         calls: list[EndpointCall],
         handler: RepliesHandler,
         expires: float,
-        way: HostRow | None,
+        via: HostRow | None,
     ) -> None:
         self.endpoint = endpoint
-        self.way = way
+        self.via = via  # host that forwards the statements; None: no special one
         self.calls = calls
         self.handler: RepliesHandler | None = handler
         self.expires = expires
@@ -63,12 +63,12 @@
 
     @property
     def was_sent(self) -> bool:
-        """Tell whether there was a connection to send it on."""
+        """Return whether the statements were sent on a connection."""
         return self.connection is not None
 
 
 class Control(ProxySystem):
-    """Send statements of this host to endpoints, each over a connection of its own."""
+    """Send this host's statements to endpoints, each request on its own connection."""
 
     __slots__ = ("_connections", "_waiting")
 
@@ -77,9 +77,9 @@
         self._waiting: list[ControlRequest] = []
 
     def start(self) -> None:
-        """Take connections as they become free, before callers' statements do."""
+        """Subscribe to freed connections: requests here get them before callers do."""
         self._connections = self._node.system(Connections)
-        self._node.subscribe(ConnectionFreed, self._on_freed)
+        self._node.subscribe(ConnectionFreed, self._on_connection_freed)
         self._node.subscribe(EndpointRestarted, self._on_restarted)
 
     def send(
@@ -88,93 +88,95 @@
         statements: tuple[Statement, ...],
         handler: RepliesHandler,
         timeout: float,
-        way: HostRow | None = None,
+        via: HostRow | None = None,
     ) -> ControlRequest:
         """Send statements in one write; the handler gets all replies, or None.
 
-        With `way`, they go by way of that host and no other way.
+        With `via`, they are sent only through a forwarded connection of that host.
+        `timeout` is in seconds.
         """
         calls = [EndpointCall(statement) for statement in statements]
-        question = ControlRequest(endpoint, calls, handler, self.now + timeout, way)
-        question.timer = self.timers.after(timeout, self._finish, question, None)
-        self._waiting.append(question)
-        self._try(question)
-        return question
-
-    def cancel_forwarded(self, endpoint: EndpointRow, way: str) -> None:
-        """End questions that wait for a way by which an endpoint is not reached."""
-        for question in list(self._waiting):
-            goes_by = question.way is not None and question.way.name == way
-            if goes_by and question.endpoint is endpoint:
-                self._finish(question, None)
-
-    def _on_freed(self, signal: ConnectionFreed) -> None:
-        for question in list(self._waiting):
-            if question.endpoint is signal.endpoint:
-                self._try(question)
+        request = ControlRequest(endpoint, calls, handler, self.now + timeout, via)
+        request.timer = self.timers.after(timeout, self._finish, request, None)
+        self._waiting.append(request)
+        self._try_send(request)
+        return request
+
+    def cancel_forwarded(self, endpoint: EndpointRow, host: str) -> None:
+        """End requests that wait for a connection to an endpoint through a host."""
+        for request in list(self._waiting):
+            is_via_host = request.via is not None and request.via.name == host
+            if is_via_host and request.endpoint is endpoint:
+                self._finish(request, None)
+
+    def _on_connection_freed(self, signal: ConnectionFreed) -> None:
+        for request in list(self._waiting):
+            if request.endpoint is signal.endpoint:
+                self._try_send(request)
 
     def _on_restarted(self, signal: EndpointRestarted) -> None:
-        """End questions to an endpoint's earlier start: the new one can't answer them.
+        """End requests to an endpoint that restarted before they were sent.
 
-        Those that were sent end with their connections.
+        The endpoint's new start cannot answer them. Requests that were sent end with
+        their connections.
         """
-        for question in list(self._waiting):
-            if question.endpoint is signal.before:
-                self._finish(question, None)
+        for request in list(self._waiting):
+            if request.endpoint is signal.before:
+                self._finish(request, None)
 
-    def _try(self, question: ControlRequest) -> None:
-        if question.handler is None or question not in self._waiting:
+    def _try_send(self, request: ControlRequest) -> None:
+        if request.handler is None or request not in self._waiting:
             return
-        connection = self._take(question)
+        connection = self._take_connection(request)
         if connection is None:
             return
-        self._waiting.remove(question)
-        question.connection = connection
-        connection.on_lost = lambda _, why: self._finish(question, None)
+        self._waiting.remove(request)
+        request.connection = connection
+        connection.on_lost = lambda _, why: self._finish(request, None)
 
         def on_replies(connection: ConnectionRow, replies: list[EndpointReply]) -> None:
-            self._on_replies(question, connection, replies)
+            self._on_replies(request, connection, replies)
 
-        self._connections.send(connection, question.calls, on_replies)
+        self._connections.send(connection, request.calls, on_replies)
 
-    def _take(self, question: ControlRequest) -> ConnectionRow | None:
-        """Return an idle connection; have one opened if there is none."""
-        if question.way is not None:
-            return self._connections.take_by(question.endpoint, question.way)
-        connection = self._connections.take(question.endpoint, None)
+    def _take_connection(self, request: ControlRequest) -> ConnectionRow | None:
+        """Return an idle connection; if there is none, open one and return None."""
+        if request.via is not None:
+            return self._connections.take_by(request.endpoint, request.via)
+        connection = self._connections.take(request.endpoint, None)
         if connection is None:
-            self._connections.grow(question.endpoint, beyond_share=True)
+            self._connections.grow(request.endpoint, beyond_share=True)
         return connection
 
     def _on_replies(
         self,
-        question: ControlRequest,
+        request: ControlRequest,
         connection: ConnectionRow,
         replies: list[EndpointReply],
     ) -> None:
-        if question.way is None:
+        if request.via is None:
             self._connections.release(connection)
-        if question.handler is None:
+        if request.handler is None:
             return
-        again = question.way is None and any(
-            reply.code in _TRY_AGAIN for reply in replies
+        can_retry = request.via is None and any(
+            reply.code in _RETRIED_CODES for reply in replies
         )
-        if again and self.now + BUSY_PAUSE < question.expires:
-            self._waiting.append(question)
-            self.timers.after(BUSY_PAUSE, self._try, question)
+        if can_retry and self.now + RETRY_DELAY < request.expires:
+            self._waiting.append(request)
+            self.timers.after(RETRY_DELAY, self._try_send, request)
             return
-        self._finish(question, replies)
+        self._finish(request, replies)
 
     def _finish(
-        self, question: ControlRequest, replies: list[EndpointReply] | None
+        self, request: ControlRequest, replies: list[EndpointReply] | None
     ) -> None:
-        handler, question.handler = question.handler, None
-        if question in self._waiting:
-            self._waiting.remove(question)
-        if question.timer is not None:
-            question.timer.cancel()
-        if question.way is not None and question.connection is not None:
-            question.connection.on_lost = None
-            self._connections.close(question.connection, "its question has ended")
+        handler, request.handler = request.handler, None
+        if request in self._waiting:
+            self._waiting.remove(request)
+        if request.timer is not None:
+            request.timer.cancel()
+        if request.via is not None and request.connection is not None:
+            request.connection.on_lost = None
+            self._connections.close(request.connection, "its control request has ended")
         if handler is not None:
             handler(replies)
--- a/mallowpass/core/proxy/demotion.py
+++ b/mallowpass/core/proxy/demotion.py
@@ -1,14 +1,16 @@
-"""Having a replaced primary step down before replicas receive again.
-
-A primary that was replaced may go on until it hears of its successor. A replica that
-receives again follows whichever of the two it hears first, so it may acknowledge
-commits that the successor never has. They show as acknowledged commits that are lost.
-While replicas are paused, and once it has stepped down, it can't have any acknowledged.
-
-The order names a term and changes nothing at a primary of that term or a newer one:
-carried out late it does no harm, whether or not the platform checks fencing tokens. It
-never names a term above that of the successor, so a host that is wrong about which of
-two leads can't have the newer one step down. Where that is open, both are asked.
+"""Demotion of a replaced primary before the replicas of its group resume.
+
+A replaced primary goes on to accept transactions until it learns of its successor. A
+resumed replica follows the first of the two that it learns of, so it may acknowledge
+commits of the replaced primary that the successor never receives, and these
+acknowledged commits are lost. The replaced primary cannot get a commit acknowledged
+while its replicas are paused, nor once it has stepped down.
+
+The order to step down names a term, and changes nothing at a primary of that term or a
+newer one. An order that is carried out late is harmless therefore, whether or not the
+platform checks fencing tokens. The order never names a term above the successor's, so a
+host that mistakes which of two endpoints is primary cannot make the newer one step
+down. Where that is unclear, both endpoints are asked for their terms.
 """
 
 from __future__ import annotations
@@ -32,52 +34,55 @@
 
 __all__ = ["Demotion"]
 
-# Seconds that are waited for a primary's word. One that is dark says nothing, and the
-# successor's writes wait meanwhile; a round trip between regions takes a tenth.
-WAIT_MAX = 0.5
-# Seconds after which the order goes by way of other hosts as well.
-DETOUR_DELAY = 0.1
-# Seconds that are waited where a host does not answer that may reach the primary: a
-# promotion takes one, and one more later a primary that reaches its successor has
+# Seconds to wait for a primary's answer. An unreachable primary never answers, and the
+# successor's writes wait meanwhile; a round trip between regions takes 0.1 s.
+ANSWER_TIMEOUT = 0.5
+# Seconds after which other hosts are asked to forward the order as well.
+FORWARD_DELAY = 0.1
+# Seconds to wait while a host that may reach the primary has not answered. A promotion
+# takes one second, and one second later a primary that reaches its successor has
 # stepped down by itself.
-UNHEARD_WAIT_MAX = 2.5
-# Seconds between two orders to one that has not answered: it may come back with its
-# callers before it hears of its successor.
-RETRY_MIN = 0.1
-RETRY_MAX = 2.0
+UNANSWERED_HOST_TIMEOUT = 2.5
+# Seconds between two orders to a primary that has not answered: it may become reachable
+# again, together with its callers, before it learns of its successor.
+RETRY_INTERVAL_MIN = 0.1
+RETRY_INTERVAL_MAX = 2.0
 
-# One that answers something within that time is waited for up to this long, in seconds.
-ALIVE_WAIT_MAX = 3.0
-HUNG_TIME = 0.25  # seconds; a full queue takes less
+# Seconds to wait at most for a primary that answers other statements meanwhile.
+RESPONSIVE_TIMEOUT = 3.0
+# Seconds after which an unanswered statement counts as hung. The wait in a full queue
+# is shorter.
+HUNG_TIMEOUT = 0.25
 
-_USABLE = (ConnectionState.IDLE, ConnectionState.OPENING)
+_USABLE_STATES = (ConnectionState.IDLE, ConnectionState.OPENING)
 
 DoneHandler = Callable[[], None]
 
 
 @dataclass(slots=True, eq=False)
 class _Task:
-    """Hold the order to one endpoint, until it has stepped down."""
+    """The demotion of one endpoint, until it has stepped down."""
 
     endpoint: EndpointRow
-    term: int  # a primary of a lower one steps down
+    term: int  # a primary of a lower term steps down
     began_at: float
     handlers: list[DoneHandler] = field(default_factory=list)
-    waited: bool = False  # for as long as anybody should
+    is_released: bool = False  # handlers are no longer kept waiting
     tries: int = 0
-    unreached: bool = False  # this host tried to connect since, and failed
-    detoured: bool = False  # the order went by way of other hosts
-    unheard: set[str] = field(default_factory=set)  # of these, without an answer yet
+    is_unreachable: bool = False  # this host failed to connect after `began_at`
+    is_forwarded: bool = False  # other hosts were asked to forward the order
+    # Of these hosts, the ones that have not answered yet.
+    unanswered: set[str] = field(default_factory=set)
 
 
 class Demotion(ProxySystem):
-    """Order replaced primaries to step down, until each has or is gone."""
+    """Order replaced primaries to step down, until each has done so or is gone."""
 
     __slots__ = (
+        "_conflicts",
         "_connections",
         "_forwarded_orders",
         "_orders",
-        "_conflicts",
         "_standing",
         "_tasks",
     )
@@ -87,7 +92,7 @@
         self._tasks: dict[str, _Task] = {}  # by endpoint
 
     def start(self) -> None:
-        """Subscribe to endpoints that can't be reached, or are gone."""
+        """Subscribe to endpoints that are unreachable, restarted or gone."""
         node = self._node
         self._connections = node.system(Connections)
         self._forwarded_orders = node.system(ForwardedOrders)
@@ -101,64 +106,66 @@
     def demote(
         self, endpoint: EndpointRow, term: int, handler: DoneHandler = lambda: None
     ) -> None:
-        """Have an endpoint step down from any term below `term`.
+        """Make an endpoint step down from any term below `term`.
 
-        Its successor leads `term` or a newer one. The handler is called once it has
-        stepped down, or can't be waited for any longer.
+        Its successor is primary of `term` or of a newer term. The handler is called
+        once the endpoint has stepped down, or once the wait for its answer ends.
         """
         task = self._tasks.get(endpoint.name)
-        if task is None or task.waited:
-            # What was found out before its successor led may not be true any more.
+        if task is None or task.is_released:
+            # What was found out before the successor's promotion may be outdated.
             task = self._tasks[endpoint.name] = _Task(endpoint, term, self.now)
-            self.timers.after(WAIT_MAX, self._on_waited, task)
+            self.timers.after(ANSWER_TIMEOUT, self._on_timeout, task)
             self._order(task)
-            self._begin_detours(task)
+            self._begin_forwarding(task)
         task.term = max(task.term, term)
         task.handlers.append(handler)
-        if task.waited or not self._is_current(task):
+        if task.is_released or not self._is_current(task):
             self._release(task)
 
-    # -- By way of other hosts -----------------------------------------------
+    # -- Forwarding by other hosts -------------------------------------------
 
-    def _begin_detours(self, task: _Task) -> None:
-        """Have the order reach one that this host does not reach, or did not before."""
+    def _begin_forwarding(self, task: _Task) -> None:
+        """Forward the order, at once if this host has no connection to the endpoint."""
         if self.tables.lead_is_taken:
             return
         endpoint = task.endpoint
         if endpoint.connections:
-            self.timers.after(DETOUR_DELAY, self._detour, task)
+            self.timers.after(FORWARD_DELAY, self._forward, task)
         else:
             self._connections.retry(endpoint)
-            self._detour(task)
+            self._forward(task)
 
-    def _detour(self, task: _Task) -> None:
+    def _forward(self, task: _Task) -> None:
         if not self._is_current(task):
             return
 
-        def on_reply(host: str, reply: EndpointReply | None, answered: bool) -> None:
-            self._on_detour(task, host, reply, answered)
+        def on_reply(
+            host: str, reply: EndpointReply | None, has_answered: bool
+        ) -> None:
+            self._on_forwarded_reply(task, host, reply, has_answered)
 
-        task.detoured = True
-        task.unheard = set(self._forwarded_orders.forwarding_hosts(task.endpoint))
+        task.is_forwarded = True
+        task.unanswered = set(self._forwarded_orders.forwarding_hosts(task.endpoint))
         self._forwarded_orders.send(task.endpoint, Demote(task.term), on_reply)
 
-    def _on_detour(
-        self, task: _Task, host: str, reply: EndpointReply | None, answered: bool
+    def _on_forwarded_reply(
+        self, task: _Task, host: str, reply: EndpointReply | None, has_answered: bool
     ) -> None:
         if not self._is_current(task):
             return
         status = None if reply is None else reply.status
         if status is not None and not status.is_primary:
-            self._end(task, f"it has stepped down, by way of {host}")
+            self._end(task, f"it has stepped down; order forwarded by {host}")
             return
-        if answered:
-            task.unheard.discard(host)
-            self._check_reach(task)
+        if has_answered:
+            task.unanswered.discard(host)
+            self._check_reachability(task)
 
-    def _check_reach(self, task: _Task) -> None:
-        """Go on without the word of one that no host reaches."""
-        if task.unreached and task.detoured and not task.unheard:
-            self._go_without(task, "no host reaches it")
+    def _check_reachability(self, task: _Task) -> None:
+        """Stop waiting for an endpoint that no host can connect to."""
+        if task.is_unreachable and task.is_forwarded and not task.unanswered:
+            self._stop_waiting(task, "no host can connect to it")
 
     def _is_current(self, task: _Task) -> bool:
         return self._tasks.get(task.endpoint.name) is task
@@ -166,50 +173,55 @@
     def _order(self, task: _Task) -> None:
         if not self._is_current(task):
             return
-        if task.waited and self._leads(task.endpoint):
-            self._end(task, "it leads again")
+        if task.is_released and self._is_undisputed_primary(task.endpoint):
+            self._end(task, "it is primary again")
             return
         task.tries += 1
         self._make_room(task.endpoint)
         order = Demote(task.term)
         self._orders.give(task.endpoint, order, lambda r: self._on_reply(task, r))
 
-    def _leads(self, endpoint: EndpointRow) -> bool:
-        """Tell whether an endpoint leads, and nobody else may do so in a moment."""
+    def _is_undisputed_primary(self, endpoint: EndpointRow) -> bool:
+        """Return whether an endpoint is primary, and no promotion is outstanding."""
         group = self.tables.group(endpoint.entry.service)
         if group.primary != endpoint.name:
             return False
         return not self._standing.standing(group.service)
 
     def _make_room(self, endpoint: EndpointRow) -> None:
-        """Close a connection on which a statement hangs, if all of them are in use.
+        """Close the connection with the longest hung statement, if all are in use.
 
-        Where a primary reaches no replica, all its connections are taken by commits
-        that wait for one. The order would wait for them, and they are acknowledged as
-        soon as a replica receives again.
+        Where a primary reaches no replica, commits that wait for a replica occupy all
+        its connections. The order would wait for these commits, and they would be
+        acknowledged as soon as a replica receives again.
         """
         connections = endpoint.connections.values()
-        if any(c.state in _USABLE for c in connections):
+        if any(c.state in _USABLE_STATES for c in connections):
             return
-        hung_since = self.now - HUNG_TIME
+        hung_before = self.now - HUNG_TIMEOUT
         hung = [
-            c for c in connections if c.pending and c.pending[0].sent_at < hung_since
+            c for c in connections if c.pending and c.pending[0].sent_at < hung_before
         ]
         if hung:
             longest = min(hung, key=lambda c: c.pending[0].sent_at)
-            self._connections.close(longest, "an order to step down needs its place")
+            self._connections.close(longest, "closed to send an order to step down")
 
-    def _on_waited(self, task: _Task) -> None:
-        """Wait on for one that answers, or that a host may reach that is silent."""
-        if not self._is_current(task) or task.waited:
+    def _on_timeout(self, task: _Task) -> None:
+        """Stop waiting, unless the endpoint is responsive or may be reached elsewhere.
+
+        An endpoint that answers other statements is waited for until
+        `RESPONSIVE_TIMEOUT`, and hosts that were asked to forward the order and have
+        not answered until `UNANSWERED_HOST_TIMEOUT`.
+        """
+        if not self._is_current(task) or task.is_released:
             return
         waited = self.now - task.began_at
-        is_alive = self.now - task.endpoint.heard_at < WAIT_MAX
-        may_be_reached = bool(task.unheard) and waited < UNHEARD_WAIT_MAX
-        if may_be_reached or (is_alive and waited < ALIVE_WAIT_MAX):
-            self.timers.after(RETRY_MIN, self._on_waited, task)
+        is_responsive = self.now - task.endpoint.heard_at < ANSWER_TIMEOUT
+        may_be_reached = bool(task.unanswered) and waited < UNANSWERED_HOST_TIMEOUT
+        if may_be_reached or (is_responsive and waited < RESPONSIVE_TIMEOUT):
+            self.timers.after(RETRY_INTERVAL_MIN, self._on_timeout, task)
         else:
-            self._go_without(task, "it has not answered in time")
+            self._stop_waiting(task, "no answer in time")
 
     def _on_reply(self, task: _Task, reply: EndpointReply | None) -> None:
         if not self._is_current(task):
@@ -221,39 +233,41 @@
             self._end(task, "it has stepped down")
             return
         if status is not None and status.term >= task.term:
-            self._compare(task, status.term)
+            self._resolve_conflict(task, status.term)
         else:
-            self._order_later(task)
+            self._retry(task)
 
-    def _order_later(self, task: _Task) -> None:
-        pause = self._node.backoff(task.tries - 1, RETRY_MIN, RETRY_MAX)
-        self.timers.after(pause, self._order, task)
+    def _retry(self, task: _Task) -> None:
+        delay = self._node.backoff(
+            task.tries - 1, RETRY_INTERVAL_MIN, RETRY_INTERVAL_MAX
+        )
+        self.timers.after(delay, self._order, task)
 
-    def _compare(self, task: _Task, term: int) -> None:
-        """Find out who leads, as an endpoint's term is newer than was known."""
+    def _resolve_conflict(self, task: _Task, term: int) -> None:
+        """Find out which endpoint is primary: the ordered one has a newer term."""
         group = self.tables.group(task.endpoint.entry.service)
         successor = group.primary_row
         if successor is None or successor is task.endpoint:
-            self._order_later(task)
+            self._retry(task)
             return
 
         def on_leader(leader: str) -> None:
             if not self._is_current(task):
                 return
             if leader == task.endpoint.name:
-                self._end(task, "it leads a newer term")
+                self._end(task, "it is primary of a newer term")
                 return
             if leader == successor.name:
                 task.term = max(task.term, term + 1)
-            self._order_later(task)
+            self._retry(task)
 
         self._conflicts.resolve(group, successor, task.endpoint, on_leader)
 
     def _on_unreachable(self, signal: EndpointUnreachable) -> None:
         task = self._tasks.get(signal.endpoint.name)
         if task is not None and signal.tried_at >= task.began_at:
-            task.unreached = True
-            self._check_reach(task)
+            task.is_unreachable = True
+            self._check_reachability(task)
 
     def _on_forgotten(self, signal: EndpointForgotten) -> None:
         task = self._tasks.get(signal.endpoint.name)
@@ -263,7 +277,7 @@
     def _on_restarted(self, signal: EndpointRestarted) -> None:
         task = self._tasks.get(signal.endpoint.name)
         if task is not None:
-            self._end(task, "it started again, as replica")
+            self._end(task, "it restarted as a replica")
 
     def _end(self, task: _Task, why: str) -> None:
         del self._tasks[task.endpoint.name]
@@ -276,10 +290,10 @@
         )
         self._release(task)
 
-    def _go_without(self, task: _Task, why: str) -> None:
-        """Go on without the endpoint's word, and say on what evidence."""
+    def _stop_waiting(self, task: _Task, why: str) -> None:
+        """Call the handlers without the endpoint's answer; log why."""
         endpoint = task.endpoint
-        if not task.waited and self._is_current(task):
+        if not task.is_released and self._is_current(task):
             self._node.log(
                 "warning",
                 "demotion_not_awaited",
@@ -289,14 +303,14 @@
                 tries=task.tries,
                 connections=len(endpoint.connections),
                 failures=endpoint.failures,
-                unheard=",".join(sorted(task.unheard)),
+                unheard=",".join(sorted(task.unanswered)),
                 heard_ago=round(self.now - endpoint.heard_at, 3),
             )
         self._release(task)
 
     @staticmethod
     def _release(task: _Task) -> None:
-        task.waited = True
+        task.is_released = True
         handlers, task.handlers = task.handlers, []
         for handler in handlers:
             handler()
--- a/mallowpass/core/proxy/discovery.py
+++ b/mallowpass/core/proxy/discovery.py
@@ -1,7 +1,7 @@
-"""Finding a primary that no entry names: whoever accepts a transaction leads.
+"""Discovery of a primary that no entry names: the endpoint that accepts a transaction.
 
-Entries come by way of the store, which may be away from this host, and name a new
-primary some time after it has begun to lead.
+Entries come from the store, which this host may not reach, and name a new primary only
+some time after its promotion.
 """
 
 from __future__ import annotations
@@ -17,66 +17,67 @@
 
 __all__ = ["Discovery"]
 
-FIRST_LOOK = 0.05  # seconds without a primary before endpoints are asked
-LOOK_GAP = 0.1
-ANSWER_TIME = 0.5
+PROBE_DELAY = 0.05  # seconds without a primary before endpoints are probed
+PROBE_INTERVAL = 0.1  # seconds between two probes of a group
+PROBE_TIMEOUT = 0.5  # seconds
 
 
 class Discovery(ProxySystem):
-    """Ask endpoints while nobody is known to lead their group."""
+    """Probe endpoints while the primary of their group is unknown or suspected."""
 
-    __slots__ = ("_control", "_holders", "_looking", "_members", "_conflicts")
+    __slots__ = ("_conflicts", "_control", "_holders", "_members", "_probed")
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
-        self._looking: set[str] = set()  # services
+        self._probed: set[str] = set()  # services whose groups are probed
 
     def start(self) -> None:
-        """Subscribe to primaries that are no longer known."""
+        """Subscribe to changed and to suspected primaries."""
         self._control = self._node.system(Control)
         self._holders = self._node.system(Holders)
         self._members = self._node.system(Members)
         self._conflicts = self._node.system(PrimaryConflicts)
-        self._node.subscribe(PrimaryChanged, self._on_primary)
-        self._node.subscribe(PrimarySuspected, self._on_primary)
+        self._node.subscribe(PrimaryChanged, self._on_primary_changed)
+        self._node.subscribe(PrimarySuspected, self._on_primary_changed)
 
-    def _on_primary(self, signal: PrimaryChanged | PrimarySuspected) -> None:
+    def _on_primary_changed(self, signal: PrimaryChanged | PrimarySuspected) -> None:
         group = signal.group
-        if self._is_open(group) and group.service not in self._looking:
-            self._looking.add(group.service)
-            self.timers.after(FIRST_LOOK, self._look, group)
+        if self._needs_primary(group) and group.service not in self._probed:
+            self._probed.add(group.service)
+            self.timers.after(PROBE_DELAY, self._probe_group, group)
 
     @staticmethod
-    def _is_open(group: GroupRow) -> bool:
-        """Tell whether it is open who leads."""
+    def _needs_primary(group: GroupRow) -> bool:
+        """Return whether a group has no known primary, or only a suspected one."""
         return not group.primary or group.suspected
 
-    def _look(self, group: GroupRow) -> None:
-        if not self._is_open(group):
-            self._looking.discard(group.service)
+    def _probe_group(self, group: GroupRow) -> None:
+        if not self._needs_primary(group):
+            self._probed.discard(group.service)
             return
-        # By way of a holder the question costs a link; else, a place among few.
+        # A host that holds connections probes only over those that it has: a new one
+        # would take one of the endpoint's few. Through a holder, a probe costs a link.
         holds = self._holders.holds(group.service)
         for endpoint in group.endpoints.values():
             if endpoint.name == group.primary:
                 continue
             if endpoint.connections or not holds:
-                self._ask(group, endpoint)
-        self.timers.after(LOOK_GAP, self._look, group)
+                self._probe(group, endpoint)
+        self.timers.after(PROBE_INTERVAL, self._probe_group, group)
 
-    def _ask(self, group: GroupRow, endpoint: EndpointRow) -> None:
+    def _probe(self, group: GroupRow, endpoint: EndpointRow) -> None:
         def on_replies(replies: list[EndpointReply] | None) -> None:
-            if not self._is_open(group) or not replies:
+            if not self._needs_primary(group) or not replies:
                 return
             if replies[0].code is Code.DONE:
                 self._on_accepted(group, endpoint, replies[0])
 
-        self._control.send(endpoint, (Begin(), Rollback()), on_replies, ANSWER_TIME)
+        self._control.send(endpoint, (Begin(), Rollback()), on_replies, PROBE_TIMEOUT)
 
     def _on_accepted(
         self, group: GroupRow, endpoint: EndpointRow, reply: EndpointReply
     ) -> None:
-        """Believe an endpoint that accepts a transaction, unless it was replaced."""
+        """Assume an endpoint that accepts a transaction as primary, unless replaced."""
         if self.tables.lead_is_taken:
             why = "it accepts a transaction"
             self._members.assume_primary(endpoint, why, reply.position)
--- a/mallowpass/core/proxy/durability.py
+++ b/mallowpass/core/proxy/durability.py
@@ -1,19 +1,21 @@
-"""What the endpoint that leads a group next must hold, so that nothing is lost.
-
-A commit is acknowledged once a replica has received it. That replica may lead next,
-over replicas that lack the commit, or be lost. A comparison of the replicas that are
-left then finds a furthest one all the same, and whoever promotes it loses commits. So
-two positions are kept of each group:
-
-- What is proven to be acknowledged, `must_hold`. A commit comes after all that the
-  primary's log had shown before the commit was sent. What its answer shows proves
-  nothing: the log may have grown by commits that no replica has. Reports and claims
-  carry it to other hosts, and it is never given up.
-- What a member that is missing may have acknowledged: the first position that the
-  primary shows after a member is lost, starts again or is promoted. It is demanded
-  until a replica has reached it, as its log shows, or as a later commit proves that is
-  acknowledged: from then on, replicas that are there hold all of it. A host that has
-  just started does not know who is missing, so it begins like that.
+"""The log position that the next primary of a group must hold to lose no commit.
+
+A commit is acknowledged once one replica has received it. That replica may be promoted
+over replicas that lack the commit, or be lost. A comparison of the remaining replicas
+still finds one that is furthest ahead, and its promotion would lose the commit. Two
+positions are therefore kept for each group:
+
+- `must_hold`, the position that is proven to be acknowledged. An acknowledged commit
+  has a position after all that the primary's log had shown before the commit was sent.
+  The position in the commit's reply proves nothing: the log may have grown by commits
+  that no replica has received. Suspicion reports and claims carry `must_hold` to other
+  hosts, and it never decreases.
+- The missing bound, up to which a missing member may have acknowledged commits: the
+  first position that the primary shows after a member is lost, restarts or is promoted.
+  It is required until the log of a present replica reaches it, or until a later commit
+  is acknowledged, which proves the same: from then on, the present replicas hold all
+  of it. A host that has just started does not know which members are missing, so it
+  requires a bound at first.
 """
 
 from __future__ import annotations
@@ -34,26 +36,27 @@
 
 @dataclass(slots=True)
 class _Missing:
-    """Hold what a group's missing members may have acknowledged.
+    """The bound of the commits that a group's missing members may have acknowledged.
 
-    `bound` is what the primary showed when asked at `bound_at`; it covers those that
-    are missing if that was not before `since`.
+    `bound` is the position that the primary showed when asked at `bound_at`. It covers
+    all missing members if it was asked for at or after `since`, when the last of them
+    was lost.
     """
 
     primary: str = ""
     since: float = float("-inf")
     bound: LogPosition | None = None
     bound_at: float = float("-inf")
-    settled: bool = False  # a replica has reached it
+    is_reached: bool = False  # a present replica holds all up to the bound
 
     @property
     def is_bounded(self) -> bool:
-        """Tell whether the bound covers all that are missing."""
+        """Return whether the bound covers all missing members."""
         return self.bound is not None and self.bound_at >= self.since
 
 
 class Durability(ProxySystem):
-    """Own the positions that successors of primaries must hold."""
+    """Keep the positions that the next primaries must hold."""
 
     __slots__ = ("_missing",)
 
@@ -63,70 +66,78 @@
 
     def start(self) -> None:
         """Subscribe to changes of groups."""
-        self._node.subscribe(EndpointChanged, self._on_endpoint)
+        self._node.subscribe(EndpointChanged, self._on_endpoint_changed)
         self._node.subscribe(EndpointRestarted, self._on_restarted)
-        self._node.subscribe(PrimaryChanged, self._on_primary)
+        self._node.subscribe(PrimaryChanged, self._on_primary_changed)
 
     def required_position(self, group: GroupRow) -> LogPosition:
-        """Return the position that whoever leads a group next must hold."""
+        """Return the position that the next primary of a group must hold."""
         missing = self._missing.get(group.service)
-        if missing is None or missing.settled or missing.bound is None:
+        if missing is None or missing.is_reached or missing.bound is None:
             return group.must_hold
         return max(group.must_hold, missing.bound)
 
     def is_missing_bound_reached(self, group: GroupRow) -> bool:
-        """Tell whether replicas that are there hold what missing ones may have."""
+        """Return whether present replicas hold all that missing ones may have."""
         missing = self._missing.get(group.service)
-        return missing is not None and missing.settled
+        return missing is not None and missing.is_reached
 
     def raise_must_hold(self, group: GroupRow, position: LogPosition) -> None:
-        """Note a position that is acknowledged, or may be."""
+        """Raise a group's `must_hold` to a position that is or may be acknowledged."""
         group.must_hold = max(group.must_hold, position)
 
     def note_acknowledgement(
         self, endpoint: EndpointRow, before: LogPosition | None
     ) -> None:
-        """Note a commit that was sent when the primary's log had shown `before`."""
+        """Record the acknowledgement of a commit.
+
+        `before` is the position that the primary's log had shown before the commit was
+        sent.
+        """
         group = self.tables.group(endpoint.entry.service)
         if before is None or endpoint.name != group.primary:
             return
         self.raise_must_hold(group, before._replace(position=before.position + 1))
-        self._reached(group.service, before)
+        self._note_received(group.service, before)
 
     def note_position(
         self, endpoint: EndpointRow, position: LogPosition, asked_at: float
     ) -> None:
-        """Note what an endpoint's log showed when it was asked at some time."""
+        """Record the position in an endpoint's reply to a statement sent at `asked_at`.
+
+        A primary's position sets the missing bound; a replica's position may reach it.
+        """
         service = endpoint.entry.service
         missing = self._missing.get(service)
-        if missing is None or missing.settled:
+        if missing is None or missing.is_reached:
             return
         if endpoint.name != self.tables.group(service).primary:
-            self._reached(service, position)
+            self._note_received(service, position)
         elif not missing.is_bounded and asked_at >= missing.since:
             missing.bound, missing.bound_at = position, asked_at
 
-    def _reached(self, service: str, position: LogPosition) -> None:
-        """Note a position that a replica which is there has received."""
+    def _note_received(self, service: str, position: LogPosition) -> None:
+        """Record a position that a present replica has received."""
         missing = self._missing.get(service)
         if missing is not None and missing.is_bounded and position >= missing.bound:
-            missing.settled = True
+            missing.is_reached = True
 
-    def _on_endpoint(self, signal: EndpointChanged) -> None:
+    def _on_endpoint_changed(self, signal: EndpointChanged) -> None:
         endpoint = signal.endpoint
         group = self.tables.group(endpoint.entry.service)
         if endpoint.gone_at is not None and endpoint.name != group.primary:
-            self._miss(group.service)
+            self._require_bound(group.service)
 
     def _on_restarted(self, signal: EndpointRestarted) -> None:
-        self._miss(signal.before.entry.service)
+        self._require_bound(signal.before.entry.service)
 
-    def _miss(self, service: str) -> None:
+    def _require_bound(self, service: str) -> None:
+        """Require a new bound, since a member that may have commits is missing."""
         missing = self._missing.setdefault(service, _Missing())
         missing.since = self.now
-        missing.settled = False
+        missing.is_reached = False
 
-    def _on_primary(self, signal: PrimaryChanged) -> None:
+    def _on_primary_changed(self, signal: PrimaryChanged) -> None:
         group = signal.group
         known = self._missing.get(group.service)
         if group.primary and (known is None or known.primary != group.primary):
--- a/mallowpass/core/proxy/forwardedorders.py
+++ b/mallowpass/core/proxy/forwardedorders.py
@@ -1,7 +1,8 @@
-"""Orders to an endpoint by way of the other hosts that connect to it.
+"""Orders to an endpoint that other hosts which connect to the endpoint forward.
 
-What one host can't reach, another one may. A host that answers tells that the endpoint
-can't be reached from there; one that does not may be cut off together with it.
+Another host may reach an endpoint that this host cannot reach. A host that answers
+without a reply of the endpoint shows that the endpoint cannot be reached from there
+either; a host that does not answer may be cut off together with the endpoint.
 """
 
 from __future__ import annotations
@@ -16,24 +17,25 @@
 
 __all__ = ["ForwardedOrders"]
 
-# Seconds for one order: two round trips between regions, and a slot's turn.
-ANSWER_TIME = 0.4
+# Seconds for one order: two round trips between regions, and the wait for a slot.
+ORDER_TIMEOUT = 0.4
 
-# Called with the name of a host, the endpoint's reply by way of it if there was one,
-# and whether the host answered at all.
-DetourHandler = Callable[[str, EndpointReply | None, bool], None]
+# Called with the name of the forwarding host, the endpoint's reply through that host or
+# None, and whether the host itself answered.
+ForwardedReplyHandler = Callable[[str, EndpointReply | None, bool], None]
 
 
 class ForwardedOrders(ProxySystem):
-    """Give orders to endpoints by way of other hosts."""
+    """Send orders to endpoints through other hosts."""
 
     __slots__ = ("_control", "_holders", "_refused")
 
     def start(self) -> None:
-        """Subscribe to hosts that refuse to serve as a way."""
+        """Subscribe to hosts that refuse to forward statements."""
         self._control = self._node.system(Control)
         self._holders = self._node.system(Holders)
-        self._refused: set[tuple[str, str]] = set()  # hosts and endpoints, while asked
+        # Hosts and endpoints of orders that the host refused to forward.
+        self._refused: set[tuple[str, str]] = set()
         self._node.subscribe(WayRefused, self._on_refused)
 
     def forwarding_hosts(self, endpoint: EndpointRow) -> list[str]:
@@ -42,30 +44,30 @@
         return sorted(host.name for host in self._holders.others(service))
 
     def send(
-        self, endpoint: EndpointRow, order: Statement, handler: DetourHandler
+        self, endpoint: EndpointRow, order: Statement, handler: ForwardedReplyHandler
     ) -> None:
-        """Give an order by way of each other host that connects to an endpoint."""
+        """Send an order through each other host that connects to an endpoint."""
         for host in self._holders.others(endpoint.entry.service):
-            self._send(endpoint, order, host, handler)
+            self._send_through(endpoint, order, host, handler)
 
-    def _send(
+    def _send_through(
         self,
         endpoint: EndpointRow,
         order: Statement,
         host: HostRow,
-        handler: DetourHandler,
+        handler: ForwardedReplyHandler,
     ) -> None:
-        way = (host.name, endpoint.name)
-        self._refused.discard(way)
+        route = (host.name, endpoint.name)
+        self._refused.discard(route)
 
         def on_replies(replies: list[EndpointReply] | None) -> None:
             reply = replies[0] if replies else None
-            has_answered = question.was_sent or way in self._refused
-            self._refused.discard(way)
+            has_answered = request.was_sent or route in self._refused
+            self._refused.discard(route)
             handler(host.name, reply, has_answered)
 
         control = self._control
-        question = control.send(endpoint, (order,), on_replies, ANSWER_TIME, host)
+        request = control.send(endpoint, (order,), on_replies, ORDER_TIMEOUT, host)
 
     def _on_refused(self, signal: WayRefused) -> None:
         if signal.is_answer:
--- a/mallowpass/core/proxy/leadership.py
+++ b/mallowpass/core/proxy/leadership.py
@@ -1,22 +1,25 @@
-"""Whether a primary that accepts transactions is the only one.
-
-A primary that was replaced may not know it: cut off from its successor it accepts
-transactions on, and reads there lack what the successor has acknowledged. So its own
-word proves nothing. Two things prove that nobody else led at some time, and that its
-log holds all commits acknowledged until then:
-
-- it acknowledged a commit that was sent after that time. A replica received it, and
-  whoever replaces a primary has paused all replicas but the next primary;
-- all other members of its group refused a transaction that they were asked for after
-  that time. Where one of them does not answer, the store tells that nobody claimed the
-  right to replace the primary.
-
-Where the platform takes the lead from a primary at the moment its successor leads, its
-own word is proof enough. If more were asked for, reads at the primary would wait for
-members of other regions.
-
-No clock of another machine is compared with, and no right lapses: a host that was
-frozen asks anew, as its question was sent before its caller's statement came.
+"""Proof that a primary was the only primary of its group at some time.
+
+A replaced primary that is cut off from its successor does not know that it was
+replaced: it goes on to accept transactions, and reads there lack commits that the
+successor has acknowledged. That a primary accepts a transaction therefore proves
+nothing. Either of two facts proves that no other endpoint was primary at a time T, and
+that the primary's log holds all commits acknowledged until T:
+
+- The primary acknowledged a commit that was sent after T. A replica received that
+  commit, and a host that replaces a primary first pauses all replicas but the next
+  primary.
+- All other members of the group refused a transaction that was requested after T.
+  Where a member does not answer, it is enough that the store holds no claim to replace
+  the primary.
+
+Where the platform fences a primary at the moment its successor is promoted, an accepted
+transaction is proof enough. To ask for more would make reads at the primary wait for
+members in other regions.
+
+The proof compares no clocks of different machines and has no lease that expires: a host
+that was frozen surveys the members again, since its last survey was begun before its
+caller's statement arrived.
 """
 
 from __future__ import annotations
@@ -43,72 +46,73 @@
 
 __all__ = ["LEADERSHIP_UNPROVEN", "Leadership", "ProofHandler"]
 
-# Seconds for one question to a member: a round trip between regions takes a tenth.
-# One that is silent is made up for by the store, and statements wait for that.
-ANSWER_TIME = 0.25
-# Where a host has not learnt of changes of members for longer, in seconds, one that it
-# does not know may lead: an entry is that old at least before its endpoint does.
-MEMBERS_AGE_MAX = 0.5
-# Seconds within which a replica that is not behind applies what it has received. Only
-# then does its answer show the newest term. A status would at once, at a slot's cost.
-APPLY_TIME = 0.02
-
-# What a read is taken to have been answered of whose endpoint nobody can tell whether
-# it still leads.
+# Seconds in which a member must answer; a round trip between regions takes 0.1 s. The
+# store is asked in place of a silent member, and statements wait for both.
+MEMBER_TIMEOUT = 0.25
+# Age in seconds of the list of members above which an endpoint outside the list may be
+# primary: when an endpoint is promoted, its entry is at least that old.
+MEMBER_LIST_AGE_MAX = 0.5
+# Seconds within which a replica that is not behind applies what it has received. Its
+# answer shows the newest term only after that. A `Status` would show the term at once,
+# but occupies a slot.
+APPLY_DELAY = 0.02
+
+# Reply that stands for a read's reply where its endpoint is not proven to be primary.
 LEADERSHIP_UNPROVEN = EndpointReply(
     Code.BUSY, message="nobody knows whether it still leads"
 )
 
-# Called with whether the primary was the only one; False also where nobody knows.
+# Called with whether the primary was the only one; False also where that is unknown.
 ProofHandler = Callable[[bool], None]
-_Waiting = tuple[EndpointRow, ProofHandler]
+_Waiter = tuple[EndpointRow, ProofHandler]
 
 
 @dataclass(slots=True, eq=False)
 class _Survey:
-    """Hold one question to all members of a group but its primary."""
+    """A request for a transaction to all members of a group but its primary."""
 
     group: GroupRow
     primary: str
     asked_at: float
-    waiting: list[_Waiting]
-    waits_for: set[str] = field(default_factory=set)
-    silent: set[str] = field(default_factory=set)
-    term: int = 0  # newest that a member's log showed
+    waiters: list[_Waiter]
+    pending: set[str] = field(default_factory=set)  # members that have not answered
+    # Members that did not refuse: without an answer, or possibly primary as well.
+    inconclusive: set[str] = field(default_factory=set)
+    term: int = 0  # newest term that a member's log showed
 
 
 class Leadership(ProxySystem):
-    """Prove that primaries were not replaced, one question at a time for a group."""
+    """Prove that primaries were not replaced, with one survey of a group at a time."""
 
-    __slots__ = ("_claims", "_control", "_next", "_conflicts", "_store", "_surveys")
+    __slots__ = ("_claims", "_conflicts", "_control", "_next", "_store", "_surveys")
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
-        self._surveys: dict[str, _Survey] = {}  # under way, by service
-        # Statements that came after the question under way, by service.
-        self._next: dict[str, list[_Waiting]] = {}
+        self._surveys: dict[str, _Survey] = {}  # in progress, by service
+        # Waiters for the survey after the one in progress, by service.
+        self._next: dict[str, list[_Waiter]] = {}
 
     def start(self) -> None:
-        """Subscribe to changes of primaries: proofs are of one only."""
+        """Subscribe to changes of primaries: a proof holds for one primary only."""
         node = self._node
         self._claims = node.system(Claims)
         self._control = node.system(Control)
         self._conflicts = node.system(PrimaryConflicts)
         self._store = node.system(Store)
-        node.subscribe(PrimaryChanged, self._on_primary)
+        node.subscribe(PrimaryChanged, self._on_primary_changed)
         node.subscribe(EndpointRestarted, self._on_restarted)
 
     def note_acknowledgement(self, endpoint: EndpointRow, sent_at: float) -> None:
-        """Note that an endpoint acknowledged a commit that was sent at some time."""
+        """Record that an endpoint acknowledged a commit sent at `sent_at`."""
         group = self.tables.group(endpoint.entry.service)
         if endpoint.name == group.primary:
             group.sole_at = max(group.sole_at, sent_at)
 
     def sole_primary_until(self, group: GroupRow, asked_at: float) -> float:
-        """Return the newest time up to `asked_at` when a primary is known to have led.
+        """Return the latest time up to `asked_at` at which a primary is proven sole.
 
-        The primary answered a question that was sent then, and accepted a transaction
-        or acknowledged a commit after it.
+        The primary accepted a transaction, or acknowledged a commit, that was sent at
+        `asked_at`.
         """
         if self.tables.lead_is_taken:
             return asked_at
@@ -117,9 +121,9 @@
     def confirm(
         self, endpoint: EndpointRow, since: float, handler: ProofHandler
     ) -> None:
-        """Have it proven that an endpoint still led alone at some time or later."""
+        """Prove that an endpoint was the sole primary at `since` or later."""
         group = self.tables.group(endpoint.entry.service)
-        waiting = (endpoint, handler)
+        waiter = (endpoint, handler)
         survey = self._surveys.get(group.service)
         if not self.tables.is_current(endpoint):
             handler(False)
@@ -130,17 +134,17 @@
         elif group.sole_at >= since:
             handler(True)
         elif survey is None:
-            self._begin(group, [waiting])
+            self._begin(group, [waiter])
         elif survey.asked_at >= since:
-            survey.waiting.append(waiting)
+            survey.waiters.append(waiter)
         else:
-            self._next.setdefault(group.service, []).append(waiting)
+            self._next.setdefault(group.service, []).append(waiter)
 
-    def _on_primary(self, signal: PrimaryChanged) -> None:
+    def _on_primary_changed(self, signal: PrimaryChanged) -> None:
         signal.group.sole_at = float("-inf")
 
     def _on_restarted(self, signal: EndpointRestarted) -> None:
-        """Forget what is proven of a primary whose log may be gone."""
+        """Drop the proof of a primary that restarted: its log may be gone."""
         group = self.tables.group(signal.endpoint.entry.service)
         if group.primary != signal.endpoint.name:
             return
@@ -149,22 +153,22 @@
         if survey is not None:
             self._end(survey, False)
 
-    # -- Asking --------------------------------------------------------------
+    # -- Surveys -------------------------------------------------------------
 
-    def _begin(self, group: GroupRow, waiting: list[_Waiting]) -> None:
-        survey = _Survey(group, group.primary, self.now, waiting)
+    def _begin(self, group: GroupRow, waiters: list[_Waiter]) -> None:
+        survey = _Survey(group, group.primary, self.now, waiters)
         self._surveys[group.service] = survey
         others = [e for e in group.endpoints.values() if e.name != group.primary]
-        survey.waits_for = {endpoint.name for endpoint in others}
+        survey.pending = {endpoint.name for endpoint in others}
         if not group.primary or not others:
             self._end(survey, bool(group.primary))
             return
         self._node.count("leadership_questions", service=group.service)
-        pause = 0.0
-        if self._store.age(Table.ENDPOINTS) > MEMBERS_AGE_MAX:
-            pause = APPLY_TIME
+        delay = 0.0
+        if self._store.age(Table.ENDPOINTS) > MEMBER_LIST_AGE_MAX:
+            delay = APPLY_DELAY
         for endpoint in others:
-            self.timers.after(pause, self._ask, survey, endpoint)
+            self.timers.after(delay, self._ask, survey, endpoint)
 
     def _ask(self, survey: _Survey, endpoint: EndpointRow) -> None:
         statements: tuple[Statement, ...] = (Begin(), Rollback())
@@ -173,68 +177,73 @@
 
         def on_replies(replies: list[EndpointReply] | None) -> None:
             if replies and replies[0].code is Code.DONE:
-                self._compare(survey, endpoint)
+                self._resolve_conflict(survey, endpoint)
                 return
-            shown = _terms(replies or [])
-            refused = len(shown) == len(statements) - 1
-            survey.term = max(survey.term, *shown, 0)
-            self._settle(survey, endpoint, refused)
+            terms = _terms_of_refusals(replies or [])
+            has_refused = len(terms) == len(statements) - 1
+            survey.term = max(survey.term, *terms, 0)
+            self._note_answer(survey, endpoint, has_refused)
 
-        self._control.send(endpoint, statements, on_replies, ANSWER_TIME)
+        self._control.send(endpoint, statements, on_replies, MEMBER_TIMEOUT)
 
-    def _compare(self, survey: _Survey, rival: EndpointRow) -> None:
-        """Find out whether another one that leads as well has been replaced."""
+    def _resolve_conflict(self, survey: _Survey, other: EndpointRow) -> None:
+        """Find out whether a member that accepted a transaction has been replaced."""
         primary = survey.group.primary_row
 
         def on_leader(leader: str) -> None:
-            refused = leader == survey.primary
-            self._settle(survey, rival, refused)
+            has_refused = leader == survey.primary
+            self._note_answer(survey, other, has_refused)
 
         if primary is None or primary.name != survey.primary:
-            self._settle(survey, rival, False)
+            self._note_answer(survey, other, False)
         else:
-            self._conflicts.resolve(survey.group, primary, rival, on_leader)
+            self._conflicts.resolve(survey.group, primary, other, on_leader)
 
-    def _settle(self, survey: _Survey, endpoint: EndpointRow, refused: bool) -> None:
-        survey.waits_for.discard(endpoint.name)
-        if not refused:
-            survey.silent.add(endpoint.name)
-        if survey.waits_for or not self._is_current(survey):
+    def _note_answer(
+        self, survey: _Survey, endpoint: EndpointRow, has_refused: bool
+    ) -> None:
+        survey.pending.discard(endpoint.name)
+        if not has_refused:
+            survey.inconclusive.add(endpoint.name)
+        if survey.pending or not self._is_current(survey):
             return
-        if not survey.silent:
+        if not survey.inconclusive:
             self._end(survey, True)
             return
         self._claims.look(
             survey.group.service,
-            lambda claim, known: self._on_claim(survey, claim, known),
+            lambda claim, is_known: self._on_claim(survey, claim, is_known),
         )
 
-    def _on_claim(self, survey: _Survey, claim: Claim | None, known: bool) -> None:
+    def _on_claim(self, survey: _Survey, claim: Claim | None, is_known: bool) -> None:
         if not self._is_current(survey):
             return
-        leads = claim is None or claim.leaves(survey.primary)
-        self._end(survey, known and leads)
+        is_unreplaced = claim is None or claim.leaves(survey.primary)
+        self._end(survey, is_known and is_unreplaced)
 
     def _is_current(self, survey: _Survey) -> bool:
         return self._surveys.get(survey.group.service) is survey
 
-    def _end(self, survey: _Survey, sole: bool) -> None:
+    def _end(self, survey: _Survey, is_sole: bool) -> None:
         group = survey.group
         del self._surveys[group.service]
-        sole = sole and group.primary == survey.primary and self._is_newest(survey)
-        if sole:
+        is_sole = (
+            is_sole and group.primary == survey.primary and self._is_newest(survey)
+        )
+        if is_sole:
             group.sole_at = max(group.sole_at, survey.asked_at)
-        following = self._next.pop(group.service, None)
-        if following:
-            self._begin(group, following)
-        for endpoint, handler in survey.waiting:
+        next_waiters = self._next.pop(group.service, None)
+        if next_waiters:
+            self._begin(group, next_waiters)
+        for endpoint, handler in survey.waiters:
             is_current = self.tables.is_current(endpoint)
-            handler(sole and is_current and endpoint.name == survey.primary)
+            handler(is_sole and is_current and endpoint.name == survey.primary)
 
     def _is_newest(self, survey: _Survey) -> bool:
-        """Tell whether no member's log shows a newer term than the primary's.
+        """Return whether no member's log shows a newer term than the primary's.
 
-        A successor that is not known here can't be asked, but its replicas can.
+        This host cannot ask a successor that it does not know, but it can ask the
+        replicas of that successor.
         """
         primary = survey.group.primary_row
         if primary is None or primary.position is None:
@@ -242,11 +251,12 @@
         return survey.term <= primary.position.term
 
 
-def _terms(replies: list[EndpointReply]) -> list[int]:
-    """Return the terms that an endpoint showed which refused to lead.
+def _terms_of_refusals(replies: list[EndpointReply]) -> list[int]:
+    """Return the terms in the replies with which an endpoint refused a transaction.
 
-    A host on the way that believes the old primary refuses in its successor's name.
-    It knows no position; taken for the successor's word, its belief proves itself.
+    A holder that still assumes the old primary refuses, in the successor's name, what
+    it should forward to the successor. Such a reply has no position and does not count:
+    otherwise the holder's assumption would serve as its own proof.
     """
     terms = []
     for reply in replies:
--- a/mallowpass/core/proxy/primaryconflicts.py
+++ b/mallowpass/core/proxy/primaryconflicts.py
@@ -1,9 +1,10 @@
-"""Which of two endpoints that accept transactions leads the newer term.
+"""Resolution of conflicts between two endpoints of a group that accept transactions.
 
-A primary that was replaced may go on: that it accepts a transaction proves nothing
-against another one that leads. Terms do, as each belongs to one lead only. So both are
-asked, and the one of the older term is ordered to step down. The order names the term
-that the other one showed, so it never makes a newer primary step down.
+A replaced primary may go on to accept transactions, so that alone does not show which
+of two endpoints is the primary. Their terms do, as only one endpoint is primary of each
+term. Both endpoints are asked for their terms, and the one of the older term is ordered
+to step down. The order names the term of the other endpoint, so it never makes the
+primary of a newer term step down.
 """
 
 from __future__ import annotations
@@ -22,28 +23,29 @@
 
 __all__ = ["LeaderHandler", "PrimaryConflicts"]
 
-# Seconds for one question; a round trip between regions takes a tenth.
-ANSWER_TIME = 0.25
+# Seconds for one statement; a round trip between regions takes 0.1 s.
+REPLY_TIMEOUT = 0.25
 
-# Called with the name of the one that leads, empty if that is not known.
+# Called with the name of the endpoint that is primary, empty if that is unknown.
 LeaderHandler = Callable[[str], None]
 _Statuses = dict[str, EndpointStatus]
 
 
 class PrimaryConflicts(ProxySystem):
-    """Compare the terms of a primary and of another one that leads as well."""
+    """Compare the terms of a primary and of another endpoint that acts as primary."""
 
     __slots__ = ("_control", "_members")
 
     def start(self) -> None:
-        """Find the systems that are asked."""
+        """Look up the systems used."""
         self._control = self._node.system(Control)
         self._members = self._node.system(Members)
 
     def has_new_term(self, group: GroupRow, status: EndpointStatus) -> bool:
-        """Tell whether an endpoint leads a term that no earlier primary led.
+        """Return whether an endpoint is primary of a term that no earlier primary had.
 
-        The primary that is believed now leads a newer one than any seen before.
+        `group.term_before` is the newest term seen before this host knew of the current
+        primary.
         """
         return status.is_primary and status.term > group.term_before
 
@@ -51,87 +53,95 @@
         self,
         group: GroupRow,
         primary: EndpointRow | None,
-        rival: EndpointRow,
+        other: EndpointRow,
         handler: LeaderHandler,
     ) -> None:
-        """Believe whichever leads, and have the other one step down.
+        """Assume the endpoint of the newer term as primary; demote the other endpoint.
 
-        `primary` is None where nobody is believed to lead.
+        `primary` is None where the group has no known primary.
         """
-        endpoints = {e.name: e for e in (primary, rival) if e is not None}
+        endpoints = {e.name: e for e in (primary, other) if e is not None}
         statuses: _Statuses = {}
-        asked = set(endpoints)
+        pending = set(endpoints)
 
         def on_status(name: str, status: EndpointStatus | None) -> None:
-            asked.discard(name)
+            pending.discard(name)
             if status is not None:
                 statuses[name] = status
-            if not asked:
-                self._settle(group, primary, rival, statuses, handler)
+            if not pending:
+                self._decide(group, primary, other, statuses, handler)
 
         for name, endpoint in endpoints.items():
-            self._ask(endpoint, lambda status, name=name: on_status(name, status))
+            self._request_status(
+                endpoint, lambda status, name=name: on_status(name, status)
+            )
 
-    def _ask(
+    def _request_status(
         self, endpoint: EndpointRow, handler: Callable[[EndpointStatus | None], None]
     ) -> None:
         def on_replies(replies: list[EndpointReply] | None) -> None:
             handler(replies[0].status if replies else None)
 
-        self._control.send(endpoint, (Status(),), on_replies, ANSWER_TIME)
+        self._control.send(endpoint, (Status(),), on_replies, REPLY_TIMEOUT)
 
-    def _settle(
+    def _decide(
         self,
         group: GroupRow,
         primary: EndpointRow | None,
-        rival: EndpointRow,
+        other: EndpointRow,
         statuses: _Statuses,
         handler: LeaderHandler,
     ) -> None:
-        shown = None if primary is None else statuses.get(primary.name)
-        rival_shown = statuses.get(rival.name)
-        leader = self._leader(group, primary, rival, shown, rival_shown)
+        status = None if primary is None else statuses.get(primary.name)
+        other_status = statuses.get(other.name)
+        leader = self._find_leader(group, primary, other, status, other_status)
         self._node.log(
             "warning",
             "two_primaries",
             service=group.service,
             primary="" if primary is None else primary.name,
-            term=None if shown is None else shown.term,
-            rival=rival.name,
-            rival_term=None if rival_shown is None else rival_shown.term,
+            term=None if status is None else status.term,
+            rival=other.name,
+            rival_term=None if other_status is None else other_status.term,
             leader="" if leader is None else leader.name,
         )
-        if leader is rival and group.primary in ("", primary.name if primary else ""):
-            why = "it leads a newer term"
-            self._members.assume_primary(rival, why, rival_shown.received)
-        if primary is not None and shown is not None and rival_shown is not None:
-            if leader is rival:
-                self._demote(primary, rival_shown.term)
+        if leader is other and group.primary in ("", primary.name if primary else ""):
+            why = "it is primary of a newer term"
+            self._members.assume_primary(other, why, other_status.received)
+        if primary is not None and status is not None and other_status is not None:
+            if leader is other:
+                self._demote(primary, other_status.term)
             elif leader is primary:
-                self._demote(rival, shown.term)
+                self._demote(other, status.term)
         handler("" if leader is None else leader.name)
 
-    def _leader(
+    def _find_leader(
         self,
         group: GroupRow,
         primary: EndpointRow | None,
-        rival: EndpointRow,
-        shown: EndpointStatus | None,
-        rival_shown: EndpointStatus | None,
+        other: EndpointRow,
+        status: EndpointStatus | None,
+        other_status: EndpointStatus | None,
     ) -> EndpointRow | None:
-        if rival_shown is None or not rival_shown.is_primary:
+        """Return the endpoint that is primary by its status, None if that is unclear.
+
+        `status` is the primary's status. Either status is None without an answer.
+        """
+        if other_status is None or not other_status.is_primary:
             return None
-        term = rival_shown.term
+        term = other_status.term
         if primary is None:
-            return rival if term >= group.term else None
-        if shown is None:
-            return rival if self.has_new_term(group, rival_shown) else None
-        if not shown.is_primary:
-            return rival if term >= max(group.term, shown.term) else None
-        if term == shown.term:
+            return other if term >= group.term else None
+        if status is None:
+            return other if self.has_new_term(group, other_status) else None
+        if not status.is_primary:
+            return other if term >= max(group.term, status.term) else None
+        if term == status.term:
             return None
-        return rival if term > shown.term else primary
+        return other if term > status.term else primary
 
     def _demote(self, endpoint: EndpointRow, term: int) -> None:
-        """Have a primary step down that another one has overtaken."""
-        self._control.send(endpoint, (Demote(term),), lambda replies: None, ANSWER_TIME)
+        """Order an endpoint to step down from any term below `term`."""
+        self._control.send(
+            endpoint, (Demote(term),), lambda replies: None, REPLY_TIMEOUT
+        )
--- a/mallowpass/core/proxy/suspicion.py
+++ b/mallowpass/core/proxy/suspicion.py
@@ -1,8 +1,8 @@
-"""Is a primary gone? What several hosts see decides, not what one does.
+"""Detection of failed primaries: a primary is replaced once enough hosts suspect it.
 
-A host that can't reach a primary, or sees its writes stall, says so in the store. A
-cut between one host and the primary is no reason to replace it; what a share of all
-hosts sees at the same time is.
+A host that cannot reach a primary, or sees the primary's writes stall, reports that in
+the store. One host may merely be cut off from a healthy primary, so the primary is
+replaced only if a share of the hosts that connect to it suspect it at the same time.
 """
 
 from __future__ import annotations
@@ -42,57 +42,63 @@
 
 __all__ = ["Suspicion"]
 
-# A primary that answered something within this time is not silent. A full queue takes
-# less.
-QUIET = 0.25  # seconds
-# Share of the hosts that connect to it that must see it, and how many at the least.
+# Seconds without an answer after which a primary counts as silent. The wait in a full
+# queue is shorter.
+SILENCE_TIMEOUT = 0.25
+# Share of the hosts that connect to a primary which must suspect it to have it
+# replaced, and the least number of them.
 QUORUM_SHARE = 0.25
 QUORUM_MIN = 2
-# A host that has just started may not know the others yet: it is not alone before.
-ALONE_TIME = 10.0  # seconds
-REPORT_TIME = 4.0  # seconds that a report in the store counts
-REPORT_GAP = 1.5  # seconds between two reports of a host
-# Seconds between looks at what others report: doubled with each, as what one waits for
-# then is a promotion, of which the entries tell.
-LOOK_GAP_MIN = 0.15
-LOOK_GAP_MAX = 1.0
+# Seconds after its start before a host may conclude that it is the only host: until
+# then it may not know the others.
+ONLY_HOST_DELAY = 10.0
+REPORT_LIFETIME = 4.0  # seconds for which a report in the store counts
+REPORT_INTERVAL = 1.5  # seconds between two reports of a host
+# Seconds between two reads of the other hosts' reports. The interval doubles with each
+# read: after the first few the host waits for a promotion, and that shows in the
+# endpoints' entries.
+POLL_INTERVAL_MIN = 0.15
+POLL_INTERVAL_MAX = 1.0
 
 
 @record
-class Report:
-    """Say that a host suspects a primary; `time` is the store's clock in seconds."""
+class SuspicionReport:
+    """Describe a host's suspicion of a primary, as it stands in the store.
+
+    `time` is the time of the store's clock in seconds.
+    """
 
     primary: str
     time: float
-    must_hold: LogPosition  # see durability
+    must_hold: LogPosition  # position proven to be acknowledged; see `durability`
 
     def encode(self) -> str:
-        """Return the text that the store keeps."""
+        """Return the text that is stored."""
         return f"{self.primary} {self.time:.3f} {self.must_hold.text}"
 
     @classmethod
-    def decode(cls, text: str) -> Report:
-        """Read what the store keeps; ValueError if it is no report."""
+    def decode(cls, text: str) -> SuspicionReport:
+        """Parse a stored text; raise ValueError if it is not a report."""
         primary, time, must_hold = text.split(" ")
         if not math.isfinite(float(time)):
-            raise ValueError(f"no time: {time!r}")
+            raise ValueError(f"time of a report is not finite: {time!r}")
         return cls(primary, float(time), LogPosition.parse(must_hold))
 
 
 @dataclass(slots=True)
 class _Suspect:
-    """Hold what this host suspects of one group's primary."""
+    """The primary of a group that this host suspects."""
 
     primary: str
     why: str
     since: float
-    stalls: bool  # it may well answer reads
+    is_stalled: bool  # acknowledges no writes, though it may answer reads
     reported_at: float = float("-inf")
-    looks: int = 0
+    polls: int = 0
 
 
 class Suspicion(ProxySystem):
-    """Watch primaries, report what is wrong, and have them replaced."""
+    """Report suspected primaries, and replace those that enough hosts suspect."""
 
     __slots__ = (
         "_durability",
@@ -109,76 +115,84 @@
         self._suspects: dict[str, _Suspect] = {}  # by service
 
     def start(self) -> None:
-        """Subscribe to what tells of primaries."""
+        """Subscribe to the signals of primaries' state."""
         node = self._node
         self._durability = node.system(Durability)
         self._holders = node.system(Holders)
         self._promotion = node.system(Promotion)
         self._store = node.system(Store)
         node.subscribe(EndpointUnreachable, self._on_unreachable)
-        node.subscribe(PrimaryStalled, self._on_stalled)
-        node.subscribe(PrimaryHeard, self._on_heard)
+        node.subscribe(PrimaryStalled, self._on_primary_stalled)
+        node.subscribe(PrimaryHeard, self._on_primary_heard)
         node.subscribe(PrimaryReplicates, self._on_acknowledged)
         node.subscribe(WriteAcknowledged, self._on_acknowledged)
         node.subscribe(EndpointRestarted, self._on_restarted)
-        node.subscribe(PrimaryChanged, self._on_changed)
-        node.subscribe(EraChanged, self._on_era)
+        node.subscribe(PrimaryChanged, self._on_primary_changed)
+        node.subscribe(EraChanged, self._on_era_changed)
 
     # -- Evidence ------------------------------------------------------------
 
     def _on_unreachable(self, signal: EndpointUnreachable) -> None:
         endpoint = signal.endpoint
-        if self._leads(endpoint) and self._is_silent(endpoint):
+        if self._is_watched_primary(endpoint) and self._is_silent(endpoint):
             self._suspect(endpoint, f"unreachable: {signal.why}")
 
-    def _on_stalled(self, signal: PrimaryStalled) -> None:
-        if self._leads(signal.endpoint):
-            self._suspect(signal.endpoint, "writes get no answer", stalls=True)
+    def _on_primary_stalled(self, signal: PrimaryStalled) -> None:
+        if self._is_watched_primary(signal.endpoint):
+            self._suspect(signal.endpoint, "writes get no answer", is_stalled=True)
 
-    def _on_heard(self, signal: PrimaryHeard) -> None:
-        # One that can't commit may well answer reads.
+    def _on_primary_heard(self, signal: PrimaryHeard) -> None:
+        # An answer does not clear a stalled primary: it may answer reads all the same.
         suspect = self._suspects.get(signal.group.service)
-        if suspect is not None and not suspect.stalls:
-            self._clear(signal.group.service, "it answers")
+        if suspect is not None and not suspect.is_stalled:
+            self._clear(signal.group.service, "primary answers again")
 
     def _on_acknowledged(self, signal: WriteAcknowledged | PrimaryReplicates) -> None:
-        self._clear(signal.group.service, "it acknowledges writes")
+        self._clear(signal.group.service, "primary acknowledges writes")
 
     def _on_restarted(self, signal: EndpointRestarted) -> None:
         service = signal.before.entry.service
         suspect = self._suspects.get(service)
         if suspect is not None and suspect.primary == signal.before.name:
-            self._clear(service, "it started again")
+            self._clear(service, "primary restarted")
 
-    def _on_changed(self, signal: PrimaryChanged) -> None:
+    def _on_primary_changed(self, signal: PrimaryChanged) -> None:
         service = signal.group.service
         suspect = self._suspects.get(service)
         if suspect is not None and signal.group.primary not in ("", suspect.primary):
-            self._clear(service, f"{signal.group.primary} leads")
+            self._clear(service, f"{signal.group.primary} is primary")
 
-    def _on_era(self, signal: EraChanged) -> None:
-        """Have this host's reports made again: the store may have lost them."""
+    def _on_era_changed(self, signal: EraChanged) -> None:
+        """Let this host's reports be made again: the store may have lost them."""
         for suspect in self._suspects.values():
             suspect.reported_at = float("-inf")
 
-    def _leads(self, endpoint: EndpointRow) -> bool:
+    def _is_watched_primary(self, endpoint: EndpointRow) -> bool:
+        """Return whether an endpoint is a primary that this host connects to itself.
+
+        Through a holder, a fault of the holder looks like one of the endpoint.
+        """
         if not self._holders.holds(endpoint.entry.service):
-            return False  # what a holder does may look like what the endpoint does
+            return False
         group = self.tables.group(endpoint.entry.service)
         return group.primary == endpoint.name
 
     def _is_silent(self, endpoint: EndpointRow) -> bool:
-        return endpoint.heard_at < self.now - QUIET or not endpoint.connections
+        return (
+            endpoint.heard_at < self.now - SILENCE_TIMEOUT or not endpoint.connections
+        )
 
     # -- Reports -------------------------------------------------------------
 
-    def _suspect(self, endpoint: EndpointRow, why: str, stalls: bool = False) -> None:
+    def _suspect(
+        self, endpoint: EndpointRow, why: str, is_stalled: bool = False
+    ) -> None:
         service = endpoint.entry.service
         suspect = self._suspects.get(service)
         if suspect is not None and suspect.primary == endpoint.name:
-            suspect.stalls |= stalls
+            suspect.is_stalled |= is_stalled
             return
-        suspect = _Suspect(endpoint.name, why, self.now, stalls)
+        suspect = _Suspect(endpoint.name, why, self.now, is_stalled)
         self._suspects[service] = suspect
         self._node.log(
             "warning",
@@ -191,7 +205,7 @@
         group = self.tables.group(service)
         group.suspected = True
         self._node.publish(PrimarySuspected(group))
-        self._look(service, suspect)
+        self._poll_reports(service, suspect)
 
     def _clear(self, service: str, why: str) -> None:
         suspect = self._suspects.pop(service, None)
@@ -210,21 +224,23 @@
         suspect.reported_at = self.now
         time = self._store.time or 0.0
         key = RowKey(Table.SUSPICIONS, service, self._node.identity.name)
-        report = Report(suspect.primary, time, self.tables.group(service).must_hold)
+        report = SuspicionReport(
+            suspect.primary, time, self.tables.group(service).must_hold
+        )
         call = ChangeRows(puts=((key, report.encode()),))
 
         def on_reply(reply: StoreReply) -> None:
             if self._suspects.get(service) is suspect:
-                self._look(service, suspect)
+                self._poll_reports(service, suspect)
 
         self._node.count("suspicions_reported", service=service)
         self._store.call(call, on_reply)
 
-    def _look(self, service: str, suspect: _Suspect) -> None:
-        """Look at what other hosts report, until the matter is settled.
+    def _poll_reports(self, service: str, suspect: _Suspect) -> None:
+        """Read the other hosts' reports, until the suspicion ends.
 
-        Whoever finds reports enough makes none: at a crash all hosts of a large fleet
-        look within the same second.
+        A host that finds enough reports writes none: when a primary crashes, all hosts
+        of a large fleet read the reports within the same second.
         """
         if self._suspects.get(service) is not suspect:
             return
@@ -232,46 +248,50 @@
         def on_rows(reply: StoreReply) -> None:
             if self._suspects.get(service) is not suspect:
                 return
-            enough = False
+            is_confirmed = False
             if reply.status is StoreStatus.DONE:
-                enough = self._judge(service, suspect, reply)
-            if not enough and self.now - suspect.reported_at >= REPORT_GAP:
+                is_confirmed = self._replace_if_confirmed(service, suspect, reply)
+            if not is_confirmed and self.now - suspect.reported_at >= REPORT_INTERVAL:
                 self._report(service, suspect)
                 return
-            pause = self._node.backoff(suspect.looks, LOOK_GAP_MIN, LOOK_GAP_MAX)
-            suspect.looks += 1
-            self.timers.after(pause, self._look, service, suspect)
+            pause = self._node.backoff(
+                suspect.polls, POLL_INTERVAL_MIN, POLL_INTERVAL_MAX
+            )
+            suspect.polls += 1
+            self.timers.after(pause, self._poll_reports, service, suspect)
 
         self._store.call(ListRows(Table.SUSPICIONS, service), on_rows)
 
-    def _judge(self, service: str, suspect: _Suspect, reply: StoreReply) -> bool:
-        """Have the primary replaced if enough hosts suspect it; tell whether."""
+    def _replace_if_confirmed(
+        self, service: str, suspect: _Suspect, reply: StoreReply
+    ) -> bool:
+        """Replace the primary if enough hosts suspect it; return whether they do."""
         group = self.tables.group(service)
         hosts = {self._node.identity.name}
         for row in reply.rows:
-            report = self._read(row)
+            report = self._decode(row)
             if report is None:
                 continue
             self._durability.raise_must_hold(group, report.must_hold)
-            young = reply.time - report.time < REPORT_TIME
-            if report.primary == suspect.primary and young:
+            is_recent = reply.time - report.time < REPORT_LIFETIME
+            if report.primary == suspect.primary and is_recent:
                 hosts.add(row.key.key)
         if len(hosts) < self._quorum(service):
             return False
         why = f"{suspect.why}; seen by {','.join(sorted(hosts))}"
-        reason = Reason.STALLED if suspect.stalls else Reason.SILENT
+        reason = Reason.STALLED if suspect.is_stalled else Reason.SILENT
         self._promotion.replace(group, suspect.primary, reason, why)
         return True
 
-    def _read(self, row: Row) -> Report | None:
+    def _decode(self, row: Row) -> SuspicionReport | None:
         try:
-            return Report.decode(str(row.value))
+            return SuspicionReport.decode(str(row.value))
         except ValueError:
             self._node.log("error", "report_unreadable", host=row.key.key)
             return None
 
     def _quorum(self, service: str) -> int:
         hosts = self._holders.holding_hosts(service)
-        if hosts == 1 and self.now >= self._started_at + ALONE_TIME:
+        if hosts == 1 and self.now >= self._started_at + ONLY_HOST_DELAY:
             return 1
         return max(QUORUM_MIN, math.ceil(QUORUM_SHARE * hosts))
