--- a/tests/core/proxy/test_durability.py
+++ b/tests/core/proxy/test_durability.py
@@ -1,4 +1,4 @@
-"""What must not be lost is known to whoever promotes, whoever saw it before."""
+"""A host that promotes knows the commits to preserve, whichever host saw them."""
 
 from __future__ import annotations
 
@@ -30,16 +30,16 @@
     world.timers.after(0.1, _keep_reading, world)
 
 
-def _hear_again(world: ProxyWorld, name: str) -> None:
+def _receive_again(world: ProxyWorld, name: str) -> None:
     world.group.replicas[name].deaf = False
     world.group.start(name)
 
 
 def test_commit_known_to_a_host_that_does_not_promote():
-    """Twenty acknowledged commits are gone; the primary never failed.
+    """Guard against the loss of twenty acknowledged commits without a primary failure.
 
-    They ran by way of one host, and were acknowledged by a replica that was then lost.
-    Two other hosts saw writes stall and promoted the replica that lacked them.
+    The commits ran through one host, and were acknowledged by a replica that was then
+    lost. Two other hosts saw writes stall and promoted the replica that lacked them.
     """
     world = ProxyWorld()
     _write(world, 5)
@@ -53,7 +53,7 @@
 
 
 def test_commit_known_to_a_host_that_can_not_report():
-    """The same, and that host can't reach the store to tell what it knows."""
+    """Guard against the same loss where the first host cannot report to the store."""
     world = ProxyWorld()
     _write(world, 5)
     world.group.replicas["db-tanger"].deaf = True
@@ -65,11 +65,11 @@
     assert world.group.lost == []
 
 
-def test_commit_of_a_host_that_had_heard_nothing_lately():
-    """One acknowledged commit is gone.
+def test_commit_of_a_host_that_knew_an_old_position_only():
+    """Guard against the loss of one acknowledged commit.
 
-    Its host had last heard the primary long before it sent the commit, so what the
-    primary's log had shown proves little of where the commit stands.
+    Its host had the last reply of the primary long before it sent the commit, so the
+    position in that reply is far below the position of the commit.
     """
     world = ProxyWorld()
     _write(world, 1, host=2)
@@ -83,11 +83,11 @@
     assert world.group.lost == []
 
 
-def test_hosts_that_lost_power_before_they_could_tell():
-    """Twenty acknowledged commits are gone after all hosts lost power.
+def test_hosts_that_lost_power_before_they_could_report():
+    """Guard against the loss of twenty acknowledged commits after a power failure.
 
-    A replica is lost, then all hosts, before any of them has written what it knew.
-    Those that start then find a primary whose writes stall, and one replica.
+    A replica is lost, then all hosts, before any of them has reported to the store. The
+    hosts find a primary whose writes stall, and one replica, when they start again.
     """
     world = ProxyWorld()
     _write(world, 1)
@@ -101,11 +101,12 @@
     assert world.primary.name == "db-casa"
 
 
-def test_replica_that_restarts_empty_after_an_even_replacement():
-    """Twenty acknowledged commits are gone: an empty member leads.
+def test_replica_that_restarts_empty_after_a_replacement_without_loss():
+    """Guard against the promotion of an empty member, which loses twenty commits.
 
-    Both replicas had all of them when one was promoted, so nothing was written down.
-    The other starts again with nothing, all hosts lose power, and the leader is lost.
+    Both replicas had all commits when one was promoted, so no position was written to
+    the store then. The other replica restarts empty, all hosts lose power, and the new
+    primary is lost.
     """
     world = ProxyWorld()
     _write(world, 20)
@@ -113,8 +114,8 @@
     _keep_reading(world)
     world.run_until(lambda: world.group.promotions == 1, 6.0)
     world.remove_entry("db-casa")
-    leader = world.primary.name
-    other = "db-tanger" if leader == "db-agadir" else "db-agadir"
+    successor = world.primary.name
+    other = "db-tanger" if successor == "db-agadir" else "db-agadir"
     world.run(1.0)
     replica = world.group.replicas[other]
     world.crash(other)
@@ -124,7 +125,7 @@
     world.run(0.2)
     world.restart(other)
     world.lose_power(down=1.0, linger=0.5, started=lambda host: None)
-    _lose(world, leader)
+    _lose(world, successor)
     _keep_writing(world)
     world.run(15.0)
     assert world.group.lost == []
@@ -132,12 +133,12 @@
     assert claim.endswith(" 1.20")
 
 
-def test_commits_that_nobody_received_are_demanded_of_nobody():
-    """No primary for good, though nothing that was acknowledged is missing.
+def test_commits_that_no_replica_received_are_not_required():
+    """Guard against a group that stays without a primary though it lost no commit.
 
-    The old primary comes back with commits that no replica ever had, before it follows
-    its successor, which has not committed yet. What it shows then is taken for
-    something that replicas hold; it is rolled back, and the successor is lost.
+    The old primary returns with commits that no replica ever received, before it
+    follows its successor, which has not committed yet. Its position counts as received
+    by replicas. Then its log is rolled back, and the successor is lost.
     """
     world = ProxyWorld()
     _write(world, 5)
@@ -149,12 +150,12 @@
     world.run(0.1)
     world.crash("db-casa")
     for name in ("db-tanger", "db-agadir"):
-        _hear_again(world, name)
+        _receive_again(world, name)
     world.remove_entry("db-casa")
     for host in range(3):
         world.caller(host, "strict").send(Read("a"))
     world.run_until(lambda: world.group.promotions == 1, 6.0)
-    leader = world.primary.name
+    successor = world.primary.name
     world.run(6.0)
     casa.deaf = True
     world.restart("db-casa")
@@ -165,19 +166,19 @@
         for caller in callers:
             caller.send(Read("a"))
         world.run(0.1)
-    _hear_again(world, "db-casa")
+    _receive_again(world, "db-casa")
     world.run(0.2)
-    _lose(world, leader)
+    _lose(world, successor)
     _keep_writing(world)
     world.run(30.0)
     assert world.group.promotions == 2
 
 
 def test_primary_cut_from_its_replicas_is_replaced_all_the_same():
-    """A primary without receivers keeps its group from writing for the whole cut.
+    """Guard against a group that cannot write while its primary is cut off.
 
-    Reads at it show commits that no replica has. Demanded of a successor, they would
-    leave the primary that can't commit in its place.
+    Reads at the primary show commits that no replica has. If a successor had to hold
+    them, the primary that cannot commit would never be replaced.
     """
     world = ProxyWorld()
     _write(world, 5)
--- a/tests/core/proxy/test_members.py
+++ b/tests/core/proxy/test_members.py
@@ -1,4 +1,4 @@
-"""Endpoints that start again under their names: nothing known outlives a start."""
+"""Endpoints that restart under their names: what is known of one start ends with it."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
     ProxyWorld,
 )
 
-QUESTION_TIME = 5.0  # seconds; longer than a test runs
+REQUEST_TIMEOUT = 5.0  # seconds; longer than a test runs
 REPLICA = "db-tanger"
 
 
@@ -47,17 +47,17 @@
     return world.hosts[0].tables.endpoints[name]
 
 
-def _enter_start(world: ProxyWorld, name: str = REPLICA, later: int = 1) -> None:
-    """Have an entry tell of another start, while connections stay as they are."""
+def _enter_restart(world: ProxyWorld, name: str = REPLICA, later: int = 1) -> None:
+    """Write an entry of a later start, while connections stay as they are."""
     entry = world.entry(name)
     world.put_entry(replace(entry, started_at=entry.started_at + later))
 
 
-def test_beliefs_end_with_the_start_that_they_are_of(world):
-    """Symptom: reads go to an endpoint that has nothing, as if it were up to date.
+def test_state_of_an_endpoint_ends_with_its_start(world):
+    """Guard against reads at an endpoint that is empty, as if it were up to date.
 
-    Sequence: an endpoint starts again under its name. Cause: its position, its latency
-    and what it refused are believed of the new start, which has another log.
+    An endpoint restarts under its name, with another log. Its position, latency and
+    refusals must not carry over to the new start.
     """
     before = _row(world)
     before.latency = before.least_latency = 0.4
@@ -68,7 +68,7 @@
     before.overdue = 3
     before.failures = 4
     before.refused_until = float("inf")
-    _enter_start(world)
+    _enter_restart(world)
     endpoint = _row(world)
     fresh = EndpointRow(endpoint.entry, endpoint.version)
     assert endpoint is not before
@@ -91,13 +91,13 @@
     assert group.endpoints[REPLICA] is endpoint
 
 
-def test_restart_is_logged_and_told_with_both_rows(world):
+def test_restart_is_logged_and_published_with_both_rows(world):
     host = world.hosts[0]
-    told: list[EndpointRestarted] = []
-    host.node.subscribe(EndpointRestarted, told.append)
+    published: list[EndpointRestarted] = []
+    host.node.subscribe(EndpointRestarted, published.append)
     before = _row(world)
-    _enter_start(world)
-    assert [(signal.before, signal.endpoint) for signal in told] == [
+    _enter_restart(world)
+    assert [(signal.before, signal.endpoint) for signal in published] == [
         (before, _row(world))
     ]
     (logged,) = host.logged("endpoint_restarted")
@@ -107,23 +107,23 @@
 
 
 def test_connections_to_the_earlier_start_are_closed(world):
-    """Symptom: statements wait for an endpoint that is no more.
+    """Guard against statements that wait for an earlier start of an endpoint.
 
-    Sequence: an endpoint ends without a sign and starts again under its name. Cause:
-    connections to its earlier start are kept, as if they were to the new one.
+    An endpoint ends without closing its connections and restarts under its name. The
+    connections to its earlier start must not be kept for the new one.
     """
     host = world.hosts[0]
     before = _row(world)
     numbers = set(before.connections)
     assert numbers
-    _enter_start(world)
+    _enter_restart(world)
     assert not before.connections
     assert not numbers & set(host.tables.connections)
     assert not numbers & set(host.connections)
     assert all(c.endpoint is _row(world) for c in _row(world).connections.values())
 
 
-def test_connection_that_is_being_opened_is_closed(world):
+def test_opening_connection_to_the_earlier_start_is_closed(world):
     host = world.hosts[0]
     world.handshake = 0.3
     before = _row(world)
@@ -132,7 +132,7 @@
         host.lose(connection.number, "reset")
     world.run(0.05)
     (number,) = before.connections
-    _enter_start(world)
+    _enter_restart(world)
     world.run(0.4)
     assert number not in host.connections
     assert len(world.group.replicas[REPLICA].connections) == sum(
@@ -141,10 +141,10 @@
 
 
 def test_write_in_flight_is_in_doubt_and_not_sent_again(world):
-    """Symptom: a write takes effect twice, or waits for its timeout.
+    """Guard against a write that takes effect twice, or waits for its timeout.
 
-    Sequence: a primary is silent with a write in flight, and its entry tells of another
-    start. Cause: the write counts as not sent, or its connection as alive.
+    A primary does not answer a write in flight, and its entry shows a restart. The
+    write must not count as unsent, nor its connection as alive.
     """
     caller = world.caller(0, "own")
     caller.run(Write("a 1"))
@@ -152,7 +152,7 @@
     caller.send(Write("a 2"), "the-write")
     world.run(0.01)
     began = world.timers.now
-    _enter_start(world, "db-casa")
+    _enter_restart(world, "db-casa")
     assert caller.answers[-1].code is Code.IN_DOUBT
     assert caller.answered_at[-1] - began < ENTRY_TIME
     world.dark.clear()
@@ -162,10 +162,10 @@
 
 
 def test_write_that_was_not_sent_runs_at_the_next_primary(world):
-    """Symptom: a caller is told that a write is in doubt which nobody was sent.
+    """Guard against IN_DOUBT for a write that was never sent.
 
-    Sequence: it waits for a connection while the primary starts again. Cause: all that
-    has to do with the earlier start is taken for sent.
+    The write waits for a connection while the primary restarts. A restart must not
+    make every write to the earlier start count as sent.
     """
     host = world.hosts[0]
     for connection in list(_row(world, "db-casa").connections.values()):
@@ -174,7 +174,7 @@
     world.run(0.005)
     caller = world.caller(0, "own")
     caller.send(Write("a 1"))
-    _enter_start(world, "db-casa")
+    _enter_restart(world, "db-casa")
     world.handshake = 0.012
     world.run(1.0)
     assert [answer.code for answer in caller.answers] == [Code.DONE]
@@ -191,7 +191,7 @@
     asked = next(r.name for r in _rows(world) if r.in_flight)
     before = _row(world, asked)
     world.dark.clear()
-    _enter_start(world, asked)
+    _enter_restart(world, asked)
     world.run(0.2)
     assert caller.answers[-1].rows == (b"1",)
     assert before.in_flight == 0
@@ -202,27 +202,27 @@
 
 
 def test_open_transaction_is_aborted_once(world):
-    """Symptom: a transaction goes on at an endpoint that never began it."""
+    """Guard against a transaction that continues at a start that never began it."""
     caller = world.caller(0, "own")
     caller.run(Begin())
     caller.run(Write("a 1"))
-    _enter_start(world, "db-casa")
+    _enter_restart(world, "db-casa")
     answer = caller.run(Write("a 2"))
     assert (answer.code, answer.state) == (Code.ABORTED, SessionState.FAILED)
     assert _row(world, "db-casa").in_flight == 0
 
 
 def test_session_state_is_sent_to_the_new_start(world):
-    """Symptom: UNKNOWN_STATEMENT, or a value that is missing.
+    """Guard against UNKNOWN_STATEMENT, and against a missing session value.
 
-    Sequence: a session with values and prepared statements goes on after the primary
-    has started again. Cause: they are taken to be on its connections still.
+    A session with values and prepared statements continues after the primary has
+    restarted. The state must not be assumed to be on the new connections already.
     """
     caller = world.caller(0, "strict")
     caller.run(SetValue("role", "clerk"))
     caller.run(Prepare("s", Access.WRITE, "q1"))
     assert caller.run(Execute("s", "a 1")).code is Code.DONE
-    _enter_start(world, "db-casa")
+    _enter_restart(world, "db-casa")
     assert caller.run(Execute("s", "a 2")).code is Code.DONE
     (connection,) = [
         c for c in world.hosts[0].connections.values() if c.prepared and c.open
@@ -231,13 +231,13 @@
 
 
 def test_earlier_start_does_not_displace_a_later_one(world):
-    """Symptom: the connections of an endpoint that is well are closed.
+    """Guard against closing the connections of a healthy endpoint.
 
-    Sequence: an endpoint writes its entry, ends and starts again; the store carries
-    the first write out last. Cause: the newest entry is taken for the newest start.
+    An endpoint writes its entry, ends and restarts, and the store applies the first
+    write last. The newest entry is not always of the newest start.
     """
     earlier = world.entry(REPLICA)
-    _enter_start(world)
+    _enter_restart(world)
     endpoint = _row(world)
     world.put_entry(replace(earlier, draining=True, is_primary=True))
     assert _row(world) is endpoint
@@ -246,7 +246,7 @@
     assert len(world.hosts[0].logged("endpoint_restarted")) == 1
 
 
-def test_entry_that_tells_no_start_is_of_the_one_known(world):
+def test_entry_without_a_start_is_of_the_known_start(world):
     endpoint = _row(world)
     entry = world.entry(REPLICA)
     world.put_entry(replace(entry, started_at=UNKNOWN_START, slots=4))
@@ -264,11 +264,11 @@
     assert not world.hosts[0].logged("endpoint_restarted")
 
 
-def test_primary_that_starts_again_empty_leads_no_more(world):
-    """Symptom: writes go to an endpoint that has lost all, or none are accepted.
+def test_primary_that_restarts_empty_is_no_longer_primary(world):
+    """Guard against writes at an endpoint with an empty log, and refused writes.
 
-    Sequence: the primary ends and starts again under its name, as a replica that has
-    nothing. Cause: it is still taken for the primary, as its name is the same.
+    The primary ends and restarts under its name, as a replica with an empty log. The
+    same name must not make it the primary.
     """
     caller = world.caller(0, "own")
     caller.run(Write("a 1"))
@@ -283,8 +283,8 @@
     assert world.group.lost == []
 
 
-def test_primary_that_started_again_is_asked_whether_it_leads(world):
-    _enter_start(world, "db-casa")
+def test_restarted_primary_is_probed_before_it_is_primary_again(world):
+    _enter_restart(world, "db-casa")
     group = world.hosts[0].tables.groups[SERVICE]
     assert group.primary == "db-casa"
     believed = world.hosts[0].logged("primary_believed")[-2:]
@@ -294,19 +294,19 @@
     ]
 
 
-def test_denied_role_ends_with_its_start(world):
+def test_refusal_as_not_primary_ends_with_its_start(world):
     host = world.hosts[0]
     host.node.system(Members).note_not_primary(_row(world, "db-casa"))
     assert host.tables.groups[SERVICE].primary == ""
-    _enter_start(world, "db-casa")
+    _enter_restart(world, "db-casa")
     assert host.tables.groups[SERVICE].primary == "db-casa"
 
 
 def test_timers_of_the_earlier_start_do_not_end_the_new_one(world):
-    """Symptom: an endpoint that has just started is forgotten, or not used.
+    """Guard against an endpoint that has just started but is forgotten or unused.
 
-    Sequence: its earlier start was leaving or gone; it starts again, and is leaving or
-    gone in its turn. Cause: the time runs from the first of these.
+    Its earlier start was leaving or gone. Timers of the earlier start must not end
+    the new one.
     """
     world.enter(world.group.replicas[REPLICA], draining=True)
     world.run(0.3)
@@ -320,7 +320,7 @@
     assert not endpoint.retired
 
 
-def test_replica_that_started_again_serves_once_it_has_the_floor(world):
+def test_restarted_replica_serves_once_it_has_reached_the_floor(world):
     caller = world.caller(0, "own")
     caller.run(Write("a 1"))
     for name in (REPLICA, "db-agadir"):
@@ -336,61 +336,61 @@
     assert serving == {"db-casa", REPLICA, "db-agadir"}
 
 
-def test_question_to_the_earlier_start_has_no_answer(world):
-    """Symptom: the log of a new start is taken for that of the one that was asked."""
+def test_control_request_to_the_earlier_start_has_no_reply(world):
+    """Guard against taking the log of a new start for that of the start asked."""
     before = _row(world)
     world.dark.add(REPLICA)
     replies = []
     control = world.hosts[0].node.system(Control)
-    control.send(before, (Status(),), replies.append, QUESTION_TIME)
-    _enter_start(world)
+    control.send(before, (Status(),), replies.append, REQUEST_TIMEOUT)
+    _enter_restart(world)
     assert replies == [None]
 
 
-def test_question_that_waits_for_the_earlier_start_ends(world):
+def test_waiting_control_request_to_the_earlier_start_ends(world):
     before = _row(world)
     for connection in before.connections.values():
         connection.state = ConnectionState.PINNED  # none is free
     before.refused_until = float("inf")
     replies = []
     control = world.hosts[0].node.system(Control)
-    control.send(before, (Status(),), replies.append, QUESTION_TIME)
+    control.send(before, (Status(),), replies.append, REQUEST_TIMEOUT)
     world.run(0.1)
     assert replies == []
-    _enter_start(world)
+    _enter_restart(world)
     assert replies == [None]
 
 
-def test_nothing_is_opened_to_the_earlier_start(world):
+def test_no_connection_is_opened_to_the_earlier_start(world):
     host = world.hosts[0]
     before = _row(world)
-    _enter_start(world)
+    _enter_restart(world)
     host.node.system(Control).send(before, (Status(),), lambda _: None, 0.5)
     assert not before.connections
 
 
-def test_primary_that_was_to_leave_leads_after_its_restart(world):
-    """Symptom: a primary that has just started is not used.
+def test_leaving_primary_is_primary_after_its_restart(world):
+    """Guard against a primary that has just started but is not used.
 
-    Sequence: it says that it leaves, and starts again before it is replaced. Cause: the
-    time after which it should have left still runs.
+    Its entry says that it is leaving, and it restarts before it is replaced. The
+    leaving timeout of its earlier start must not apply.
     """
     for host in world.hosts:
         host.cut_from.add("orders")
     entry = world.entry("db-casa")
     world.put_entry(replace(entry, draining=True))
-    _enter_start(world, "db-casa")
+    _enter_restart(world, "db-casa")
     world.put_entry(replace(world.entry("db-casa"), draining=False))
     world.run(LEAVING_TIMEOUT)
     believed = world.hosts[0].logged("primary_believed")
     assert "its time to leave is over" not in [line["why"] for line in believed]
 
 
-def test_a_host_that_starts_while_a_primary_leaves_stops_in_time():
-    """Statements reached a primary ten seconds after it had said that it leaves.
+def test_host_that_starts_while_a_primary_is_leaving_stops_using_it_in_time():
+    """Guard against statements at a primary ten seconds after it began to leave.
 
-    No successor was found. Hosts that were restarted meanwhile counted the time for
-    which a leaving primary is used from their own start.
+    No successor was found. Hosts that were restarted meanwhile counted the leaving
+    timeout from their own start.
     """
     world = ProxyWorld()
     for host in world.hosts:
@@ -411,14 +411,14 @@
     assert "db-casa" not in {name for name, call in calls if call.request_id}
 
 
-def test_of_two_that_say_that_they_lead_only_the_newer_one_is_believed(world):
-    """Symptom: an acknowledged write is lost where a primary returns with its log under
-    another name, after the store was away.
+def test_only_the_newer_of_two_entries_that_name_a_primary_applies(world):
+    """Guard against the loss of an acknowledged write after an outage of the store.
 
-    Sequence: a host orders a promotion, and then reads entries in the order of their
-    versions; the target's entry is old, and still says that it leads.
-    Cause: believed for a moment, it passed for promoted. The replicas were resumed
-    while its order stood, and acknowledged commits of the primary that had returned.
+    A primary returned with its log under another name. A host that had ordered a
+    promotion applied the entries in the order of their versions, and the old entry of
+    its target still named the target as primary. The target counted as promoted for a
+    moment, so the replicas were resumed while the order was outstanding, and
+    acknowledged commits of the returned primary.
     """
     host = world.hosts[0]
     host.cut_from.add("store")
--- a/tests/core/proxy/test_replaced.py
+++ b/tests/core/proxy/test_replaced.py
@@ -1,7 +1,7 @@
-"""A primary that was replaced and goes on: nobody may be served by it as if it led.
+"""Replaced primaries that go on: no caller may be served by one as if it were primary.
 
-The platform played here checks no fence, and a replaced primary leads on until it is
-demoted or has been able to reach its successor for a second.
+The simulated platform checks no fencing tokens, and a replaced primary goes on until it
+is demoted or has been able to reach its successor for a second.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 
 def weak_world(hosts: int = 4, **group: object) -> ProxyWorld:
-    """Return a world whose platform gives no help."""
+    """Return a world whose platform neither fences nor demotes primaries."""
     return ProxyWorld(hosts=hosts, fences=False, goes_on=True, **group)
 
 
 def keep_working(world: ProxyWorld, *hosts: int) -> None:
-    """Write and read at some hosts, twenty times a second."""
+    """Write and read at the given hosts, twenty times a second."""
     for index in hosts:
         if not world.hosts[index].exited:
             world.caller(index, "strict").send(Write("a 1"))
@@ -36,7 +36,7 @@
 
 
 def keep_reading(world: ProxyWorld, index: int, database: str) -> None:
-    """Read at one host, fifty times a second, alone and in transactions."""
+    """Read at a host, fifty times a second, outside and inside transactions."""
     world.caller(index, database).send(Read("a"))
     in_transaction = world.caller(index, database)
     for statement in (Begin(), Read("a"), Commit()):
@@ -45,9 +45,9 @@
 
 
 def cut_off(world: ProxyWorld) -> None:
-    """Cut the primary from its replicas, and from all hosts but the first.
+    """Cut the primary off from its replicas and from all hosts but the first.
 
-    That one reaches nothing else.
+    The first host reaches no other endpoint, and not the store.
     """
     world.group.cut(OLD, OTHERS)
     world.cut(0, *OTHERS, "store", "orders")
@@ -56,7 +56,7 @@
 
 
 def kept(world: ProxyWorld) -> None:
-    """Fail if a promise was broken."""
+    """Assert that no guarantee was violated."""
     assert world.group.lost == []
     assert world.group.overtaken == []
     assert world.oracle.stale == []
@@ -64,12 +64,12 @@
 
 @pytest.mark.parametrize("database", ["strict", "bounded", "own"])
 def test_a_host_that_reaches_only_the_old_primary_serves_nothing_stale(database):
-    """Reads lacked commits that had been acknowledged over a second before.
+    """Guard against reads that lack commits acknowledged over a second before.
 
-    A primary was cut from its replicas and from all hosts but one, which reached
-    nothing else. The others had it replaced. The one host went on to read at the old
-    primary, which accepted each empty transaction: its log stood at 1.41, and 2.37 had
-    been acknowledged. To accept one was taken for a proof of leading.
+    A primary was cut off from its replicas and from all hosts but one, which reached
+    no other endpoint, and the other hosts replaced it. The one host went on to read at
+    the old primary, whose log stood at 1.41 when 2.37 had been acknowledged. That the
+    old primary accepted an empty transaction counted as proof that it was primary.
     """
     world = weak_world()
     keep_working(world, 1, 2, 3)
@@ -84,15 +84,13 @@
 @pytest.mark.parametrize("away", [3.0, 6.0, 9.0])
 @pytest.mark.parametrize("given_back", [True, False])
 def test_a_claim_for_the_successor_proves_nothing_for_the_old_primary(away, given_back):
-    """Reads lacked commits of a successor that had led for seconds.
+    """Guard against reads that lack commits which a successor acknowledged before.
 
-    A host was cut off from all but the old primary, from the store as well. As soon
-    as it reached the store again it asked whether anybody had claimed to replace that
-    one. The newest claim was a later one, made to have the successor's replicas
-    receive: it named another primary, or was given back, which was taken for proof.
-
-        primary_believed primary=i-d38966cc6f before=i-cf70025602 term=1
-        statement at i-cf70025602, whose log stood at 1.49 and lacked commit 2.56
+    A host was cut off from all but the old primary, also from the store. Once it
+    reached the store again, it looked for a claim to replace the old primary. The
+    newest claim was a later one, made to resume the successor's replicas: it named
+    another primary, or was released. Neither proves anything for the old primary, whose
+    log stood at 1.49 and lacked commit 2.56.
     """
     world = weak_world()
     keep_working(world, 1, 2, 3)
@@ -115,12 +113,13 @@
     kept(world)
 
 
-def test_a_holder_that_believes_the_old_primary_proves_nothing_to_others():
-    """Reads by way of another host lacked commits acknowledged over a second before.
+def test_a_holder_that_assumes_the_old_primary_proves_nothing_to_others():
+    """Guard against forwarded reads that lack commits acknowledged a second before.
 
-    The host that held the connections was cut off with the old primary. It refused
-    what came for the successor in the latter's name, since it believed that the old
-    one led; whoever asked whether anybody else led took that for the successor's word.
+    The holder was cut off together with the old primary, which it still assumed to be
+    the primary. It therefore refused, in the successor's name, statements that it
+    should have forwarded to the successor. Other hosts took these refusals for replies
+    of the successor, and so for proof that the old primary was the only one.
     """
     world = weak_world(hosts=24)
     world.run(4.0)
@@ -145,13 +144,13 @@
     kept(world)
 
 
-def test_a_planned_replacement_leaves_nobody_at_the_old_primary():
-    """Commits were acknowledged by a primary after its successor led, and were lost.
+def test_after_a_switchover_the_old_primary_acknowledges_nothing():
+    """Guard against commits that an old primary acknowledges beside its successor.
 
-    A leaving primary was replaced. The replica that had been paused was told to receive
-    as soon as the successor led, followed the old primary until it heard of the
-    successor, and acknowledged the commits of a host that had not heard of it either,
-    for want of the store. Nobody had told the old primary to stop.
+    A leaving primary was replaced, and was not ordered to step down. The paused replica
+    was resumed once the successor was promoted, and followed the old primary until it
+    learnt of the successor. So it acknowledged commits of a host that could not reach
+    the store and did not know the successor either, and these commits were lost.
     """
     world = weak_world()
     keep_working(world, 0, 1, 2, 3)
@@ -164,11 +163,11 @@
 
 
 def test_a_stalled_primary_that_was_replaced_acknowledges_nothing():
-    """Commits were acknowledged by a primary after its successor led, and were lost.
+    """Guard against commits that an old primary acknowledges beside its successor.
 
-    A primary was cut from its replicas for a while, so that its writes stalled, and was
-    replaced; when the cut ended, one of its replicas had been told to receive and had
-    not yet heard of the successor.
+    A primary was cut off from its replicas for a while, so its writes stalled and it
+    was replaced. When the cut ended, one of its replicas had been resumed and did not
+    know the successor yet.
     """
     world = weak_world()
     keep_working(world, 0, 1, 2, 3)
@@ -182,11 +181,11 @@
 
 
 def test_a_replica_that_restarts_during_a_replacement_acknowledges_nothing_more():
-    """Commits were acknowledged by way of a replica whose pause its restart had ended.
+    """Guard against commits acknowledged by a replica whose restart ended its pause.
 
-    It was compared and paused, crashed and came back while the order was on its way,
-    and received again from the old primary, on which a host without the store went on
-    to write after its successor led.
+    The replica was compared and paused, and crashed and restarted while the promotion
+    order was in flight. It received again from the old primary, where a host without
+    the store went on to write after the successor was promoted.
     """
     world = weak_world()
     keep_working(world, 0, 1, 2, 3)
@@ -203,11 +202,11 @@
 
 
 def test_an_order_that_is_carried_out_late_loses_nothing():
-    """Commits were acknowledged by a primary after its successor led, and were lost.
+    """Guard against commits that an old primary acknowledges beside its successor.
 
-    An order to promote got no answer and was given up, and the replicas that had been
-    paused received again. Seconds later it was carried out, with no fence to refuse
-    it, and the one that was not promoted followed the old primary.
+    A promotion order got no answer, the attempt was given up, and the paused replicas
+    were resumed. Seconds later the order was carried out, as no fencing token was
+    checked, and the other replica still followed the old primary.
     """
     world = weak_world()
     keep_working(world, 0, 1, 2, 3)
@@ -229,10 +228,10 @@
     kept(world)
 
 
-def test_a_host_without_the_store_goes_on_reading_while_nobody_is_replaced():
-    """A host that has lost the store refused reads that were fresh.
+def test_a_host_without_the_store_goes_on_reading_without_a_replacement():
+    """Guard against refused reads at a host that cannot reach the store.
 
-    It reaches all members, and nobody can be promoted unseen by it.
+    The host reaches all members, so it would see the promotion of any of them.
     """
     world = weak_world()
     world.run(1.0)
@@ -246,7 +245,7 @@
 
 
 def test_a_host_cut_from_a_replica_reads_at_the_primary():
-    """A replica that one host can't reach made that host refuse fresh reads."""
+    """Guard against refused reads at a host that cannot reach one replica."""
     world = weak_world()
     world.run(1.0)
     world.cut(0, "db-agadir")
@@ -256,10 +255,10 @@
 
 
 def test_hosts_that_find_two_primaries_demote_the_older_one():
-    """A replaced primary went on beside its successor for as long as it was cut off.
+    """Guard against a replaced primary that goes on while it is cut off.
 
-    Whoever had it replaced was to demote it, and had ended. Hosts that read at either
-    one saw both accept transactions, and left it at that.
+    The host that replaced the primary ended before it demoted the primary. Hosts that
+    see both endpoints accept transactions must demote the older one.
     """
     world = weak_world()
     keep_reading(world, 0, "strict")
@@ -275,10 +274,10 @@
 
 
 def test_what_was_proven_of_a_primary_ends_with_its_start():
-    """A read ran on the empty log of a primary that had started again.
+    """Guard against a read on the empty log of a restarted primary.
 
-    It was proven to lead alone, crashed, and came back under its name, with nothing.
-    A host that was slow to learn of that went by the proof.
+    The primary was proven to be the only one, crashed, and restarted under its name
+    with an empty log. A host that learnt of the restart late relied on the old proof.
     """
     world = weak_world()
     keep_working(world, 1, 2, 3)
@@ -295,10 +294,11 @@
 
 
 def test_a_host_that_does_not_know_the_successor_proves_nothing():
-    """Reads lacked commits of a successor that was not among those that were asked.
+    """Guard against reads that lack commits of a successor unknown to a host.
 
-    It had joined while a host could not read the store. The host asked the members it
-    knew; none of them led, though one of them showed the successor's newer term.
+    The successor joined while the host could not reach the store. The host asked the
+    members that it knew. None of them was primary, but one showed the newer term of the
+    successor.
     """
     world = weak_world()
     keep_reading(world, 0, "strict")
@@ -318,11 +318,11 @@
 
 
 def test_a_stall_at_the_successor_does_not_bring_the_old_primary_back():
-    """Commits were acknowledged by a replaced primary, and lost.
+    """Guard against the loss of commits that a replaced primary acknowledged.
 
     The successor's writes stalled while its replica waited for the old primary to step
-    down. That one accepted a transaction, which set aside that the successor led a
-    newer term; the successor was then ordered to step down.
+    down. The old primary accepted a transaction, and this outweighed the newer term of
+    the successor, which was then ordered to step down.
     """
     world = weak_world()
     keep_working(world, 0, 1, 2, 3)
@@ -340,11 +340,11 @@
 
 
 @pytest.mark.parametrize("led_for", [0.0, 0.01, 0.3, 0.6])
-def test_an_old_primary_that_says_that_it_leads_is_no_successor(led_for):
-    """Commits were acknowledged by a replaced primary, and were lost.
+def test_an_old_primary_that_claims_to_be_primary_is_no_successor(led_for):
+    """Guard against the loss of commits that a replaced primary acknowledged.
 
-    Its successor failed as well. An attempt to replace that one ended since a member
-    said that it led, which was the old primary.
+    Its successor failed as well. The attempt to replace the successor ended early, as a
+    member claimed to be primary already, and that member was the old primary.
     """
     world = weak_world()
     keep_working(world, 0, 1, 2, 3)
@@ -363,16 +363,19 @@
 
 
 def keep_writing(world: ProxyWorld, *hosts: int) -> None:
-    """Write at some hosts, fifty times a second, and prove nothing by reads."""
+    """Write at the given hosts, fifty times a second.
+
+    Without reads, these hosts ask for no proof that the primary was not replaced.
+    """
     for index in hosts:
         world.caller(index, "strict").send(Write("a 1"))
     world.timers.after(0.02, keep_writing, world, *hosts)
 
 
 def replaced_by_some(world: ProxyWorld) -> None:
-    """Have two hosts that do not reach a primary order its replacement.
+    """Cut two hosts off from the primary, so that they replace it.
 
-    Two others write there, and can't read the store.
+    The two other hosts write at the primary and cannot reach the store.
     """
     keep_working(world, 1, 2)
     keep_writing(world, 0, 3)
@@ -391,10 +394,11 @@
 def test_an_old_primary_that_is_back_steps_down_before_a_replica_receives(
     promotion, back
 ):
-    """Commits were acknowledged by a primary after its successor led, and were lost.
+    """Guard against commits that an old primary acknowledges beside its successor.
 
-    The host that replaced it had failed to reach it before, and took that for its
-    silence, though others reached it, and it as well by then.
+    The host that replaced the primary had failed to reach it earlier, and took that for
+    proof that it was unreachable. Other hosts reached the primary all the time, and the
+    host itself did again when replicas were resumed.
     """
     world = weak_world(times=GroupTimes(promotion=promotion))
     replaced_by_some(world)
@@ -413,10 +417,11 @@
 
 
 def test_hosts_that_are_cut_off_with_an_old_primary_lose_nothing():
-    """Commits were acknowledged by a primary after its successor led, and were lost.
+    """Guard against commits that an old primary acknowledges beside its successor.
 
-    The host that replaced it reached neither it nor the hosts that went on to write
-    there. It waited for half a second, as if nobody reached it.
+    The host that replaced the primary reached neither the primary nor the hosts that
+    went on to write there. It waited only half a second, as if no host reached the
+    primary.
     """
     world = weak_world()
     replaced_by_some(world)
@@ -429,10 +434,11 @@
 
 
 @pytest.mark.parametrize("written", [0.01, 0.1, 0.3])
-def test_an_old_primary_that_writes_its_entry_again_is_not_believed(written):
-    """Hosts went back to an old primary whose entry was newer than its successor's.
+def test_an_old_primary_that_writes_its_entry_again_is_not_primary(written):
+    """Guard against a return to an old primary that wrote its entry last.
 
-    It did not know that it had been replaced, and no longer said that it leaves.
+    The old primary did not know that it had been replaced, and its new entry no longer
+    said that it was leaving.
     """
     world = weak_world()
     keep_working(world, 0, 1, 2, 3)
@@ -444,17 +450,19 @@
     world.enter(world.group.replicas[OLD])
     world.run(0.3)
     assert world.group.replicas[OLD].is_primary
-    believed = {host.tables.groups[SERVICE].primary for host in world.hosts}
-    assert believed == {world.primary.name}
+    primaries = {host.tables.groups[SERVICE].primary for host in world.hosts}
+    assert primaries == {world.primary.name}
     world.dark.discard(OLD)
     world.run(4.0)
     kept(world)
 
 
-def test_evidence_from_before_a_successor_led_does_not_count():
-    """A replica received again as nobody had reached the old primary a while before.
+def test_evidence_from_before_the_promotion_does_not_count():
+    """Guard against resuming a replica on outdated evidence about the old primary.
 
-    It may have been back by the time its successor led, with hosts that did not know.
+    No host had reached the old primary some time before the promotion. It may be
+    reachable again when its successor is promoted, for hosts that do not know the
+    successor.
     """
     world = weak_world(times=GroupTimes(promotion=1.0))
     keep_working(world, 0, 1, 2, 3)
--- a/tests/core/proxy/test_replaced_random.py
+++ b/tests/core/proxy/test_replaced_random.py
@@ -1,8 +1,8 @@
-"""Faults in random order, on a platform that checks no fence and demotes nobody.
+"""Random faults on a platform that checks no fencing tokens and demotes no primary.
 
-Orders that get no answer and are carried out late, and a primary that only hosts
-without the store reach, are played in `test_replaced` and `test_standing_orders`: what
-they still allow together is told in the design.
+Two faults are left to `test_replaced` and `test_standing_orders`: promotion orders that
+get no answer and are carried out late, and a primary that is reached only by hosts
+without the store. The design describes what these two still allow together.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 @pytest.mark.parametrize("promotion", [0.3, 1.0])
 @pytest.mark.parametrize("seed", range(1, 7))
-def test_no_promise_is_broken(seed: int, promotion: float):
+def test_no_guarantee_is_violated(seed: int, promotion: float):
     play = RandomPlay(seed, promotion)
     play.run()
     group = play.world.group
--- a/tests/core/proxy/test_stalls.py
+++ b/tests/core/proxy/test_stalls.py
@@ -1,4 +1,4 @@
-"""Writes that a primary can't acknowledge take neither its connections nor time."""
+"""Writes that a primary cannot acknowledge occupy no connections and fail early."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from mallowpass.standins.proxied.virtual.world import ProxyWorld
 
 
-def _leave_no_replica_that_receives(world: ProxyWorld) -> None:
-    """Lose a replica that had acknowledged alone; the other one receives nothing."""
+def _leave_no_receiving_replica(world: ProxyWorld) -> None:
+    """Lose the replica that acknowledged all commits; the other receives nothing."""
     callers = [world.caller(host, "own") for host in range(len(world.hosts))]
     callers[0].run(Write("a 0"))
     world.group.replicas["db-tanger"].deaf = True
@@ -63,15 +63,13 @@
 
 
 def test_reads_at_a_primary_go_on_while_its_writes_get_no_answer():
-    """Most reads at a primary were refused while no replica received from it.
+    """Guard against refused reads at a primary from which no replica receives.
 
-    Its only other replica had been lost. Each write waited for its timeout, and kept
-    its connection for three seconds; after half a second none was left for reads:
-
-        13.84 statement_answered outcome=busy why="busy no connection is free"
+    Each write waited for its timeout, and occupied its connection for three seconds.
+    After half a second reads were refused, as no connection was free.
     """
     world = ProxyWorld()
-    _leave_no_replica_that_receives(world)
+    _leave_no_receiving_replica(world)
     load = _Load(world)
     since = world.timers.now + 1.0
     world.run(6.0)
@@ -83,28 +81,28 @@
 
 
 def test_writes_that_can_not_be_acknowledged_are_refused_at_once():
-    """Writes were in doubt for as long as no replica received.
+    """Guard against writes that end in doubt while no replica receives.
 
-    Hosts went on sending writes that could not be acknowledged. Each was answered after
-    its timeout, as in doubt: its caller could not try again.
+    Hosts went on sending writes that could not be acknowledged. Each was answered
+    IN_DOUBT after its timeout, so its caller could not repeat it.
     """
     world = ProxyWorld()
-    _leave_no_replica_that_receives(world)
+    _leave_no_receiving_replica(world)
     load = _Load(world)
     since = world.timers.now + 1.0
     world.run(6.0)
     answers = load.answers(load.writes, since)
-    doubtful = [answer for answer in answers if answer.code is Code.IN_DOUBT]
+    in_doubt = [answer for answer in answers if answer.code is Code.IN_DOUBT]
     refused = [answer for answer in answers if answer.code is Code.BUSY]
     assert len(refused) > 100
-    assert len(doubtful) + len(refused) == len(answers)
-    assert len(doubtful) < 0.12 * len(answers)
+    assert len(in_doubt) + len(refused) == len(answers)
+    assert len(in_doubt) < 0.12 * len(answers)
 
 
 def test_writes_go_on_soon_after_a_replica_receives_again():
-    """Held back for good, writes would outlast what they are held back for."""
+    """Guard against writes that are still refused after the stall has ended."""
     world = ProxyWorld()
-    _leave_no_replica_that_receives(world)
+    _leave_no_receiving_replica(world)
     load = _Load(world)
     world.run(6.0)
     world.group.replicas["db-tanger"].deaf = False
@@ -117,18 +115,15 @@
     assert world.group.lost == []
 
 
-def test_primary_whose_replica_receives_again_stays():
-    """A primary was replaced two seconds after it had acknowledged writes again.
-
-    Hosts that had seen writes stall, and had none to send since, still suspected it:
-
-        23.43 promotion_would_lose_commits needed=2.132 furthest=1.87
-        25.45 promotion_ordered received=e2e9:2.172
+def test_primary_whose_replica_receives_again_is_not_replaced():
+    """Guard against the replacement of a primary that acknowledges writes again.
 
-    Once its replica had caught up, nothing held the replacement back any more.
+    Hosts that had seen writes stall, and had sent no writes since, still suspected it.
+    The replacement was refused while its replica lacked commits, and was ordered two
+    seconds later, once the replica had caught up.
     """
     world = ProxyWorld()
-    _leave_no_replica_that_receives(world)
+    _leave_no_receiving_replica(world)
     for host in (0, 1):
         for _ in range(3):
             world.caller(host, "strict").send(Write("b 1"))
@@ -141,14 +136,14 @@
     assert world.caller(0, "strict").run(Write("b 2")).code is Code.DONE
 
 
-def test_replica_is_not_paused_where_it_could_not_lead():
-    """A replica that receives again is kept from it by those that compare.
+def test_replica_that_lacks_commits_is_not_paused():
+    """Guard against pausing the only replica that could end a stall.
 
-    Each host in turn paused it to find that it lacked commits, and it was all that
-    could have acknowledged the primary's writes.
+    Each host in turn paused the replica to compare it, and found that it lacked commits
+    and could not be promoted. No other replica could acknowledge the primary's writes.
     """
     world = ProxyWorld()
-    _leave_no_replica_that_receives(world)
+    _leave_no_receiving_replica(world)
     _Load(world)
     world.run(6.0)
     paused = [
@@ -159,14 +154,14 @@
     assert paused == []
 
 
-# -- Fleets whose holders serve the others ---------------------------------------
+# -- Fleets with holders ---------------------------------------------------------
 
 
 FLEET = 24
 
 
-def _fleet_whose_replicas_are_deaf() -> tuple[ProxyWorld, list[int]]:
-    """Return a fleet, and the indexes of its hosts that hold nothing."""
+def _fleet_without_receiving_replicas() -> tuple[ProxyWorld, list[int]]:
+    """Return a fleet, and the indexes of its hosts that are not holders."""
     world = ProxyWorld(hosts=FLEET)
     world.run(4.0)
     others = [i for i, host in enumerate(world.hosts) if not host.connections]
@@ -177,25 +172,25 @@
     return world, others
 
 
-def test_holders_refuse_writes_of_others_that_would_hang():
-    """Symptom: each host of a large fleet has callers wait for writes to time out.
+def test_holders_refuse_forwarded_writes_that_would_hang():
+    """Guard against writes that time out at each host of a large fleet.
 
-    Sequence: no replica receives from a primary. Cause: a host learnt that writes
-    stall from two of its own, and the few hosts that hold connections, by way of which
-    all go, counted their own callers' writes only.
+    No replica receives from a primary. A host detected a stall by two overdue writes of
+    its own, and the holders, through which all writes run, counted only the writes of
+    their own callers.
     """
-    world, others = _fleet_whose_replicas_are_deaf()
+    world, others = _fleet_without_receiving_replicas()
     for index in others[:8]:
         world.caller(index, "own").send(Write("b 1"))
-    world.run(0.42)  # these are overdue, and nobody has been replaced yet
+    world.run(0.42)  # the writes are overdue, and the primary is not replaced yet
     late = [world.caller(index, "own") for index in others[8:]]
     for caller in late:
         caller.send(Write("b 2"))
     world.run(0.02)
     hanging = sum(len(c.pending) for h in world.hosts for c in _to_primary(world, h))
-    assert hanging <= 8 + 4  # a holder sends one to see whether it hangs
+    assert hanging <= 8 + 4  # each holder sends one probe
     world.run(1.0)
-    # They did not run, so they could be sent once more, to the successor.
+    # The late writes did not run, so they were sent once more, to the successor.
     assert {caller.answers[-1].code for caller in late} == {Code.DONE}
     assert world.group.lost == []
 
@@ -206,13 +201,12 @@
     return [c for c in connections if c.endpoint.name == name and not c.holder]
 
 
-def test_holders_suspect_a_primary_for_writes_of_others():
-    """Symptom: a primary without replicas that receive is kept for as long as it lasts.
+def test_holders_suspect_a_primary_by_forwarded_writes():
+    """Guard against a primary without receiving replicas that is never replaced.
 
-    Cause: the hosts that hold its connections judge it, and none of their own callers
-    had sent a write.
+    Only holders suspect a primary, and none of their own callers had sent a write.
     """
-    world, others = _fleet_whose_replicas_are_deaf()
+    world, others = _fleet_without_receiving_replicas()
     for index in others:
         world.caller(index, "own").send(Write("b 1"))
     world.run(1.0)
@@ -221,19 +215,19 @@
     assert all(host.logged("writes_stall") for host in holders)
 
 
-def test_reads_by_way_of_holders_go_on_while_writes_hang():
-    """Symptom: reads that a primary could run are refused while its commits hang.
+def test_reads_through_holders_go_on_while_writes_hang():
+    """Guard against refused reads at a primary whose commits hang.
 
-    Sequence: one replica is deaf, and the primary goes dark; the other replica leads,
-    and no commit there is acknowledged. It has more reads than it can run. Cause: a
-    holder counted its hanging commits among what a full endpoint should have, and had
-    no room left for reads.
+    One replica receives nothing, and the primary becomes unreachable. The other replica
+    is promoted, gets no commit acknowledged, and has more reads than it can run. A
+    holder counted the hanging commits towards the endpoint's limit of statements, so
+    the limit left no room for reads.
     """
     pattern = next(p for p in PATTERNS if p.name == "deaf-then-dark")
     played = play(pattern, Deployment(hosts=86), 1)
     assert played.broken == ()
-    began = played.began + 3.0  # the successor leads, and writes hang
+    began = played.began + 3.0  # the successor is primary, and writes hang
     asked = [e for e in played.ended if began <= e.asked_at < began + 1.5]
     in_time = [e for e in asked if e.outcome is Outcome.IN_TIME]
-    # A member alone has slots for some six tenths of what is asked for.
+    # One endpoint alone has slots for about 60 % of the statements.
     assert len(in_time) >= 0.3 * len(asked)
--- a/tests/core/proxy/test_unreadable.py
+++ b/tests/core/proxy/test_unreadable.py
@@ -1,4 +1,4 @@
-"""Rows of other writers: they name nothing to use, and all other rows hold."""
+"""Unreadable rows of other writers are ignored, and all other rows stay in force."""
 
 from __future__ import annotations
 
@@ -75,11 +75,11 @@
     assert not _row(world, "db-stray").is_leaving
 
 
-def test_entry_that_becomes_unreadable_is_used_no_more(world):
-    """Symptom: statements go to an endpoint that nobody vouches for.
+def test_entry_that_becomes_unreadable_is_no_longer_used(world):
+    """Guard against statements at an endpoint that no readable entry names.
 
-    Sequence: another writer overwrites a good entry. Cause: the last good one stays in
-    force for good, whatever has become of its endpoint.
+    Another writer overwrites a good entry. The last good entry must not stay in force
+    without end, as its endpoint may be gone.
     """
     endpoint = _row(world)
     world.garble_entry(REPLICA, STRAY)
@@ -91,7 +91,7 @@
     assert not _row(world).is_leaving
 
 
-def test_entry_that_is_good_again_within_the_grace_is_as_before(world):
+def test_entry_that_is_readable_again_within_the_grace_changes_nothing(world):
     endpoint, entry = _row(world), world.entry(REPLICA)
     connections = set(endpoint.connections)
     world.garble_entry(REPLICA, STRAY)
@@ -104,7 +104,7 @@
 
 
 def test_primary_whose_entry_becomes_unreadable_is_replaced(world):
-    """Symptom: writes are refused. Sequence: the primary's entry is overwritten."""
+    """Guard against refused writes after the primary's entry was overwritten."""
     caller = world.caller(0, "own")
     caller.run(Write("a 1"))
     world.garble_entry("db-casa", STRAY)
@@ -126,7 +126,7 @@
 
 
 def test_entry_of_a_service_that_is_not_configured(world):
-    """Symptom: a group of one endpoint is watched, and promoted, that nobody uses."""
+    """Guard against promotions in a group whose service is not configured."""
     stray = replace(world.entry(REPLICA), name="db-stray", service="elsewhere")
     world.put_entry(replace(stray, is_primary=True))
     tables = world.hosts[0].tables
@@ -137,10 +137,10 @@
 
 
 def test_service_that_is_configured_later(world):
-    """Symptom: a new service has no endpoints.
+    """Guard against a new service without endpoints.
 
-    Sequence: its endpoints enter themselves, then the operator adds it. Cause: entries
-    of services that aren't configured yet are dropped.
+    Its endpoints write their entries before the operator adds the service. Entries of
+    services that are not configured yet must not be dropped.
     """
     world.groups["letters"] = Group("letters", ["db-new"], world.timers)
     world.put_entry(replace(world.entry(REPLICA), name="db-new", service="letters"))
@@ -153,10 +153,10 @@
 
 
 def test_entry_that_is_gone_before_its_service_is_configured(world):
-    """Symptom: statements go to an endpoint that was removed long ago.
+    """Guard against statements at an endpoint that was removed long ago.
 
-    Sequence: it vanishes while this host can't follow the entries, and its service is
-    configured later. Cause: its entry is held until then, and nobody drops it.
+    The endpoint's entry vanishes while this host cannot follow the entries, and its
+    service is configured later. An entry that is held until then must be dropped.
     """
     world.put_entry(replace(world.entry(REPLICA), name="db-new", service="letters"))
     world.store.refuse_all()
@@ -171,10 +171,10 @@
 
 
 def test_entry_that_names_another_service(world):
-    """Symptom: an endpoint is in two groups.
+    """Guard against an endpoint in two groups.
 
-    Sequence: another writer puts an entry of another service under its name. Cause: the
-    row changes its entry, and stays in the group that it was entered in.
+    Another writer puts an entry of another service under the endpoint's name. The row
+    must not take that entry and stay in its earlier group.
     """
     endpoint, entry = _row(world), world.entry(REPLICA)
     world.put_entry(replace(entry, service="elsewhere"))
@@ -200,7 +200,7 @@
 
 
 def test_configuration_that_can_not_be_read(world):
-    """Symptom: callers are refused. Sequence: another writer garbles a row."""
+    """Guard against refused callers after another writer garbled the row."""
     for _ in range(3):
         world.store.put(CONFIGURATION_KEY, Unreadable("no JSON"))
         world.run(1.0)
