--- a/mallowpass/core/proxy/demotion.py
+++ b/mallowpass/core/proxy/demotion.py
@@ -126,7 +126,7 @@
     # -- Forwarding by other hosts -------------------------------------------
 
     def _begin_forwarding(self, task: _Task) -> None:
-        """Forward the order, at once if this host has no connection to the endpoint."""
+        """Forward the order: at once if this host has no connection, else soon."""
         if self.tables.lead_is_taken:
             return
         endpoint = task.endpoint
@@ -207,11 +207,10 @@
             self._connections.close(longest, "closed to send an order to step down")
 
     def _on_timeout(self, task: _Task) -> None:
-        """Stop waiting, unless the endpoint is responsive or may be reached elsewhere.
+        """Stop waiting, unless the endpoint or a forwarding host may still answer.
 
-        An endpoint that answers other statements is waited for until
-        `RESPONSIVE_TIMEOUT`, and hosts that were asked to forward the order and have
-        not answered until `UNANSWERED_HOST_TIMEOUT`.
+        An endpoint that answers other statements has until `RESPONSIVE_TIMEOUT`, and a
+        host that was asked to forward the order until `UNANSWERED_HOST_TIMEOUT`.
         """
         if not self._is_current(task) or task.is_released:
             return
@@ -244,7 +243,7 @@
         self.timers.after(delay, self._order, task)
 
     def _resolve_conflict(self, task: _Task, term: int) -> None:
-        """Find out which endpoint is primary: the ordered one has a newer term."""
+        """Find out which endpoint is primary, as the one to demote has a newer term."""
         group = self.tables.group(task.endpoint.entry.service)
         successor = group.primary_row
         if successor is None or successor is task.endpoint:
--- a/mallowpass/core/proxy/leadership.py
+++ b/mallowpass/core/proxy/leadership.py
@@ -10,8 +10,8 @@
   commit, and a host that replaces a primary first pauses all replicas but the next
   primary.
 - All other members of the group refused a transaction that was requested after T.
-  Where a member does not answer, it is enough that the store holds no claim to replace
-  the primary.
+  Where a member does not answer, the newest claim in the store is checked instead: it
+  shows whether any host has begun to replace the primary.
 
 Where the platform fences a primary at the moment its successor is promoted, an accepted
 transaction is proof enough. To ask for more would make reads at the primary wait for
@@ -46,8 +46,8 @@
 
 __all__ = ["LEADERSHIP_UNPROVEN", "Leadership", "ProofHandler"]
 
-# Seconds in which a member must answer; a round trip between regions takes 0.1 s. The
-# store is asked in place of a silent member, and statements wait for both.
+# Seconds in which a member must answer; a round trip between regions takes 0.1 s. If a
+# member is silent, the store is asked instead, and statements wait for both.
 MEMBER_TIMEOUT = 0.25
 # Age in seconds of the list of members above which an endpoint outside the list may be
 # primary: when an endpoint is promoted, its entry is at least that old.
--- a/mallowpass/core/proxy/members.py
+++ b/mallowpass/core/proxy/members.py
@@ -287,8 +287,8 @@
         """Return the version by which entries that name a primary are compared.
 
         A replaced primary that does not know its successor may write its entry after
-        the successor has written its own. That entry still names the earlier lead, so
-        the version of the first entry of a lead counts.
+        the successor has written its own entry. So the version that counts is that of
+        the first entry that named the endpoint primary without a break.
         """
         if self.tables.lead_is_taken:
             return endpoint.version
--- a/mallowpass/core/proxy/suspicion.py
+++ b/mallowpass/core/proxy/suspicion.py
@@ -45,8 +45,8 @@
 # Seconds without an answer after which a primary counts as silent. The wait in a full
 # queue is shorter.
 SILENCE_TIMEOUT = 0.25
-# Share of the hosts that connect to a primary which must suspect it to have it
-# replaced, and the least number of them.
+# A primary is replaced once this share of the hosts that connect to it suspect it, and
+# at least this number of hosts.
 QUORUM_SHARE = 0.25
 QUORUM_MIN = 2
 # Seconds after its start before a host may conclude that it is the only host: until
@@ -63,7 +63,7 @@
 
 @record
 class SuspicionReport:
-    """Describe a host's suspicion of a primary, as it stands in the store.
+    """A host's report, kept in the store, that it suspects a primary.
 
     `time` is the time of the store's clock in seconds.
     """
@@ -115,7 +115,7 @@
         self._suspects: dict[str, _Suspect] = {}  # by service
 
     def start(self) -> None:
-        """Subscribe to the signals of primaries' state."""
+        """Subscribe to signals about the state of primaries."""
         node = self._node
         self._durability = node.system(Durability)
         self._holders = node.system(Holders)
@@ -142,7 +142,7 @@
             self._suspect(signal.endpoint, "writes get no answer", is_stalled=True)
 
     def _on_primary_heard(self, signal: PrimaryHeard) -> None:
-        # An answer does not clear a stalled primary: it may answer reads all the same.
+        # A stalled primary may go on to answer reads, so an answer does not clear it.
         suspect = self._suspects.get(signal.group.service)
         if suspect is not None and not suspect.is_stalled:
             self._clear(signal.group.service, "primary answers again")
@@ -163,14 +163,15 @@
             self._clear(service, f"{signal.group.primary} is primary")
 
     def _on_era_changed(self, signal: EraChanged) -> None:
-        """Let this host's reports be made again: the store may have lost them."""
+        """Report again at the next poll: the store may have lost earlier reports."""
         for suspect in self._suspects.values():
             suspect.reported_at = float("-inf")
 
     def _is_watched_primary(self, endpoint: EndpointRow) -> bool:
         """Return whether an endpoint is a primary that this host connects to itself.
 
-        Through a holder, a fault of the holder looks like one of the endpoint.
+        To a host behind a holder, a fault of the holder looks like a fault of the
+        endpoint.
         """
         if not self._holders.holds(endpoint.entry.service):
             return False
--- a/tests/core/proxy/test_members.py
+++ b/tests/core/proxy/test_members.py
@@ -287,8 +287,8 @@
     _enter_restart(world, "db-casa")
     group = world.hosts[0].tables.groups[SERVICE]
     assert group.primary == "db-casa"
-    believed = world.hosts[0].logged("primary_believed")[-2:]
-    assert [line["why"] for line in believed] == [
+    changes = world.hosts[0].logged("primary_believed")[-2:]
+    assert [line["why"] for line in changes] == [
         "endpoint restarted",
         "it accepts a transaction",
     ]
@@ -382,8 +382,8 @@
     _enter_restart(world, "db-casa")
     world.put_entry(replace(world.entry("db-casa"), draining=False))
     world.run(LEAVING_TIMEOUT)
-    believed = world.hosts[0].logged("primary_believed")
-    assert "its time to leave is over" not in [line["why"] for line in believed]
+    changes = world.hosts[0].logged("primary_believed")
+    assert "its time to leave is over" not in [line["why"] for line in changes]
 
 
 def test_host_that_starts_while_a_primary_is_leaving_stops_using_it_in_time():
@@ -427,6 +427,6 @@
     before = len(host.logged("primary_believed"))
     host.cut_from.discard("store")
     world.run(8.0)
-    believed = [line["primary"] for line in host.logged("primary_believed")[before:]]
-    assert "db-tanger" not in believed
-    assert "db-agadir" in believed
+    changes = [line["primary"] for line in host.logged("primary_believed")[before:]]
+    assert "db-tanger" not in changes
+    assert "db-agadir" in changes
