--- a/mallowpass/core/proxy/control.py
+++ b/mallowpass/core/proxy/control.py
@@ -121,7 +121,7 @@
         their connections.
         """
         for request in list(self._waiting):
-            if request.endpoint is signal.before:
+            if request.endpoint is signal.previous:
                 self._finish(request, None)
 
     def _try_send(self, request: ControlRequest) -> None:
@@ -142,8 +142,8 @@
     def _take_connection(self, request: ControlRequest) -> ConnectionRow | None:
         """Return an idle connection; if there is none, open one and return None."""
         if request.via is not None:
-            return self._connections.take_by(request.endpoint, request.via)
-        connection = self._connections.take(request.endpoint, None)
+            return self._connections.acquire_via(request.endpoint, request.via)
+        connection = self._connections.acquire(request.endpoint, None)
         if connection is None:
             self._connections.grow(request.endpoint, beyond_share=True)
         return connection
--- a/mallowpass/core/proxy/demotion.py
+++ b/mallowpass/core/proxy/demotion.py
@@ -21,14 +21,14 @@
 from mallowpass.core.node import Node
 from mallowpass.core.proxy.connections import Connections
 from mallowpass.core.proxy.forwardedorders import ForwardedOrders
+from mallowpass.core.proxy.pendingorders import PendingOrders
 from mallowpass.core.proxy.primaryconflicts import PrimaryConflicts
 from mallowpass.core.proxy.replicaorders import ReplicaOrders
 from mallowpass.core.proxy.signals import (
-    EndpointForgotten,
+    EndpointExpired,
     EndpointRestarted,
     EndpointUnreachable,
 )
-from mallowpass.core.proxy.standingorders import StandingOrders
 from mallowpass.core.proxy.statements import Code, Demote, EndpointReply
 from mallowpass.core.proxy.tables import ConnectionState, EndpointRow, ProxySystem
 
@@ -83,7 +83,7 @@
         "_connections",
         "_forwarded_orders",
         "_orders",
-        "_standing",
+        "_pending_orders",
         "_tasks",
     )
 
@@ -98,9 +98,9 @@
         self._forwarded_orders = node.system(ForwardedOrders)
         self._orders = node.system(ReplicaOrders)
         self._conflicts = node.system(PrimaryConflicts)
-        self._standing = node.system(StandingOrders)
+        self._pending_orders = node.system(PendingOrders)
         node.subscribe(EndpointUnreachable, self._on_unreachable)
-        node.subscribe(EndpointForgotten, self._on_forgotten)
+        node.subscribe(EndpointExpired, self._on_endpoint_expired)
         node.subscribe(EndpointRestarted, self._on_restarted)
 
     def demote(
@@ -127,7 +127,7 @@
 
     def _begin_forwarding(self, task: _Task) -> None:
         """Forward the order: at once if this host has no connection, else soon."""
-        if self.tables.lead_is_taken:
+        if self.tables.promotion_fences_primary:
             return
         endpoint = task.endpoint
         if endpoint.connections:
@@ -179,14 +179,14 @@
         task.tries += 1
         self._make_room(task.endpoint)
         order = Demote(task.term)
-        self._orders.give(task.endpoint, order, lambda r: self._on_reply(task, r))
+        self._orders.send(task.endpoint, order, lambda r: self._on_reply(task, r))
 
     def _is_undisputed_primary(self, endpoint: EndpointRow) -> bool:
-        """Return whether an endpoint is primary, and no promotion is outstanding."""
+        """Return whether an endpoint is primary, and no promotion order is pending."""
         group = self.tables.group(endpoint.entry.service)
         if group.primary != endpoint.name:
             return False
-        return not self._standing.standing(group.service)
+        return not self._pending_orders.pending(group.service)
 
     def _make_room(self, endpoint: EndpointRow) -> None:
         """Close the connection with the longest hung statement, if all are in use.
@@ -215,7 +215,7 @@
         if not self._is_current(task) or task.is_released:
             return
         waited = self.now - task.began_at
-        is_responsive = self.now - task.endpoint.heard_at < ANSWER_TIMEOUT
+        is_responsive = self.now - task.endpoint.last_reply_at < ANSWER_TIMEOUT
         may_be_reached = bool(task.unanswered) and waited < UNANSWERED_HOST_TIMEOUT
         if may_be_reached or (is_responsive and waited < RESPONSIVE_TIMEOUT):
             self.timers.after(RETRY_INTERVAL_MIN, self._on_timeout, task)
@@ -264,11 +264,11 @@
 
     def _on_unreachable(self, signal: EndpointUnreachable) -> None:
         task = self._tasks.get(signal.endpoint.name)
-        if task is not None and signal.tried_at >= task.began_at:
+        if task is not None and signal.attempted_at >= task.began_at:
             task.is_unreachable = True
             self._check_reachability(task)
 
-    def _on_forgotten(self, signal: EndpointForgotten) -> None:
+    def _on_endpoint_expired(self, signal: EndpointExpired) -> None:
         task = self._tasks.get(signal.endpoint.name)
         if task is not None:
             self._end(task, "its entry is gone")
@@ -301,9 +301,9 @@
                 waiting=len(task.handlers),
                 tries=task.tries,
                 connections=len(endpoint.connections),
-                failures=endpoint.failures,
+                failures=endpoint.connect_failures,
                 unheard=",".join(sorted(task.unanswered)),
-                heard_ago=round(self.now - endpoint.heard_at, 3),
+                heard_ago=round(self.now - endpoint.last_reply_at, 3),
             )
         self._release(task)
 
--- a/mallowpass/core/proxy/discovery.py
+++ b/mallowpass/core/proxy/discovery.py
@@ -49,7 +49,7 @@
     @staticmethod
     def _needs_primary(group: GroupRow) -> bool:
         """Return whether a group has no known primary, or only a suspected one."""
-        return not group.primary or group.suspected
+        return not group.primary or group.is_suspected
 
     def _probe_group(self, group: GroupRow) -> None:
         if not self._needs_primary(group):
@@ -78,7 +78,7 @@
         self, group: GroupRow, endpoint: EndpointRow, reply: EndpointReply
     ) -> None:
         """Assume an endpoint that accepts a transaction as primary, unless replaced."""
-        if self.tables.lead_is_taken:
+        if self.tables.promotion_fences_primary:
             why = "it accepts a transaction"
             self._members.assume_primary(endpoint, why, reply.position)
         else:
--- a/mallowpass/core/proxy/durability.py
+++ b/mallowpass/core/proxy/durability.py
@@ -125,11 +125,11 @@
     def _on_endpoint_changed(self, signal: EndpointChanged) -> None:
         endpoint = signal.endpoint
         group = self.tables.group(endpoint.entry.service)
-        if endpoint.gone_at is not None and endpoint.name != group.primary:
+        if endpoint.removed_at is not None and endpoint.name != group.primary:
             self._require_bound(group.service)
 
     def _on_restarted(self, signal: EndpointRestarted) -> None:
-        self._require_bound(signal.before.entry.service)
+        self._require_bound(signal.previous.entry.service)
 
     def _require_bound(self, service: str) -> None:
         """Require a new bound, since a member that may have commits is missing."""
--- a/mallowpass/core/proxy/forwardedorders.py
+++ b/mallowpass/core/proxy/forwardedorders.py
@@ -11,7 +11,7 @@
 
 from mallowpass.core.proxy.control import Control
 from mallowpass.core.proxy.holders import Holders
-from mallowpass.core.proxy.signals import WayRefused
+from mallowpass.core.proxy.signals import ForwardedConnectionRefused
 from mallowpass.core.proxy.statements import EndpointReply, Statement
 from mallowpass.core.proxy.tables import EndpointRow, HostRow, ProxySystem
 
@@ -36,18 +36,18 @@
         self._holders = self._node.system(Holders)
         # Hosts and endpoints of orders that the host refused to forward.
         self._refused: set[tuple[str, str]] = set()
-        self._node.subscribe(WayRefused, self._on_refused)
+        self._node.subscribe(ForwardedConnectionRefused, self._on_refused)
 
     def forwarding_hosts(self, endpoint: EndpointRow) -> list[str]:
         """Return the other hosts that connect to an endpoint."""
         service = endpoint.entry.service
-        return sorted(host.name for host in self._holders.others(service))
+        return sorted(host.name for host in self._holders.other_holders(service))
 
     def send(
         self, endpoint: EndpointRow, order: Statement, handler: ForwardedReplyHandler
     ) -> None:
         """Send an order through each other host that connects to an endpoint."""
-        for host in self._holders.others(endpoint.entry.service):
+        for host in self._holders.other_holders(endpoint.entry.service):
             self._send_through(endpoint, order, host, handler)
 
     def _send_through(
@@ -69,7 +69,7 @@
         control = self._control
         request = control.send(endpoint, (order,), on_replies, ORDER_TIMEOUT, host)
 
-    def _on_refused(self, signal: WayRefused) -> None:
-        if signal.is_answer:
+    def _on_refused(self, signal: ForwardedConnectionRefused) -> None:
+        if signal.is_definitive:
             self._refused.add((signal.host, signal.endpoint.name))
         self._control.cancel_forwarded(signal.endpoint, signal.host)
--- a/mallowpass/core/proxy/leadership.py
+++ b/mallowpass/core/proxy/leadership.py
@@ -106,7 +106,7 @@
         """Record that an endpoint acknowledged a commit sent at `sent_at`."""
         group = self.tables.group(endpoint.entry.service)
         if endpoint.name == group.primary:
-            group.sole_at = max(group.sole_at, sent_at)
+            group.sole_primary_at = max(group.sole_primary_at, sent_at)
 
     def sole_primary_until(self, group: GroupRow, asked_at: float) -> float:
         """Return the latest time up to `asked_at` at which a primary is proven sole.
@@ -114,9 +114,9 @@
         The primary accepted a transaction, or acknowledged a commit, that was sent at
         `asked_at`.
         """
-        if self.tables.lead_is_taken:
+        if self.tables.promotion_fences_primary:
             return asked_at
-        return min(asked_at, group.sole_at)
+        return min(asked_at, group.sole_primary_at)
 
     def confirm(
         self, endpoint: EndpointRow, since: float, handler: ProofHandler
@@ -127,11 +127,11 @@
         survey = self._surveys.get(group.service)
         if not self.tables.is_current(endpoint):
             handler(False)
-        elif self.tables.lead_is_taken:
+        elif self.tables.promotion_fences_primary:
             handler(True)
         elif endpoint.name != group.primary:
             handler(False)
-        elif group.sole_at >= since:
+        elif group.sole_primary_at >= since:
             handler(True)
         elif survey is None:
             self._begin(group, [waiter])
@@ -141,14 +141,14 @@
             self._next.setdefault(group.service, []).append(waiter)
 
     def _on_primary_changed(self, signal: PrimaryChanged) -> None:
-        signal.group.sole_at = float("-inf")
+        signal.group.sole_primary_at = float("-inf")
 
     def _on_restarted(self, signal: EndpointRestarted) -> None:
         """Drop the proof of a primary that restarted: its log may be gone."""
         group = self.tables.group(signal.endpoint.entry.service)
         if group.primary != signal.endpoint.name:
             return
-        group.sole_at = float("-inf")
+        group.sole_primary_at = float("-inf")
         survey = self._surveys.get(group.service)
         if survey is not None:
             self._end(survey, False)
@@ -210,7 +210,7 @@
         if not survey.inconclusive:
             self._end(survey, True)
             return
-        self._claims.look(
+        self._claims.read_newest(
             survey.group.service,
             lambda claim, is_known: self._on_claim(survey, claim, is_known),
         )
@@ -218,7 +218,7 @@
     def _on_claim(self, survey: _Survey, claim: Claim | None, is_known: bool) -> None:
         if not self._is_current(survey):
             return
-        is_unreplaced = claim is None or claim.leaves(survey.primary)
+        is_unreplaced = claim is None or claim.confirms_lead_of(survey.primary)
         self._end(survey, is_known and is_unreplaced)
 
     def _is_current(self, survey: _Survey) -> bool:
@@ -231,7 +231,7 @@
             is_sole and group.primary == survey.primary and self._is_newest(survey)
         )
         if is_sole:
-            group.sole_at = max(group.sole_at, survey.asked_at)
+            group.sole_primary_at = max(group.sole_primary_at, survey.asked_at)
         next_waiters = self._next.pop(group.service, None)
         if next_waiters:
             self._begin(group, next_waiters)
--- a/mallowpass/core/proxy/members.py
+++ b/mallowpass/core/proxy/members.py
@@ -9,13 +9,13 @@
 from mallowpass.core.proxy.signals import (
     ConfigurationAccepted,
     EndpointChanged,
-    EndpointForgotten,
+    EndpointExpired,
     EndpointRestarted,
     EraChanged,
     PrimaryChanged,
 )
 from mallowpass.core.proxy.storage import (
-    UNKNOWN_START,
+    UNKNOWN_START_TIME,
     EndpointEntry,
     Row,
     RowKey,
@@ -134,21 +134,21 @@
             return
         elif _is_of_another_start(entry, endpoint):
             endpoint = self._replace_row(endpoint, entry, version)
-        elif entry.started_at == UNKNOWN_START:
+        elif entry.started_at == UNKNOWN_START_TIME:
             entry = replace(entry, started_at=endpoint.entry.started_at)
         if entry.slots != endpoint.entry.slots:
             self.tables.endpoints_version += 1
         known = replace(endpoint.entry, heartbeats=entry.heartbeats)
-        has_changed = known != entry or endpoint.gone_at is not None
+        has_changed = known != entry or endpoint.removed_at is not None
         if entry.is_primary != endpoint.entry.is_primary:
-            endpoint.lead_version = version
+            endpoint.primary_since_version = version
         endpoint.entry = entry
         endpoint.version = version
-        endpoint.gone_at = None
+        endpoint.removed_at = None
         if has_changed or endpoint.position is None:
             self._log(endpoint)
         if not entry.draining:
-            endpoint.retired = False
+            endpoint.is_retired = False
         elif is_new:
             self.timers.after(LEAVING_AT_START_TIMEOUT, self._retire, endpoint)
         elif has_changed:
@@ -186,7 +186,7 @@
             self._put(entry, version)
 
     def _add(self, entry: EndpointEntry, version: int) -> EndpointRow:
-        endpoint = EndpointRow(entry, version, lead_version=version)
+        endpoint = EndpointRow(entry, version, primary_since_version=version)
         self.tables.endpoints[entry.name] = endpoint
         self.tables.group(entry.service).endpoints[entry.name] = endpoint
         self.tables.endpoints_version += 1
@@ -213,7 +213,7 @@
         group.endpoints.pop(before.name, None)
         endpoint = self._add(entry, version)
         if group.primary == before.name:
-            endpoint.doubted = True
+            endpoint.is_role_unconfirmed = True
             self._set_primary(group, "", "endpoint restarted")
         self._node.publish(EndpointRestarted(before, endpoint))
         return endpoint
@@ -221,7 +221,7 @@
     def _retire(self, endpoint: EndpointRow) -> None:
         if not endpoint.entry.draining or not self.tables.is_current(endpoint):
             return
-        endpoint.retired = True
+        endpoint.is_retired = True
         group = self.tables.group(endpoint.entry.service)
         if group.primary == endpoint.name:
             self._set_primary(group, "", "its time to leave is over")
@@ -229,26 +229,28 @@
     def _mark_gone(self, name: str) -> None:
         self._unconfigured.pop(name, None)
         endpoint = self.tables.endpoints.get(name)
-        if endpoint is None or endpoint.gone_at is not None:
+        if endpoint is None or endpoint.removed_at is not None:
             return
-        endpoint.gone_at = self.now
+        endpoint.removed_at = self.now
         self._log(endpoint)
         self._node.publish(EndpointChanged(endpoint))
-        self.timers.after(ENTRY_LAPSE_GRACE, self._forget, endpoint, endpoint.gone_at)
+        self.timers.after(
+            ENTRY_LAPSE_GRACE, self._expire, endpoint, endpoint.removed_at
+        )
 
-    def _forget(self, endpoint: EndpointRow, gone_at: float) -> None:
-        if endpoint.gone_at != gone_at or not self.tables.is_current(endpoint):
+    def _expire(self, endpoint: EndpointRow, removed_at: float) -> None:
+        if endpoint.removed_at != removed_at or not self.tables.is_current(endpoint):
             return
         group = self.tables.group(endpoint.entry.service)
-        if group.primary == endpoint.name and self.now < gone_at + PRIMARY_GRACE:
+        if group.primary == endpoint.name and self.now < removed_at + PRIMARY_GRACE:
             pause = PRIMARY_GRACE - ENTRY_LAPSE_GRACE
-            self.timers.after(pause, self._forget, endpoint, gone_at)
+            self.timers.after(pause, self._expire, endpoint, removed_at)
             return
         self.tables.endpoints.pop(endpoint.name, None)
         group.endpoints.pop(endpoint.name, None)
         if group.primary == endpoint.name:
             self._set_primary(group, "", "its entry is gone")
-        self._node.publish(EndpointForgotten(endpoint))
+        self._node.publish(EndpointExpired(endpoint))
 
     def _log(self, endpoint: EndpointRow) -> None:
         entry = endpoint.entry
@@ -261,7 +263,7 @@
             started_at=entry.started_at,
             primary=entry.is_primary,
             draining=entry.draining,
-            gone=endpoint.gone_at is not None,
+            gone=endpoint.removed_at is not None,
             version=endpoint.version,
         )
 
@@ -274,9 +276,12 @@
             if group.primary == endpoint.name:
                 self._set_primary(group, "", "its entry says replica")
             return
-        if endpoint.doubted or endpoint.denied_version >= endpoint.version:
+        if (
+            endpoint.is_role_unconfirmed
+            or endpoint.primary_denied_version >= endpoint.version
+        ):
             return
-        if endpoint.retired:
+        if endpoint.is_retired:
             return
         version = self._lead_version(endpoint)
         if group.primary == endpoint.name or version > group.primary_version:
@@ -290,14 +295,14 @@
         the successor has written its own entry. So the version that counts is that of
         the first entry that named the endpoint primary without a break.
         """
-        if self.tables.lead_is_taken:
+        if self.tables.promotion_fences_primary:
             return endpoint.version
-        return endpoint.lead_version
+        return endpoint.primary_since_version
 
     def note_not_primary(self, endpoint: EndpointRow) -> None:
         """Record that an endpoint refused a statement because it is not primary."""
         group = self.tables.group(endpoint.entry.service)
-        endpoint.denied_version = endpoint.version
+        endpoint.primary_denied_version = endpoint.version
         if group.primary == endpoint.name:
             self._set_primary(group, "", "it refused a write")
 
@@ -309,7 +314,7 @@
         `position` is the position of its log, if known. A restarted endpoint with an
         empty log may still claim to be primary; reads there would miss all commits.
         """
-        if endpoint.retired:
+        if endpoint.is_retired:
             return
         group = self.tables.group(endpoint.entry.service)
         if position is not None and self._lacks_commits(endpoint, position):
@@ -322,8 +327,8 @@
                 needed=group.must_hold.text,
             )
             return
-        endpoint.denied_version = -1
-        endpoint.doubted = False
+        endpoint.primary_denied_version = -1
+        endpoint.is_role_unconfirmed = False
         self._set_primary(group, endpoint.name, why)
 
     def _lacks_commits(self, endpoint: EndpointRow, position: LogPosition) -> bool:
@@ -333,7 +338,7 @@
         # The position that a primary showed may include commits that were never
         # acknowledged. It still proves that the group has some commits.
         has_commits = bool(group.samples) and group.samples[-1].position.position > 0
-        return endpoint.doubted and position.position == 0 and has_commits
+        return endpoint.is_role_unconfirmed and position.position == 0 and has_commits
 
     def _set_primary(self, group: GroupRow, name: str, why: str) -> None:
         if group.primary == name:
@@ -349,11 +354,11 @@
             why=why,
         )
         group.primary = name
-        if name and name != group.led_by:
-            group.led_by = name
-            group.term_before = group.term
+        if name and name != group.last_primary:
+            group.last_primary = name
+            group.previous_term = group.term
         if name and group.term:  # not for the first primary that this host learns of
-            group.led_at.append(self.now)
+            group.primary_change_times.append(self.now)
         group.no_primary_since = None if name else self.now
         self._node.publish(PrimaryChanged(group))
 
@@ -375,7 +380,7 @@
 
 def _is_of_earlier_start(entry: EndpointEntry, endpoint: EndpointRow) -> bool:
     # The store may apply a write of an earlier start after the writes of a later start.
-    return UNKNOWN_START < entry.started_at < endpoint.entry.started_at
+    return UNKNOWN_START_TIME < entry.started_at < endpoint.entry.started_at
 
 
 def _is_of_another_start(entry: EndpointEntry, endpoint: EndpointRow) -> bool:
--- a/mallowpass/core/proxy/primaryconflicts.py
+++ b/mallowpass/core/proxy/primaryconflicts.py
@@ -44,10 +44,10 @@
     def has_new_term(self, group: GroupRow, status: EndpointStatus) -> bool:
         """Return whether an endpoint is primary of a term that no earlier primary had.
 
-        `group.term_before` is the newest term seen before this host knew of the current
-        primary.
+        `group.previous_term` is the newest term seen before this host knew of the
+        current primary.
         """
-        return status.is_primary and status.term > group.term_before
+        return status.is_primary and status.term > group.previous_term
 
     def resolve(
         self,
--- a/mallowpass/core/proxy/registry.py
+++ b/mallowpass/core/proxy/registry.py
@@ -7,7 +7,9 @@
 from mallowpass.core.proxy.claims import Claims
 from mallowpass.core.proxy.connections import Connections
 from mallowpass.core.proxy.control import Control
+from mallowpass.core.proxy.currentconfiguration import CurrentConfiguration
 from mallowpass.core.proxy.customers import Customers
+from mallowpass.core.proxy.deadconnections import DeadConnections
 from mallowpass.core.proxy.demotion import Demotion
 from mallowpass.core.proxy.discovery import Discovery
 from mallowpass.core.proxy.draining import Draining
@@ -17,36 +19,34 @@
 from mallowpass.core.proxy.forwardedorders import ForwardedOrders
 from mallowpass.core.proxy.holders import Holders
 from mallowpass.core.proxy.hosts import Hosts
-from mallowpass.core.proxy.idling import Idling
+from mallowpass.core.proxy.idleconnections import IdleConnections
 from mallowpass.core.proxy.leadership import Leadership
 from mallowpass.core.proxy.links import Links
 from mallowpass.core.proxy.load import Load
 from mallowpass.core.proxy.members import Members
-from mallowpass.core.proxy.ordering import Ordering
-from mallowpass.core.proxy.overdue import Overdue
+from mallowpass.core.proxy.overloadswitchover import OverloadSwitchover
 from mallowpass.core.proxy.pauses import Pauses
+from mallowpass.core.proxy.pendingorders import PendingOrders
 from mallowpass.core.proxy.primaryconflicts import PrimaryConflicts
 from mallowpass.core.proxy.promotion import Promotion
+from mallowpass.core.proxy.promotionorders import PromotionOrders
 from mallowpass.core.proxy.ratelimits.allowances import Allowances
 from mallowpass.core.proxy.ratelimits.granting import Granting
 from mallowpass.core.proxy.ratelimits.keepers import Keepers
 from mallowpass.core.proxy.relays import Relays
-from mallowpass.core.proxy.relief import Relief
-from mallowpass.core.proxy.repair import Repair
+from mallowpass.core.proxy.replacementtriggers import ReplacementTriggers
 from mallowpass.core.proxy.replicaorders import ReplicaOrders
 from mallowpass.core.proxy.requests import Requests
 from mallowpass.core.proxy.resumption import Resumption
 from mallowpass.core.proxy.routing import Routing
 from mallowpass.core.proxy.sampling import Sampling
 from mallowpass.core.proxy.sessions import Sessions
-from mallowpass.core.proxy.settings import Settings
 from mallowpass.core.proxy.shares import Shares
-from mallowpass.core.proxy.silence import Silence
 from mallowpass.core.proxy.stalls import Stalls
-from mallowpass.core.proxy.standingorders import StandingOrders
 from mallowpass.core.proxy.store import Store
-from mallowpass.core.proxy.succession import Succession
+from mallowpass.core.proxy.stuckreplicas import StuckReplicas
 from mallowpass.core.proxy.suspicion import Suspicion
+from mallowpass.core.proxy.timeouts import Timeouts
 from mallowpass.core.proxy.transactions import Transactions
 
 __all__ = ["SYSTEMS"]
@@ -61,22 +61,22 @@
     Load,
     Durability,
     Connections,
-    Silence,
-    Idling,
+    DeadConnections,
+    IdleConnections,
     Floors,
     Routing,
     Control,
     ReplicaOrders,
-    StandingOrders,
+    PendingOrders,
     Claims,
     ForwardedOrders,
     Demotion,
     Resumption,
-    Ordering,
+    PromotionOrders,
     Promotion,
-    Succession,
-    Relief,
-    Repair,
+    ReplacementTriggers,
+    OverloadSwitchover,
+    StuckReplicas,
     Members,
     PrimaryConflicts,
     Discovery,
@@ -90,12 +90,12 @@
     Attempts,
     Stalls,
     Transactions,
-    Overdue,
+    Timeouts,
     Requests,
     Customers,
     Sessions,
     Draining,
-    Settings,
+    CurrentConfiguration,
     Suspicion,
     Hosts,
 )
--- a/mallowpass/core/proxy/stalls.py
+++ b/mallowpass/core/proxy/stalls.py
@@ -16,8 +16,8 @@
 from mallowpass.core.node import Node
 from mallowpass.core.proxy.signals import (
     PrimaryChanged,
-    PrimaryReplicates,
     PrimaryStalled,
+    ReplicationConfirmed,
     WriteAcknowledged,
     WriteStalled,
 )
@@ -66,7 +66,7 @@
     def start(self) -> None:
         """Subscribe to acknowledged and to overdue writes."""
         self._node.subscribe(WriteStalled, self._on_write_stalled)
-        self._node.subscribe(PrimaryReplicates, self._on_acknowledged)
+        self._node.subscribe(ReplicationConfirmed, self._on_acknowledged)
         self._node.subscribe(WriteAcknowledged, self._on_acknowledged)
         self._node.subscribe(PrimaryChanged, self._on_primary_changed)
 
@@ -136,7 +136,9 @@
         if stall.writes >= STALL_THRESHOLD:
             self._node.publish(PrimaryStalled(endpoint))
 
-    def _on_acknowledged(self, signal: WriteAcknowledged | PrimaryReplicates) -> None:
+    def _on_acknowledged(
+        self, signal: WriteAcknowledged | ReplicationConfirmed
+    ) -> None:
         self._end(signal.group.service, "a write was acknowledged")
 
     def _on_primary_changed(self, signal: PrimaryChanged) -> None:
--- a/mallowpass/core/proxy/suspicion.py
+++ b/mallowpass/core/proxy/suspicion.py
@@ -21,10 +21,10 @@
     EndpointUnreachable,
     EraChanged,
     PrimaryChanged,
-    PrimaryHeard,
-    PrimaryReplicates,
+    PrimaryConfirmed,
     PrimaryStalled,
     PrimarySuspected,
+    ReplicationConfirmed,
     WriteAcknowledged,
 )
 from mallowpass.core.proxy.storage import (
@@ -123,8 +123,8 @@
         self._store = node.system(Store)
         node.subscribe(EndpointUnreachable, self._on_unreachable)
         node.subscribe(PrimaryStalled, self._on_primary_stalled)
-        node.subscribe(PrimaryHeard, self._on_primary_heard)
-        node.subscribe(PrimaryReplicates, self._on_acknowledged)
+        node.subscribe(PrimaryConfirmed, self._on_primary_confirmed)
+        node.subscribe(ReplicationConfirmed, self._on_acknowledged)
         node.subscribe(WriteAcknowledged, self._on_acknowledged)
         node.subscribe(EndpointRestarted, self._on_restarted)
         node.subscribe(PrimaryChanged, self._on_primary_changed)
@@ -141,19 +141,21 @@
         if self._is_watched_primary(signal.endpoint):
             self._suspect(signal.endpoint, "writes get no answer", is_stalled=True)
 
-    def _on_primary_heard(self, signal: PrimaryHeard) -> None:
+    def _on_primary_confirmed(self, signal: PrimaryConfirmed) -> None:
         # A stalled primary may go on to answer reads, so an answer does not clear it.
         suspect = self._suspects.get(signal.group.service)
         if suspect is not None and not suspect.is_stalled:
             self._clear(signal.group.service, "primary answers again")
 
-    def _on_acknowledged(self, signal: WriteAcknowledged | PrimaryReplicates) -> None:
+    def _on_acknowledged(
+        self, signal: WriteAcknowledged | ReplicationConfirmed
+    ) -> None:
         self._clear(signal.group.service, "primary acknowledges writes")
 
     def _on_restarted(self, signal: EndpointRestarted) -> None:
-        service = signal.before.entry.service
+        service = signal.previous.entry.service
         suspect = self._suspects.get(service)
-        if suspect is not None and suspect.primary == signal.before.name:
+        if suspect is not None and suspect.primary == signal.previous.name:
             self._clear(service, "primary restarted")
 
     def _on_primary_changed(self, signal: PrimaryChanged) -> None:
@@ -180,7 +182,8 @@
 
     def _is_silent(self, endpoint: EndpointRow) -> bool:
         return (
-            endpoint.heard_at < self.now - SILENCE_TIMEOUT or not endpoint.connections
+            endpoint.last_reply_at < self.now - SILENCE_TIMEOUT
+            or not endpoint.connections
         )
 
     # -- Reports -------------------------------------------------------------
@@ -201,17 +204,17 @@
             service=service,
             primary=endpoint.name,
             why=why,
-            heard_ago=round(self.now - endpoint.heard_at, 3),
+            heard_ago=round(self.now - endpoint.last_reply_at, 3),
         )
         group = self.tables.group(service)
-        group.suspected = True
+        group.is_suspected = True
         self._node.publish(PrimarySuspected(group))
         self._poll_reports(service, suspect)
 
     def _clear(self, service: str, why: str) -> None:
         suspect = self._suspects.pop(service, None)
         if suspect is not None:
-            self.tables.group(service).suspected = False
+            self.tables.group(service).is_suspected = False
             self._node.log(
                 "info",
                 "primary_cleared",
@@ -280,7 +283,7 @@
         if len(hosts) < self._quorum(service):
             return False
         why = f"{suspect.why}; seen by {','.join(sorted(hosts))}"
-        reason = Reason.STALLED if suspect.is_stalled else Reason.SILENT
+        reason = Reason.STALLED if suspect.is_stalled else Reason.UNAVAILABLE
         self._promotion.replace(group, suspect.primary, reason, why)
         return True
 
@@ -292,7 +295,7 @@
             return None
 
     def _quorum(self, service: str) -> int:
-        hosts = self._holders.holding_hosts(service)
+        hosts = self._holders.holder_count(service)
         if hosts == 1 and self.now >= self._started_at + ONLY_HOST_DELAY:
             return 1
         return max(QUORUM_MIN, math.ceil(QUORUM_SHARE * hosts))
--- a/tests/core/proxy/test_replaced_random.py
+++ b/tests/core/proxy/test_replaced_random.py
@@ -1,6 +1,6 @@
 """Random faults on a platform that checks no fencing tokens and demotes no primary.
 
-Two faults are left to `test_replaced` and `test_standing_orders`: promotion orders that
+Two faults are left to `test_replaced` and `test_pending_orders`: promotion orders that
 get no answer and are carried out late, and a primary that is reached only by hosts
 without the store. The design describes what these two still allow together.
 """
