--- a/mallowpass/core/proxy/members.py
+++ b/mallowpass/core/proxy/members.py
@@ -80,7 +80,7 @@
             names = {row.key.key for row in rows}
             for name in [*self.tables.endpoints, *self._unconfigured]:
                 if name not in names:
-                    self._mark_gone(name)
+                    self._mark_removed(name)
 
     def _apply(self, row: Row) -> None:
         """Apply a row; an unreadable or unusable entry counts as vanished.
@@ -92,16 +92,16 @@
         name = row.key.key
         if isinstance(entry, Unreadable):
             self._unreadable.note(row.key, entry.reason)
-            self._mark_gone(name)
+            self._mark_removed(name)
         elif not isinstance(entry, EndpointEntry):
             self._unreadable.clear(row.key)
-            self._mark_gone(name)
+            self._mark_removed(name)
         elif self._is_configured(entry):
             self._unreadable.clear(row.key)
             self._unconfigured.pop(name, None)
             self._put(entry, row.version)
         else:
-            self._mark_gone(name)
+            self._mark_removed(name)
             self._hold(row)
 
     def _is_configured(self, entry: EndpointEntry) -> bool:
@@ -226,7 +226,7 @@
         if group.primary == endpoint.name:
             self._set_primary(group, "", "its time to leave is over")
 
-    def _mark_gone(self, name: str) -> None:
+    def _mark_removed(self, name: str) -> None:
         self._unconfigured.pop(name, None)
         endpoint = self.tables.endpoints.get(name)
         if endpoint is None or endpoint.removed_at is not None:
@@ -336,7 +336,7 @@
         if position < group.must_hold:
             return True
         # The position that a primary showed may include commits that were never
-        # acknowledged. It still proves that the group has some commits.
+        # acknowledged, but not only such commits.
         has_commits = bool(group.samples) and group.samples[-1].position.position > 0
         return endpoint.is_role_unconfirmed and position.position == 0 and has_commits
 
