--- a/mallowpass/platform/callers.py
+++ b/mallowpass/platform/callers.py
@@ -78,7 +78,7 @@
         word, _, rest = line.partition(" ")
         if word == "QUERY" and self._open:
             request_id, _, text = rest.partition(" ")
-            if not request_id or request_id == wire.OWN_ID:
+            if not request_id or request_id == wire.INTERNAL_REQUEST_ID:
                 raise wire.WireError("a statement without an id")
             statement = wire.parse_statement(text)
             self._sink(StatementReceived(self._number, request_id, statement))
--- a/mallowpass/platform/documents.py
+++ b/mallowpass/platform/documents.py
@@ -27,10 +27,15 @@
 from mallowpass.core.proxy.storage import UNKNOWN_START_TIME, EndpointEntry
 from mallowpass.platform.settings import Address, SettingsError
 
-__all__ = ["CONSISTENCY", "DocumentError", "decode_configuration", "decode_entry"]
+__all__ = [
+    "CONSISTENCY_BY_ROUTE_TYPE",
+    "DocumentError",
+    "decode_configuration",
+    "decode_entry",
+]
 
 # `kind` of a route: which commits its reads must see.
-CONSISTENCY = {
+CONSISTENCY_BY_ROUTE_TYPE = {
     "primary": Consistency.PRIMARY,
     "bounded_staleness": Consistency.BOUNDED,
     "read_your_writes": Consistency.OWN_WRITES,
@@ -88,7 +93,7 @@
         # `host` is the name of the database that callers ask for, no machine's.
         database=_text(item, "host"),
         service=_text(item, "service"),
-        consistency=_word(item, "routeType", CONSISTENCY),
+        consistency=_word(item, "routeType", CONSISTENCY_BY_ROUTE_TYPE),
         # Limits one statement, not an operation of several.
         statement_timeout=timeout / 1000.0,
         # What an operation should take, over all its statements.
--- a/mallowpass/platform/orders.py
+++ b/mallowpass/platform/promotions.py
@@ -9,12 +9,12 @@
 from mallowpass.platform.http import HttpClient, HttpError, Request
 from mallowpass.platform.settings import Address
 
-__all__ = ["OrderClient"]
+__all__ = ["PromotionClient"]
 
 _REFUSED_FOR_NOW = frozenset({429, 503})
 
 
-class OrderClient:
+class PromotionClient:
     """Give orders under this host's name."""
 
     __slots__ = ("_client", "_name")
--- a/mallowpass/platform/runtime.py
+++ b/mallowpass/platform/runtime.py
@@ -28,7 +28,7 @@
 from mallowpass.platform.links import LinkServer
 from mallowpass.platform.logs import LogWriter
 from mallowpass.platform.metrics import Metrics
-from mallowpass.platform.orders import OrderClient
+from mallowpass.platform.promotions import PromotionClient
 from mallowpass.platform.relays import FeedServer, RelayClients
 from mallowpass.platform.settings import (
     Address,
@@ -128,7 +128,7 @@
         self._keepers = AllowanceClients(settings.limits, self.handle)
         self._orders = None
         if settings.orders is not None:
-            self._orders = OrderClient(settings.orders, settings.name)
+            self._orders = PromotionClient(settings.orders, settings.name)
         self._http = HttpServer({READY_PATH: self._answer_ready})
         self._metrics_http = HttpServer({METRICS_PATH: self._answer_metrics})
 
--- a/mallowpass/platform/store.py
+++ b/mallowpass/platform/store.py
@@ -40,7 +40,7 @@
 
 __all__ = [
     "FEED_PATH",
-    "TABLES",
+    "TABLES_BY_NAME",
     "TABLE_NAMES",
     "StoreClient",
     "accepts_compressed",
@@ -71,7 +71,7 @@
     Table.CLAIMS: "mallowpass-claims",
     Table.LIMITS: "mallowpass-limits",
 }
-TABLES = {name: table for table, name in TABLE_NAMES.items()}
+TABLES_BY_NAME = {name: table for table, name in TABLE_NAMES.items()}
 _CONFIGURATION_KEY = "config"
 # Rows of these tables mean something in no part only.
 _WITHOUT_PARTS = (Table.CONFIGURATION, Table.ENDPOINTS)
@@ -222,7 +222,7 @@
     """
     rows = []
     for item in body.get("rows", ()):
-        table = TABLES.get(item["table"])
+        table = TABLES_BY_NAME.get(item["table"])
         part = item.get("part", "")
         if table is None or (part and table in _WITHOUT_PARTS):
             continue
@@ -243,7 +243,7 @@
     """Read what another host waits for; None if it is not as `StoreClient` asks."""
     path, _, query = target.partition("?")
     fields = dict(parse_qsl(query))
-    table = TABLES.get(fields.get("table", ""))
+    table = TABLES_BY_NAME.get(fields.get("table", ""))
     after, wait = fields.get("after", ""), fields.get("waitMs", "")
     if path != FEED_PATH or table is None:
         return None
--- a/mallowpass/platform/wire.py
+++ b/mallowpass/platform/wire.py
@@ -59,7 +59,7 @@
 ]
 
 LINE_MAX = 1 << 20  # bytes of one message, as the platform's page gives it
-OWN_ID = "-"  # the id of statements that a caller did not send
+INTERNAL_REQUEST_ID = "-"  # the id of statements that a caller did not send
 # Words between hosts, which endpoints are never sent.
 PRIORITY = "PRIORITY"
 ON_BEHALF_OF = "CUSTOMER"
@@ -246,7 +246,7 @@
     if call.on_behalf_of is not None:
         customer, version = call.on_behalf_of.customer, call.on_behalf_of.version
         text = f"{ON_BEHALF_OF} {customer}/{version} {text}"
-    return encode(f"QUERY {call.request_id or OWN_ID} {text}\r\n")
+    return encode(f"QUERY {call.request_id or INTERNAL_REQUEST_ID} {text}\r\n")
 
 
 @singledispatch
@@ -347,7 +347,7 @@
     statement = parse_statement(text) or _parse_own(text)
     if statement is None:
         raise WireError(f"not a call: {text[:40]!r}")
-    own = request_id == OWN_ID
+    own = request_id == INTERNAL_REQUEST_ID
     request_id = "" if own else request_id
     return EndpointCall(statement, request_id, minimum, priority, on_behalf_of)
 
--- a/mallowpass/standins/proxied/httpserver.py
+++ b/mallowpass/standins/proxied/httpserver.py
@@ -22,16 +22,16 @@
     WatchRows,
     store_version,
 )
-from mallowpass.platform.documents import CONSISTENCY
+from mallowpass.platform.documents import CONSISTENCY_BY_ROUTE_TYPE
 from mallowpass.platform.http import HttpServer, Request, Response
 from mallowpass.platform.settings import Address
-from mallowpass.platform.store import TABLE_NAMES, TABLES
+from mallowpass.platform.store import TABLE_NAMES, TABLES_BY_NAME
 from mallowpass.standins.proxied.replicas import Group
 from mallowpass.standins.proxied.rows import RowStore
 
 __all__ = ["OrderServer", "StoreServer"]
 
-_CONSISTENCY_WORDS = {kind: word for word, kind in CONSISTENCY.items()}
+_CONSISTENCY_WORDS = {kind: word for word, kind in CONSISTENCY_BY_ROUTE_TYPE.items()}
 _STATUSES = {
     StoreStatus.DONE: 200,
     StoreStatus.CONFLICT: 412,
@@ -59,12 +59,12 @@
 
     async def _get(self, request: Request) -> Response:
         query = _query(request)
-        table = TABLES[query["table"]]
+        table = TABLES_BY_NAME[query["table"]]
         return await self._call(ListRows(table, query.get("part", "")))
 
     async def _feed(self, request: Request) -> Response:
         query = _query(request)
-        table = TABLES[query["table"]]
+        table = TABLES_BY_NAME[query["table"]]
         wait = int(query["waitMs"]) / 1000.0
         return await self._call(WatchRows(table, int(query["after"]), wait))
 
@@ -132,7 +132,7 @@
 
 
 def _key(item: dict[str, Any]) -> RowKey:
-    return RowKey(TABLES[item["table"]], item.get("part", ""), item["key"])
+    return RowKey(TABLES_BY_NAME[item["table"]], item.get("part", ""), item["key"])
 
 
 def _row(row: Row) -> dict[str, Any]:
--- a/tests/platform/test_secrets.py
+++ b/tests/platform/test_secrets.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from mallowpass.platform.documents import CONSISTENCY
+from mallowpass.platform.documents import CONSISTENCY_BY_ROUTE_TYPE
 from mallowpass.platform.http import HttpClient, Request
 from mallowpass.platform.runtime import METRICS_PATH, METRICS_PORT
 from mallowpass.platform.settings import Address
@@ -29,7 +29,7 @@
             "timeoutMs": 800,
             "maxStalenessMs": 1500,
         }
-        for kind in CONSISTENCY
+        for kind in CONSISTENCY_BY_ROUTE_TYPE
     ]
     service = {"name": "claims-core", "maxConns": 22, "syncReplicas": 1}
     document = {
