--- a/mallowpass/platform/wire.py
+++ b/mallowpass/platform/wire.py
@@ -1,7 +1,7 @@
-"""The wire protocol of callers and endpoints: lines to and from typed messages.
+"""Line protocol of callers and endpoints: conversion between lines and typed messages.
 
-A line is a word and its fields, separated by single blanks, and ends with CR LF. The
-last field extends to the end of the line. Text is kept byte for byte.
+A line is a keyword and its fields, separated by single spaces, and ends with CR LF. The
+last field extends to the end of the line. Field text is preserved byte for byte.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 )
 
 __all__ = [
-    "LINE_MAX",
+    "MAX_LINE_BYTES",
     "LineBuffer",
     "WireError",
     "code_of",
@@ -58,16 +58,17 @@
     "render_reply",
 ]
 
-LINE_MAX = 1 << 20  # bytes of one message, as the platform's page gives it
-INTERNAL_REQUEST_ID = "-"  # the id of statements that a caller did not send
-# Words between hosts, which endpoints are never sent.
-PRIORITY = "PRIORITY"
-ON_BEHALF_OF = "CUSTOMER"
+MAX_LINE_BYTES = 1 << 20  # the platform's documented limit for one message
+# Request id of statements that a host sends on its own account, such as RESET.
+INTERNAL_REQUEST_ID = "-"
+# Prefixes of statements that one host forwards to another; endpoints do not know them.
+_PRIORITY_PREFIX = "PRIORITY"
+_CUSTOMER_PREFIX = "CUSTOMER"
 _NO_SIGNATURE = "-"
-_STATUS_FIELDS = 7
+_STATUS_FIELD_COUNT = 7
 
-# The platform's word for each code.
-_WORDS = {
+# Error names of the platform.
+_CODE_NAMES = {
     Code.BUSY: "BUSY",
     Code.ABORTED: "ABORTED",
     Code.BEHIND: "LAGGING",
@@ -75,7 +76,7 @@
     Code.WRONG_ENDPOINT: "WRONGNODE",
     Code.TOO_MANY_CONNECTIONS: "TOOMANY",
     Code.UNKNOWN_STATEMENT: "NOSTMT",
-    Code.UNREACHABLE: "UNREACHABLE",  # hosts alone say so, to each other
+    Code.UNREACHABLE: "UNREACHABLE",  # sent between hosts only
     Code.FAILED: "FAILED",
     Code.TIMED_OUT: "TIMEOUT",
     Code.IN_DOUBT: "INDOUBT",
@@ -84,33 +85,35 @@
     Code.UNAUTHENTICATED: "NOAUTH",
     Code.OTHER: "FAILED",
 }
-_CODES = {word: code for code, word in _WORDS.items() if code is not Code.OTHER}
-_STATES = {
+_CODES_BY_NAME = {
+    name: code for code, name in _CODE_NAMES.items() if code is not Code.OTHER
+}
+_STATES_BY_LETTER = {
     "I": SessionState.IDLE,
     "T": SessionState.IN_TRANSACTION,
     "E": SessionState.FAILED,
 }
-_STATE_WORDS = {state: word for word, state in _STATES.items()}
-_ACCESS = {"READ": Access.READ, "WRITE": Access.WRITE}
-_ACCESS_WORDS = {access: word for word, access in _ACCESS.items()}
+_STATE_LETTERS = {state: letter for letter, state in _STATES_BY_LETTER.items()}
+_ACCESS_BY_WORD = {"READ": Access.READ, "WRITE": Access.WRITE}
+_ACCESS_WORDS = {access: word for word, access in _ACCESS_BY_WORD.items()}
 
 
 class WireError(ValueError):
-    """Say what is wrong with a line."""
+    """Raised for a line that does not follow the protocol."""
 
 
 def decode(line: bytes) -> str:
-    """Return a line's text; any bytes can be turned back by `encode`."""
+    """Return the text of a line; `encode` restores the bytes, valid UTF-8 or not."""
     return line.decode("utf-8", "surrogateescape")
 
 
 def encode(text: str) -> bytes:
-    """Return a text's bytes."""
+    """Return the bytes of a text; the inverse of `decode`."""
     return text.encode("utf-8", "surrogateescape")
 
 
 class LineBuffer:
-    """Cut received bytes into lines."""
+    """Split a received byte stream into lines."""
 
     __slots__ = ("_buffer",)
 
@@ -118,42 +121,48 @@
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the lines that are complete now; WireError if one is too long."""
+        """Return the lines that `data` completes, without their CR LF.
+
+        Raises WireError if a line is too long or does not end with CR LF.
+        """
         self._buffer += data
         end = self._buffer.rfind(b"\n")
         if end < 0:
-            self._check(len(self._buffer))
+            self._check_length(len(self._buffer))
             return []
         complete = bytes(self._buffer[:end])
         del self._buffer[: end + 1]
-        self._check(len(self._buffer))
+        self._check_length(len(self._buffer))
         lines = complete.split(b"\n")
-        return [self._strip(line) for line in lines]
+        return [self._strip_crlf(line) for line in lines]
 
-    def _strip(self, line: bytes) -> bytes:
-        self._check(len(line))
+    def _strip_crlf(self, line: bytes) -> bytes:
+        self._check_length(len(line))
         if not line.endswith(b"\r") or b"\r" in line[:-1]:
-            raise WireError("a line does not end with CR LF")
+            raise WireError("line does not end with CR LF")
         return line[:-1]
 
     @staticmethod
-    def _check(length: int) -> None:
-        if length > LINE_MAX:
-            raise WireError(f"a line is longer than {LINE_MAX} bytes")
+    def _check_length(length: int) -> None:
+        if length > MAX_LINE_BYTES:
+            raise WireError(f"line is longer than {MAX_LINE_BYTES} bytes")
 
 
 # -- What callers send -------------------------------------------------------
 
 
 def parse_statement(text: str) -> Statement | None:
-    """Return a caller's statement, None if it is none."""
-    word, _, rest = text.partition(" ")
-    parse = _PARSERS.get(word)
+    """Parse a statement of a caller; return None if it is malformed."""
+    keyword, _, rest = text.partition(" ")
+    parse = _PARSERS.get(keyword)
     return None if parse is None else parse(rest)
 
 
-def _fields(rest: str, count: int) -> list[str] | None:
-    """Split off `count` fields, none of them empty; the last takes all that is left."""
+def _split_fields(rest: str, count: int) -> list[str] | None:
+    """Split into `count` non-empty fields; the last one may contain spaces.
+
+    Return None if there are fewer fields, or an empty one.
+    """
     fields = rest.split(" ", count - 1)
     return fields if len(fields) == count and all(fields) else None
 
@@ -177,23 +186,23 @@
 
 
 def _parse_write(rest: str) -> Write | None:
-    return Write(rest) if _fields(rest, 2) else None
+    return Write(rest) if _split_fields(rest, 2) else None
 
 
 def _parse_set(rest: str) -> SetValue | None:
-    fields = _fields(rest, 2)
+    fields = _split_fields(rest, 2)
     return SetValue(*fields) if fields else None
 
 
 def _parse_prepare(rest: str) -> Prepare | None:
-    fields = _fields(rest, 3)
-    if not fields or fields[1] not in _ACCESS:
+    fields = _split_fields(rest, 3)
+    if not fields or fields[1] not in _ACCESS_BY_WORD:
         return None
-    return Prepare(fields[0], _ACCESS[fields[1]], fields[2])
+    return Prepare(fields[0], _ACCESS_BY_WORD[fields[1]], fields[2])
 
 
 def _parse_execute(rest: str) -> Execute | None:
-    fields = _fields(rest, 2)
+    fields = _split_fields(rest, 2)
     return Execute(*fields) if fields else None
 
 
@@ -215,176 +224,176 @@
 
 
 def render_answer(answer: Answer) -> bytes:
-    """Return the lines that answer a caller's statement."""
+    """Return the lines that answer a statement of a caller."""
     lines = [b"ROW %b\r\n" % row for row in answer.rows]
     if answer.code is Code.DONE:
         signature = answer.signature or _NO_SIGNATURE
         lines.append(b"DONE %b\r\n" % encode(signature))
     else:
         lines.append(render_error(answer.code, answer.message))
-    # Callers have no use for a position: their floors are kept here.
-    lines.append(b"READY %b -\r\n" % encode(_STATE_WORDS[answer.state]))
+    # Callers do not need the log position: this host keeps the floor of each session.
+    lines.append(b"READY %b -\r\n" % encode(_STATE_LETTERS[answer.state]))
     return b"".join(lines)
 
 
 def render_error(code: Code, message: str) -> bytes:
-    """Return an error line."""
+    """Return the line for an error; line breaks in its message become spaces."""
     text = " ".join(message.split()) or code.value
-    return b"ERR %b %b\r\n" % (encode(_WORDS[code]), encode(text))
+    return b"ERR %b %b\r\n" % (encode(_CODE_NAMES[code]), encode(text))
 
 
-# -- What endpoints are sent -------------------------------------------------
+# -- What is sent to endpoints -----------------------------------------------
 
 
 def render_call(call: EndpointCall) -> bytes:
-    """Return the line of one call."""
-    text = _render(call.statement)
+    """Return the line for a call to an endpoint, or to a host that forwards it."""
+    text = _render_statement(call.statement)
     if call.minimum is not None:
         text = f"AFTER {render_position(call.minimum)} {text}"
     if call.priority is not None:
-        text = f"{PRIORITY} {call.priority} {text}"
+        text = f"{_PRIORITY_PREFIX} {call.priority} {text}"
     if call.on_behalf_of is not None:
         customer, version = call.on_behalf_of.customer, call.on_behalf_of.version
-        text = f"{ON_BEHALF_OF} {customer}/{version} {text}"
+        text = f"{_CUSTOMER_PREFIX} {customer}/{version} {text}"
     return encode(f"QUERY {call.request_id or INTERNAL_REQUEST_ID} {text}\r\n")
 
 
 @singledispatch
-def _render(statement: Statement) -> str:
-    raise TypeError(f"no line for {type(statement).__name__}")
+def _render_statement(statement: Statement) -> str:
+    raise TypeError(f"no wire format for statement {type(statement).__name__}")
 
 
-@_render.register
+@_render_statement.register
 def _(statement: Begin) -> str:
     return "BEGIN READ" if statement.read_only else "BEGIN"
 
 
-@_render.register
+@_render_statement.register
 def _(statement: Commit) -> str:
     return "COMMIT"
 
 
-@_render.register
+@_render_statement.register
 def _(statement: Rollback) -> str:
     return "ROLLBACK"
 
 
-@_render.register
+@_render_statement.register
 def _(statement: Read) -> str:
     return f"READ {statement.text}"
 
 
-@_render.register
+@_render_statement.register
 def _(statement: Write) -> str:
     return f"WRITE {statement.text}"
 
 
-@_render.register
+@_render_statement.register
 def _(statement: SetValue) -> str:
     return f"SET {statement.name} {statement.value}"
 
 
-@_render.register
+@_render_statement.register
 def _(statement: Prepare) -> str:
     access = _ACCESS_WORDS[statement.access]
     return f"PREPARE {statement.name} {access} {statement.shape}"
 
 
-@_render.register
+@_render_statement.register
 def _(statement: Execute) -> str:
     return f"EXEC {statement.name} {statement.text}"
 
 
-@_render.register
+@_render_statement.register
 def _(statement: Deallocate) -> str:
     return f"DEALLOC {statement.name}"
 
 
-@_render.register
+@_render_statement.register
 def _(statement: Reset) -> str:
     return "RESET"
 
 
-@_render.register
+@_render_statement.register
 def _(statement: Status) -> str:
     return "STATUS"
 
 
-@_render.register
+@_render_statement.register
 def _(statement: Pause) -> str:
     return f"PAUSE {statement.term}"
 
 
-@_render.register
+@_render_statement.register
 def _(statement: Resume) -> str:
     return "RESUME"
 
 
-@_render.register
+@_render_statement.register
 def _(statement: Demote) -> str:
     return f"DEMOTE {statement.term}"
 
 
-# -- What other hosts send as if to an endpoint -------------------------------
+# -- What other hosts send, in the protocol of endpoints ----------------------
 
 
 def parse_call(request_id: str, text: str) -> EndpointCall:
-    """Read a call as `render_call` writes it; WireError if it is none."""
+    """Parse a call as rendered by `render_call`; raise WireError if it is malformed."""
     on_behalf_of = None
-    if text.startswith(f"{ON_BEHALF_OF} "):
-        word, text = _prefixed(text)
-        on_behalf_of = _parse_on_behalf_of(word)
+    if text.startswith(f"{_CUSTOMER_PREFIX} "):
+        value, text = _split_prefix(text)
+        on_behalf_of = _parse_on_behalf_of(value)
     priority = None
-    if text.startswith(f"{PRIORITY} "):
-        word, text = _prefixed(text)
-        if not word.isdecimal():
-            raise WireError(f"no priority: {word[:40]!r}")
-        priority = int(word)
+    if text.startswith(f"{_PRIORITY_PREFIX} "):
+        value, text = _split_prefix(text)
+        if not value.isdecimal():
+            raise WireError(f"priority is not a number: {value[:40]!r}")
+        priority = int(value)
     minimum = None
     if text.startswith("AFTER "):
-        word, text = _prefixed(text)
-        minimum = parse_position(word)
-    statement = parse_statement(text) or _parse_own(text)
+        value, text = _split_prefix(text)
+        minimum = parse_position(value)
+    statement = parse_statement(text) or _parse_internal(text)
     if statement is None:
-        raise WireError(f"not a call: {text[:40]!r}")
-    own = request_id == INTERNAL_REQUEST_ID
-    request_id = "" if own else request_id
+        raise WireError(f"malformed statement: {text[:40]!r}")
+    is_internal = request_id == INTERNAL_REQUEST_ID
+    request_id = "" if is_internal else request_id
     return EndpointCall(statement, request_id, minimum, priority, on_behalf_of)
 
 
-def _parse_on_behalf_of(word: str) -> OnBehalfOf:
-    customer, _, version = word.rpartition("/")
+def _parse_on_behalf_of(text: str) -> OnBehalfOf:
+    customer, _, version = text.rpartition("/")
     if not customer or not version.isdecimal():
-        raise WireError("no customer with a version")
+        raise WireError(f"expected CUSTOMER/VERSION, got {text[:40]!r}")
     return OnBehalfOf(customer, int(version))
 
 
-def _prefixed(text: str) -> tuple[str, str]:
-    """Return what a prefix says, and what it stands before."""
-    fields = _fields(text, 3)
+def _split_prefix(text: str) -> tuple[str, str]:
+    """Return the value of a prefix, and the text after that value."""
+    fields = _split_fields(text, 3)
     if fields is None:
-        raise WireError(f"not a call: {text[:40]!r}")
+        raise WireError(f"prefix without a value or a statement: {text[:40]!r}")
     return fields[1], fields[2]
 
 
-def _parse_own(text: str) -> Statement | None:
-    """Read a statement that hosts send and callers may not."""
-    word, _, rest = text.partition(" ")
-    if word == "RESET":
+def _parse_internal(text: str) -> Statement | None:
+    """Parse a statement that hosts may send and callers may not."""
+    keyword, _, rest = text.partition(" ")
+    if keyword == "RESET":
         return Reset()
-    if word == "STATUS":
+    if keyword == "STATUS":
         return Status()
-    if word == "RESUME":
+    if keyword == "RESUME":
         return Resume()
-    if word == "PAUSE" and rest.isdecimal():
+    if keyword == "PAUSE" and rest.isdecimal():
         return Pause(int(rest))
-    if word == "DEMOTE" and rest.isdecimal():
+    if keyword == "DEMOTE" and rest.isdecimal():
         return Demote(int(rest))
     return None
 
 
 def render_reply(reply: EndpointReply) -> bytes:
-    """Return the lines of an endpoint's answer."""
+    """Return the lines for the reply of an endpoint."""
     lines = [b"ROW %b\r\n" % row for row in reply.rows]
     if reply.code is Code.DONE:
         lines.append(b"DONE %b\r\n" % encode(reply.signature or _NO_SIGNATURE))
@@ -397,48 +406,48 @@
 def render_ready(
     state: SessionState, position: LogPosition | None, floor: FloorHint | None
 ) -> bytes:
-    """Return the line that ends an endpoint's answer; only hosts add a floor to it."""
-    line = f"READY {_STATE_WORDS[state]} {render_position(position)}"
+    """Return the line that ends a reply; only hosts add a floor hint to it."""
+    line = f"READY {_STATE_LETTERS[state]} {render_position(position)}"
     if floor is not None:
-        # Rounded up: the sample may only be taken for older than it is.
+        # Rounded up, so that the floor never appears fresher than it is.
         age = math.ceil(1000 * floor.age)
         line += f" FLOOR {render_position(floor.position)} {age}"
     return encode(line + "\r\n")
 
 
 def render_position(position: LogPosition | None) -> str:
-    """Return a position's word."""
+    """Return a log position as TERM.POSITION, or "-" for None."""
     return "-" if position is None else f"{position.term}.{position.position}"
 
 
-# -- What endpoints answer ---------------------------------------------------
+# -- What endpoints reply ----------------------------------------------------
 
 
-def code_of(word: str) -> Code:
-    """Return the code that a word of the platform stands for."""
-    return _CODES.get(word, Code.OTHER)
+def code_of(name: str) -> Code:
+    """Return the code for an error name; OTHER for a name that is not known."""
+    return _CODES_BY_NAME.get(name, Code.OTHER)
 
 
-def parse_state(word: str) -> SessionState:
-    """Return the state that READY tells."""
+def parse_state(letter: str) -> SessionState:
+    """Return the session state for the letter that READY carries."""
     try:
-        return _STATES[word]
+        return _STATES_BY_LETTER[letter]
     except KeyError:
-        raise WireError(f"no such state: {word!r}") from None
+        raise WireError(f"unknown session state: {letter!r}") from None
 
 
-def parse_position(word: str) -> LogPosition | None:
-    """Return a position, None for the word that stands for none."""
-    if word == "-":
+def parse_position(text: str) -> LogPosition | None:
+    """Parse a log position as rendered by `render_position`."""
+    if text == "-":
         return None
-    term, dot, number = word.partition(".")
+    term, dot, number = text.partition(".")
     if not (dot and term.isdecimal() and number.isdecimal()):
-        raise WireError(f"no position: {word!r}")
+        raise WireError(f"malformed log position: {text!r}")
     return LogPosition(int(term), int(number))
 
 
 def parse_floor(words: list[str]) -> FloorHint | None:
-    """Read what a host adds to READY after the position."""
+    """Parse the floor hint that a host adds to READY; None if there is no valid one."""
     if len(words) != 3 or words[0] != "FLOOR" or not words[2].isdecimal():
         return None
     position = parse_position(words[1])
@@ -446,19 +455,22 @@
 
 
 def parse_status(row: bytes) -> EndpointStatus:
-    """Read a status row.
+    """Parse the row that answers STATUS.
 
-    Role, term, position received, term that it is paused for, lag in milliseconds,
-    statements at work, connections.
+    Its fields: role, term, log position received, term that the replica is paused for,
+    replication lag in milliseconds, statements running, open connections.
     """
     words = decode(row).split(" ")
-    if len(words) < _STATUS_FIELDS:
-        raise WireError(f"not a status: {words}")
-    role, term, received, _paused_for, lag, busy, connections = words[:_STATUS_FIELDS]
+    if len(words) < _STATUS_FIELD_COUNT:
+        raise WireError(f"status row has too few fields: {words}")
+    role, term, received, _paused_for, lag, busy, connections = words[
+        :_STATUS_FIELD_COUNT
+    ]
     position = parse_position(received)
     if position is None or position.position == 0:
-        # An empty log may be given the term that its endpoint has learnt. Compared by
-        # that, it would be further than a log of an earlier term that holds commits.
+        # An endpoint with an empty log may report the newest term that it knows of.
+        # Compared by that term, the empty log would be ahead of a log of an earlier
+        # term that holds commits.
         position = ZERO_POSITION
     return EndpointStatus(
         is_primary=role == "primary",
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -1,4 +1,4 @@
-"""Lines of the wire protocol: what is read, what is refused, what is written."""
+"""Test parsing and rendering of protocol lines, and which lines are refused."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     "EXEC s1 1a4": Execute("s1", "1a4"),
     "DEALLOC s1": Deallocate("s1"),
 }
-NO_STATEMENTS = (
+INVALID_STATEMENTS = (
     "",
     "READ",
     "READ ",
@@ -66,19 +66,19 @@
 
 
 @pytest.mark.parametrize("text", STATEMENTS)
-def test_statement_is_read_and_rendered_unchanged(text):
+def test_statement_round_trip(text):
     statement = wire.parse_statement(text)
     assert statement == STATEMENTS[text]
     rendered = wire.render_call(EndpointCall(statement, "id1"))
     assert rendered == wire.encode(f"QUERY id1 {text}\r\n")
 
 
-@pytest.mark.parametrize("text", NO_STATEMENTS)
-def test_what_callers_may_not_send(text):
+@pytest.mark.parametrize("text", INVALID_STATEMENTS)
+def test_statement_that_callers_may_not_send(text):
     assert wire.parse_statement(text) is None
 
 
-def test_own_calls():
+def test_internal_calls():
     def line(statement, minimum=None):
         return wire.render_call(EndpointCall(statement, minimum=minimum))
 
@@ -91,14 +91,14 @@
     assert line(Begin(True), floor) == b"QUERY - AFTER 3.1207 BEGIN READ\r\n"
 
 
-def test_hosts_tell_each_other_priorities():
+def test_priority_of_a_forwarded_call():
     call = EndpointCall(Read("a"), "id1", LogPosition(3, 7), priority=2)
     line = b"QUERY id1 PRIORITY 2 AFTER 3.7 READ a\r\n"
     assert wire.render_call(call) == line
     assert wire.parse_call("id1", "PRIORITY 2 AFTER 3.7 READ a") == call
 
 
-def test_hosts_tell_each_other_customers():
+def test_customer_of_a_forwarded_call():
     on_behalf_of = OnBehalfOf("a/b", 12)
     call = EndpointCall(Read("a"), "id1", priority=2, on_behalf_of=on_behalf_of)
     line = b"QUERY id1 CUSTOMER a/b/12 PRIORITY 2 READ a\r\n"
@@ -120,12 +120,12 @@
         "CUSTOMER /1 READ a",
     ],
 )
-def test_malformed_calls_of_hosts_are_refused(text):
+def test_malformed_forwarded_call_is_refused(text):
     with pytest.raises(wire.WireError):
         wire.parse_call("id1", text)
 
 
-def test_answers():
+def test_answer_to_a_caller():
     done = Answer(Code.DONE, SessionState.IN_TRANSACTION, (b"a b", b""), "7.1f")
     assert wire.render_answer(done) == b"ROW a b\r\nROW \r\nDONE 7.1f\r\nREADY T -\r\n"
     refused = Answer(Code.BEHIND, SessionState.IDLE, message="no\r\nREADY I -")
@@ -134,12 +134,12 @@
 
 
 @given(st.binary(max_size=200))
-def test_text_is_kept_byte_for_byte(data):
+def test_decode_preserves_any_bytes(data):
     assert wire.encode(wire.decode(data)) == data
 
 
 @given(st.lists(st.binary(max_size=20).filter(lambda b: not set(b) & {10, 13})))
-def test_lines_come_whole_however_they_are_cut(lines):
+def test_lines_are_reassembled_from_single_bytes(lines):
     data = b"".join(line + b"\r\n" for line in lines)
     buffer = wire.LineBuffer()
     found = []
@@ -148,13 +148,15 @@
     assert found == lines
 
 
-@pytest.mark.parametrize("data", [b"READ\n", b"a\rb\r\n", b"x" * (wire.LINE_MAX + 1)])
-def test_lines_that_are_refused(data):
+@pytest.mark.parametrize(
+    "data", [b"READ\n", b"a\rb\r\n", b"x" * (wire.MAX_LINE_BYTES + 1)]
+)
+def test_malformed_line_is_refused(data):
     with pytest.raises(wire.WireError):
         wire.LineBuffer().feed(data)
 
 
-def test_status():
+def test_status_row():
     status = wire.parse_status(b"replica 3 3.1209 0 12 2 17")
     assert (status.is_primary, status.term, status.received) == (False, 3, (3, 1209))
     assert (status.lag, status.busy, status.connections) == (0.012, 2, 17)
@@ -163,16 +165,17 @@
 
 
 @pytest.mark.parametrize("received", ["-", "0.0", "2.0"])
-def test_status_of_an_empty_log(received):
-    """Acknowledged commits are gone: an empty endpoint was promoted.
+def test_status_of_an_empty_log_has_position_zero(received):
+    """Guard against promoting an empty endpoint, which loses acknowledged commits.
 
-    It had started again with nothing under a newer term, and was compared by that.
+    An endpoint that restarted without data reports a newer term. Compared by that term,
+    its empty log was ahead of logs that hold commits.
     """
     status = wire.parse_status(f"replica 2 {received} 0 12 2 17".encode())
     assert status.received == (0, 0)
 
 
 @pytest.mark.parametrize("word", ["", "3", "3.", ".4", "a.b", "3.-1"])
-def test_no_position(word):
+def test_malformed_position_is_refused(word):
     with pytest.raises(wire.WireError):
         wire.parse_position(word)
