--- a/mallowpass/platform/store.py
+++ b/mallowpass/platform/store.py
@@ -27,7 +27,7 @@
 from mallowpass.platform.documents import (
     DocumentError,
     decode_configuration,
-    decode_entry,
+    decode_endpoint_entry,
 )
 from mallowpass.platform.http import (
     BODY_MAX,
@@ -320,7 +320,7 @@
 
 def _decode(key: RowKey, data: bytes) -> Any:
     if key.table is Table.ENDPOINTS:
-        return decode_entry(key.key, data)
+        return decode_endpoint_entry(key.key, data)
     if key.table is not Table.CONFIGURATION:
         return data.decode()
     return decode_configuration(data) if key.key == _CONFIGURATION_KEY else ""
--- a/tests/platform/test_documents.py
+++ b/tests/platform/test_documents.py
@@ -1,4 +1,4 @@
-"""Documents of operators and endpoints, and what they may hold."""
+"""Test decoding of operators' configurations and endpoints' entries, valid or not."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from mallowpass.platform.documents import (
     DocumentError,
     decode_configuration,
-    decode_entry,
+    decode_endpoint_entry,
 )
 
 ROUTE = {
@@ -56,7 +56,7 @@
     return {name: value for name, value in ENTRY.items() if name != field}
 
 
-def test_configuration():
+def test_decode_configuration():
     found = decode_configuration(json.dumps(CONFIGURATION).encode())
     route = found.routes["fiti832ti23"]
     assert (found.version, found.transaction_idle) == (7, 2.0)
@@ -84,7 +84,7 @@
     return json.dumps(CONFIGURATION | {"tenants": list(customers)}).encode()
 
 
-def test_customers_are_known_by_digests_of_their_keys():
+def test_customers_are_looked_up_by_digests_of_their_keys():
     found = decode_configuration(_with_customers(CUSTOMER))
     assert found.authenticates_callers
     customer = found.customer_of(credential_of("uddedev3"))
@@ -94,14 +94,14 @@
     assert "nirth5" not in repr(found)
 
 
-def test_configuration_without_customers_asks_nobody_for_a_key():
+def test_configuration_without_customers_requires_no_keys():
     assert not decode_configuration(
         json.dumps(CONFIGURATION).encode()
     ).authenticates_callers
     assert decode_configuration(_with_customers()).authenticates_callers
 
 
-def test_customer_without_limits_may_send_any_number():
+def test_customer_without_limits_is_unlimited():
     bare = {"name": "bode960", "apiKeys": []}
     customer = decode_configuration(_with_customers(bare)).customers["bode960"]
     assert customer.rate == customer.burst == math.inf
@@ -122,32 +122,32 @@
         ("nirth5",),
     ],
 )
-def test_unreadable_customers_are_refused_without_telling_a_key(customers):
+def test_error_for_invalid_customers_contains_no_key(customers):
     with pytest.raises(DocumentError) as caught:
         decode_configuration(_with_customers(*customers))
     assert "nirth5" not in str(caught.value)
 
 
-def test_entry():
-    entry = decode_entry("i-1", json.dumps(ENTRY).encode())
+def test_decode_endpoint_entry():
+    entry = decode_endpoint_entry("i-1", json.dumps(ENTRY).encode())
     assert (entry.name, entry.draining, entry.is_primary) == ("i-1", True, True)
     assert entry.started_at == 1764720000123
 
 
-def test_start_that_is_not_told():
-    entry = decode_entry("i-1", json.dumps(_without("born")).encode())
+def test_entry_without_a_start_time():
+    entry = decode_endpoint_entry("i-1", json.dumps(_without("born")).encode())
     assert entry.started_at == 0
 
 
 @pytest.mark.parametrize("born", [None, "1764720000123", 1.5, True, -1, [], {}])
-def test_start_that_is_no_whole_number(born):
-    """Symptom: an endpoint that is none is waited for when a primary is replaced.
+def test_entry_with_an_invalid_start_time_is_refused(born):
+    """Guard against a failover that waits for an endpoint that does not exist.
 
-    Sequence: another writer puts an entry there with something else than a number.
-    Cause: the rest of it can be read, so it is taken for an endpoint's.
+    Another program may write an entry whose other fields are valid. If its invalid
+    start time were ignored, the entry would count as an endpoint of the service.
     """
     with pytest.raises(DocumentError, match="born"):
-        decode_entry("i-1", json.dumps(ENTRY | {"born": born}).encode())
+        decode_endpoint_entry("i-1", json.dumps(ENTRY | {"born": born}).encode())
 
 
 @pytest.mark.parametrize(
@@ -160,18 +160,18 @@
         b'{"version":1,"routes":[{}],"services":[]}',
     ],
 )
-def test_unreadable_configuration(data):
+def test_invalid_configuration_is_refused(data):
     with pytest.raises(DocumentError):
         decode_configuration(data)
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"{}", b'{"service":"a"}'])
-def test_unreadable_entry(data):
+def test_invalid_entry_is_refused(data):
     with pytest.raises(DocumentError):
-        decode_entry("i-1", data)
+        decode_endpoint_entry("i-1", data)
 
 
-# -- Any bytes, any JSON, each field dropped or of another type --------------
+# -- Any bytes, any JSON, each field missing or of another type --------------
 
 JSON = st.recursive(
     st.none()
@@ -186,14 +186,14 @@
     ),
     max_leaves=6,
 )
-DEEP = b"[" * 100_000
+DEEPLY_NESTED = b"[" * 100_000
 LONG_NUMBER = b'{"slots":' + b"9" * 5000 + b"}"
 
 
-def _entry_of(data: bytes) -> EndpointEntry | None:
-    """Return what an entry says, None if it can't be read; nothing else may happen."""
+def _check_entry(data: bytes) -> EndpointEntry | None:
+    """Decode and check an entry; return None if it is refused with a DocumentError."""
     try:
-        entry = decode_entry("i-1", data)
+        entry = decode_endpoint_entry("i-1", data)
     except DocumentError as error:
         assert len(str(error)) < 300
         return None
@@ -206,7 +206,7 @@
     return entry
 
 
-def _configuration_of(data: bytes) -> Configuration | None:
+def _check_configuration(data: bytes) -> Configuration | None:
     try:
         found = decode_configuration(data)
     except DocumentError as error:
@@ -224,26 +224,26 @@
 
 
 @given(st.binary())
-@example(DEEP)
+@example(DEEPLY_NESTED)
 @example(LONG_NUMBER)
 @example(b"\xff\xfe")
 @example(b'{"slots": Infinity}')
-def test_any_bytes(data):
-    """Symptom: a host ends, or learns of no endpoint, over one row."""
-    assert _entry_of(data) is None
-    assert _configuration_of(data) is None
+def test_any_bytes_are_refused(data):
+    """Guard against one row that stops a host, or hides all endpoints from it."""
+    assert _check_entry(data) is None
+    assert _check_configuration(data) is None
 
 
 @given(JSON)
-def test_any_json(value):
+def test_any_json_is_refused(value):
     data = json.dumps(value).encode()
-    assert _entry_of(data) is None
-    assert _configuration_of(data) is None
+    assert _check_entry(data) is None
+    assert _check_configuration(data) is None
 
 
 @pytest.mark.parametrize("field", sorted(ENTRY.keys() - {"born"}))
-def test_entry_lacks_a_field(field):
-    assert _entry_of(json.dumps(_without(field)).encode()) is None
+def test_entry_without_a_field_is_refused(field):
+    assert _check_entry(json.dumps(_without(field)).encode()) is None
 
 
 @pytest.mark.parametrize(
@@ -274,15 +274,15 @@
         ("coldRemainingMs", math.nan),
     ],
 )
-def test_entry_of_another_writer(field, value):
-    assert _entry_of(json.dumps(ENTRY | {field: value}).encode()) is None
+def test_entry_with_an_invalid_field_is_refused(field, value):
+    assert _check_entry(json.dumps(ENTRY | {field: value}).encode()) is None
 
 
 @pytest.mark.parametrize("name", ["", "two words", "\ud800", "a\r\n"])
-def test_entry_under_a_name_that_no_line_can_hold(name):
-    """Symptom: a connection to it sends two words, or lines, in place of one."""
+def test_entry_under_an_invalid_name_is_refused(name):
+    """Guard against names that add a field or a line to what a connection sends."""
     with pytest.raises(DocumentError, match="key"):
-        decode_entry(name, json.dumps(ENTRY).encode())
+        decode_endpoint_entry(name, json.dumps(ENTRY).encode())
 
 
 @pytest.mark.parametrize("field", ENTRY)
@@ -290,23 +290,23 @@
 @example(value=10**400)
 @example(value="\ud800")
 @example(value={str(n) * 30: {str(n) * 30: [str(n) * 30] * 9} for n in range(9)})
-def test_entry_with_any_value_in_a_field(field, value):
-    _entry_of(json.dumps(ENTRY | {field: value}).encode())
+def test_entry_with_any_value_in_a_field_raises_no_other_error(field, value):
+    _check_entry(json.dumps(ENTRY | {field: value}).encode())
 
 
-def _changed(place: tuple[str, ...], change: Any) -> bytes:
-    """Return a configuration with one field changed by a function of its parent."""
+def _with_change(path: tuple[str, ...], change: Any) -> bytes:
+    """Return a configuration after calling `change(parent, name)` for one field."""
     document = json.loads(json.dumps(CONFIGURATION))
     parent = document
-    for name in place[:-1]:
+    for name in path[:-1]:
         parent = parent[name]
         if isinstance(parent, list):
             parent = parent[0]
-    change(parent, place[-1])
+    change(parent, path[-1])
     return json.dumps(document).encode()
 
 
-PLACES = [
+FIELD_PATHS = [
     *[(name,) for name in CONFIGURATION],
     *[("routes", name) for name in ROUTE],
     *[("services", name) for name in SERVICE],
@@ -314,17 +314,17 @@
 ]
 
 
-@pytest.mark.parametrize("place", PLACES, ids=".".join)
-def test_configuration_lacks_a_field(place):
-    _configuration_of(_changed(place, lambda parent, name: parent.pop(name)))
+@pytest.mark.parametrize("path", FIELD_PATHS, ids=".".join)
+def test_configuration_without_a_field_raises_no_other_error(path):
+    _check_configuration(_with_change(path, lambda parent, name: parent.pop(name)))
 
 
-@pytest.mark.parametrize("place", PLACES, ids=".".join)
+@pytest.mark.parametrize("path", FIELD_PATHS, ids=".".join)
 @given(value=JSON)
 @example(value=10**400)
 @example(value=math.inf)
-def test_configuration_with_any_value_in_a_field(place, value):
+def test_configuration_with_any_value_in_a_field_raises_no_other_error(path, value):
     def change(parent: dict[str, Any], name: str) -> None:
         parent[name] = value
 
-    _configuration_of(_changed(place, change))
+    _check_configuration(_with_change(path, change))
