--- a/mallowpass/platform/relays.py
+++ b/mallowpass/platform/relays.py
@@ -1,7 +1,8 @@
-"""Following the store by way of other hosts: calls to them, and answers to theirs.
+"""Relaying changes of the store between hosts: clients of relays, and the server.
 
-Hosts ask each other as they ask the store, and answer in the store's form: one client
-serves both.
+A relay is a host that follows the store and passes the changes on to other hosts, its
+followers. Hosts use the HTTP interface of the store for this, so that one client serves
+for the store and for relays.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 from mallowpass.platform.store import (
     FEED_PATH,
     StoreClient,
-    accepts_compressed,
+    accepts_compression,
     parse_watch,
     render_rows,
 )
@@ -29,62 +30,62 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Answer:
-    """Hold what a host waits for, and whether it reads compressed answers."""
+class _PendingRequest:
+    """A follower's request that has no answer yet."""
 
     future: asyncio.Future[Response]
-    compressed: bool
+    compressed: bool  # the follower can read compressed answers
 
 
 @dataclass(frozen=True, slots=True)
-class _Rendered:
-    """Hold an answer as it was sent."""
+class _RenderedReply:
+    """A reply, and the response that it was rendered to."""
 
     reply: StoreReply
     compressed: bool
     response: Response
 
-    def is_of(self, reply: StoreReply, compressed: bool) -> bool:
-        """Tell whether this is how a reply is sent."""
+    def is_response_for(self, reply: StoreReply, compressed: bool) -> bool:
+        """Return whether this is the response for a reply."""
         return self.reply is reply and self.compressed == compressed
 
 
 class RelayClients:
-    """Hold a client for each relay that this host follows."""
+    """Clients of the relays that this host follows."""
 
-    __slots__ = ("_clients", "_own")
+    __slots__ = ("_clients", "_own_address")
 
-    def __init__(self, own: Address | None) -> None:
-        self._own = own
+    def __init__(self, own_address: Address | None) -> None:
+        self._own_address = own_address
         self._clients: dict[str, StoreClient] = {}
 
     def client(self, address: str) -> StoreClient:
-        """Return the client for a host, named by the address where it takes links.
+        """Return the client for a relay; `address` is where the relay accepts links.
 
-        Ports are the same on all hosts.
+        Relays serve changes at another port, which is the same on all hosts.
         """
         client = self._clients.get(address)
         if client is None:
-            feeds = Address(Address.parse(address).host, self._own.port)
-            client = self._clients[address] = StoreClient(feeds, of_host=True)
+            feed_address = Address(Address.parse(address).host, self._own_address.port)
+            client = self._clients[address] = StoreClient(feed_address, is_relay=True)
         return client
 
 
 class FeedServer:
-    """Take calls of hosts that follow the store by way of this one."""
+    """Serve the changes of the store to the followers of this host."""
 
-    __slots__ = ("_answers", "_http", "_newest", "_numbers", "_sink")
+    __slots__ = ("_http", "_last_rendered", "_numbers", "_pending", "_sink")
 
     def __init__(self, sink: EventSink) -> None:
         self._sink = sink
         self._numbers = itertools.count(1)
-        self._answers: dict[int, _Answer] = {}
-        # What was rendered last: a change is told to many hosts in the same words.
-        self._newest: _Rendered | None = None
-        self._http = HttpServer({FEED_PATH: self._take})
+        self._pending: dict[int, _PendingRequest] = {}
+        # Cached, because the same change is sent to many followers.
+        self._last_rendered: _RenderedReply | None = None
+        self._http = HttpServer({FEED_PATH: self._on_request})
 
     async def start(self, address: Address) -> None:
-        """Listen."""
+        """Start listening."""
         await self._http.start(address)
 
     def close(self) -> None:
@@ -92,28 +93,28 @@
         self._http.close()
 
     def answer(self, number: int, reply: StoreReply) -> None:
-        """Answer a call; whoever is gone gets nothing."""
-        answer = self._answers.pop(number, None)
-        if answer is not None and not answer.future.done():
-            answer.future.set_result(self._render(reply, answer.compressed))
+        """Answer a request, unless the follower has closed its connection."""
+        pending = self._pending.pop(number, None)
+        if pending is not None and not pending.future.done():
+            pending.future.set_result(self._render(reply, pending.compressed))
 
     def _render(self, reply: StoreReply, compressed: bool) -> Response:
-        newest = self._newest
+        rendered = self._last_rendered
         if (
-            newest is None
-            or newest.reply is not reply
-            or newest.compressed != compressed
+            rendered is None
+            or rendered.reply is not reply
+            or rendered.compressed != compressed
         ):
             response = render_rows(reply, compressed)
-            newest = self._newest = _Rendered(reply, compressed, response)
-        return newest.response
+            rendered = self._last_rendered = _RenderedReply(reply, compressed, response)
+        return rendered.response
 
-    def _take(self, request: Request) -> Response | asyncio.Future[Response]:
+    def _on_request(self, request: Request) -> Response | asyncio.Future[Response]:
         watch = parse_watch(request.target)
         if watch is None:
             return Response(_BAD_REQUEST)
         number = next(self._numbers)
         future = asyncio.get_running_loop().create_future()
-        self._answers[number] = _Answer(future, accepts_compressed(request))
+        self._pending[number] = _PendingRequest(future, accepts_compression(request))
         self._sink(FeedAsked(number, watch.table, watch.after, watch.wait))
         return future
--- a/mallowpass/platform/store.py
+++ b/mallowpass/platform/store.py
@@ -1,4 +1,7 @@
-"""The platform's metadata store: typed calls to and from its HTTP interface."""
+"""Metadata store of the platform: typed calls, and their form over HTTP.
+
+Hosts also relay changes of rows to each other, in the form of the store's own answers.
+"""
 
 from __future__ import annotations
 
@@ -43,26 +46,26 @@
     "TABLES_BY_NAME",
     "TABLE_NAMES",
     "StoreClient",
-    "accepts_compressed",
+    "accepts_compression",
     "decode_rows",
     "parse_watch",
     "render_rows",
 ]
 
-FEED_PATH = "/v1/rows-feed"
-# Between hosts long answers are compressed: the entries of a table are much alike, and
-# a relay tells each of its followers all of them. The quickest level does that.
-CODING = "deflate"
-COMPRESSED_MIN = 512  # bytes
-COMPRESSION_LEVEL = 1
-_ACCEPTS = (("Accept-Encoding", CODING),)
-_ERA_HEADER = b"store-era"  # as it is compared: in lower case
-_WHOLE = "whole"  # a field between hosts: the rows are all that a table has
-_ERA_DIGITS_MAX = 3
-_DIGITS_MAX = 18  # of a number that another host sends
-_UNAVAILABLE = 503
-
-# The platform's own tables have fixed names; those of the fleet are ours to name.
+FEED_PATH = "/v1/rows-feed"  # changes of rows, served by the store and by relays
+# Long answers between hosts are compressed: a relay sends all rows of a table to each
+# of its followers. The rows are so similar that the fastest level suffices.
+_CONTENT_CODING = "deflate"
+_MIN_COMPRESSED_BYTES = 512
+_COMPRESSION_LEVEL = 1
+_ACCEPT_HEADERS = (("Accept-Encoding", _CONTENT_CODING),)
+_ERA_HEADER = b"store-era"  # lower case, as Response.header expects
+_SNAPSHOT_FIELD = "whole"  # between hosts: the answer has all rows of the table
+_MAX_ERA_DIGITS = 3
+_MAX_DIGITS = 18  # of a number that another host sends
+_SERVICE_UNAVAILABLE = 503
+
+# The platform defines the first two names; the others are chosen here.
 TABLE_NAMES = {
     Table.CONFIGURATION: "op",
     Table.ENDPOINTS: "servers",
@@ -73,42 +76,47 @@
 }
 TABLES_BY_NAME = {name: table for table, name in TABLE_NAMES.items()}
 _CONFIGURATION_KEY = "config"
-# Rows of these tables mean something in no part only.
-_WITHOUT_PARTS = (Table.CONFIGURATION, Table.ENDPOINTS)
+# Rows of these tables are valid only if they belong to no part.
+_UNPARTITIONED_TABLES = (Table.CONFIGURATION, Table.ENDPOINTS)
 
-_STATUSES = {
+_STATUS_BY_HTTP_CODE = {
     200: StoreStatus.DONE,
     410: StoreStatus.HISTORY_GONE,
     412: StoreStatus.CONFLICT,
 }
-# Answers that promise that nothing was done; any other leaves it open.
-_REFUSALS = frozenset({400, 403, 404, 429, 503, 507})
+# Status codes which guarantee that nothing was changed. After any other failure, the
+# outcome of a change is unknown.
+_NOT_DONE_HTTP_CODES = frozenset({400, 403, 404, 429, 503, 507})
 
 
 class StoreClient:
-    """Carry out calls to the store, or to a host that tells of it."""
+    """Client of the store, or of a host that relays changes of the store."""
 
-    __slots__ = ("_client", "_of_host")
+    __slots__ = ("_client", "_is_relay")
 
-    def __init__(self, address: Address, of_host: bool = False) -> None:
+    def __init__(self, address: Address, is_relay: bool = False) -> None:
         self._client = HttpClient(address)
-        self._of_host = of_host
+        self._is_relay = is_relay
 
     async def call(self, call: StoreCall, timeout: float) -> StoreReply:
-        """Return the store's reply, also where there is none."""
+        """Return the reply to a call, within `timeout` seconds.
+
+        A failure is returned as a reply too: REFUSED if the call did not change
+        anything, else UNKNOWN.
+        """
         try:
             return await self._call(call, timeout)
         except HttpError as error:
-            changed = error.sent and isinstance(call, ChangeRows)
-            status = StoreStatus.UNKNOWN if changed else StoreStatus.REFUSED
+            may_have_changed = error.sent and isinstance(call, ChangeRows)
+            status = StoreStatus.UNKNOWN if may_have_changed else StoreStatus.REFUSED
             return StoreReply(status, message=str(error))
         except (ValueError, KeyError, TypeError, zlib.error) as error:
-            message = f"an answer that can't be read: {error!r}"
+            message = f"invalid answer: {error!r}"
             return StoreReply(StoreStatus.UNKNOWN, message=message)
 
     @singledispatchmethod
     async def _call(self, call: StoreCall, timeout: float) -> StoreReply:
-        raise TypeError(f"no such call: {type(call).__name__}")
+        raise TypeError(f"unsupported call: {type(call).__name__}")
 
     @_call.register
     async def _(self, call: ListRows, timeout: float) -> StoreReply:
@@ -118,42 +126,52 @@
             request = Request("GET", f"/v1/rows-get?{urlencode(query)}")
             response = await self._client.call(request, timeout)
             if response.status != 200:
-                return _failure(response)
+                return _failed_reply(response)
             body = json.loads(response.body)
-            era = _era(response)
+            era = _parse_era(response)
             rows += decode_rows(body, era)
             if not body.get("hasMore") or not rows:
                 version = make_version(era, body["ver"])
-                time = _time(body)
+                time = _parse_time(body)
                 done = StoreStatus.DONE
                 return StoreReply(done, tuple(rows), version, time, era=era)
             if era != era_of(rows[0].version):
-                # The first rows are of a time that the store has no memory of.
-                return StoreReply(StoreStatus.REFUSED, message="a new era", era=era)
-            # The least key above the last one.
+                # The store was restored from a copy between two pages. The pages before
+                # may have rows that the copy lacks.
+                return StoreReply(
+                    StoreStatus.REFUSED,
+                    message="the store was restored while its rows were listed",
+                    era=era,
+                )
+            # The smallest key above the last one.
             query["from"] = rows[-1].key.key + "\0"
 
     @_call.register
     async def _(self, call: WatchRows, timeout: float) -> StoreReply:
         query = {
             "table": TABLE_NAMES[call.table],
-            "after": call.after if self._of_host else store_version(call.after),
+            "after": call.after if self._is_relay else store_version(call.after),
             "waitMs": int(call.wait * 1000),
         }
-        headers = _ACCEPTS if self._of_host else ()
+        headers = _ACCEPT_HEADERS if self._is_relay else ()
         request = Request("GET", f"{FEED_PATH}?{urlencode(query)}", headers)
         response = await self._client.call(request, timeout)
-        return _reply_of_host(response) if self._of_host else _reply(response)
+        return (
+            _parse_relay_reply(response) if self._is_relay else _parse_reply(response)
+        )
 
     @_call.register
     async def _(self, call: ChangeRows, timeout: float) -> StoreReply:
         body = {
             "expected": [
-                _key(key) | {"ver": store_version(version)}
+                _key_fields(key) | {"ver": store_version(version)}
                 for key, version in call.expected
             ],
-            "puts": [_key(key) | {"value": _encode(text)} for key, text in call.puts],
-            "deletes": [_key(key) for key in call.deletes],
+            "puts": [
+                _key_fields(key) | {"value": _encode_value(text)}
+                for key, text in call.puts
+            ],
+            "deletes": [_key_fields(key) for key in call.deletes],
         }
         request = Request(
             "POST",
@@ -162,69 +180,72 @@
             json.dumps(body, separators=(",", ":")).encode(),
         )
         response = await self._client.call(request, timeout)
-        return _reply(response)
+        return _parse_reply(response)
 
 
 # -- Replies -----------------------------------------------------------------
 
 
-def _reply(response: Response) -> StoreReply:
-    if response.status not in _STATUSES:
-        return _failure(response)
-    body = json.loads(_plain(response)) if response.body else {}
-    era = _era(response)
+def _parse_reply(response: Response) -> StoreReply:
+    if response.status not in _STATUS_BY_HTTP_CODE:
+        return _failed_reply(response)
+    body = json.loads(_decompressed_body(response)) if response.body else {}
+    era = _parse_era(response)
     return StoreReply(
-        _STATUSES[response.status],
+        _STATUS_BY_HTTP_CODE[response.status],
         tuple(decode_rows(body, era)),
         make_version(era, body.get("ver", 0)),
-        _time(body),
+        _parse_time(body),
         era=era,
     )
 
 
-def _reply_of_host(response: Response) -> StoreReply:
-    """Read what another host tells: its versions hold their eras."""
-    if response.status not in _STATUSES:
-        return _failure(response)
-    body = json.loads(_plain(response))
+def _parse_relay_reply(response: Response) -> StoreReply:
+    """Parse the answer of a relay, whose versions include their eras."""
+    if response.status not in _STATUS_BY_HTTP_CODE:
+        return _failed_reply(response)
+    body = json.loads(_decompressed_body(response))
     rows = tuple(decode_rows(body))
     version = body["ver"]
-    whole = body.get(_WHOLE) is True
+    whole = body.get(_SNAPSHOT_FIELD) is True
     era = era_of(version)
-    status = _STATUSES[response.status]
+    status = _STATUS_BY_HTTP_CODE[response.status]
     return StoreReply(status, rows, version, is_snapshot=whole, era=era)
 
 
-def _era(response: Response) -> int:
-    """Return the store's era; 0 for one that tells of none."""
+def _parse_era(response: Response) -> int:
+    """Return the era of the store; 0 if the answer has no valid one."""
     text = response.header(_ERA_HEADER)
-    return int(text) if text.isdigit() and len(text) <= _ERA_DIGITS_MAX else 0
+    return int(text) if text.isdigit() and len(text) <= _MAX_ERA_DIGITS else 0
 
 
-def _plain(response: Response) -> bytes:
-    """Return an answer's body as it was before it was compressed.
+def _decompressed_body(response: Response) -> bytes:
+    """Return the body of an answer, decompressed if necessary.
 
-    Whatever a host sends, it takes no more memory than an answer of the store may.
+    Raises ValueError for a body above BODY_MAX, the limit for answers of the store, so
+    that an answer of another host can't exhaust memory.
     """
-    if response.coding != CODING:
+    if response.coding != _CONTENT_CODING:
         return response.body
-    unpacker = zlib.decompressobj()
-    body = unpacker.decompress(response.body, BODY_MAX)
-    if not unpacker.eof:
-        raise ValueError(f"a body of more than {BODY_MAX} bytes, or cut off")
+    decompressor = zlib.decompressobj()
+    body = decompressor.decompress(response.body, BODY_MAX)
+    if not decompressor.eof:
+        raise ValueError(
+            f"compressed body is truncated, or larger than {BODY_MAX} bytes"
+        )
     return body
 
 
 def decode_rows(body: dict[str, Any], era: int = 0) -> list[Row]:
-    """Return the rows of an answer; one that can't be read says so itself.
+    """Return the rows of an answer; a value that can't be decoded is `Unreadable`.
 
-    Their versions are those of an era; 0: they hold it already.
+    `era` is added to their versions. It is 0 if the versions include it already.
     """
     rows = []
     for item in body.get("rows", ()):
         table = TABLES_BY_NAME.get(item["table"])
         part = item.get("part", "")
-        if table is None or (part and table in _WITHOUT_PARTS):
+        if table is None or (part and table in _UNPARTITIONED_TABLES):
             continue
         key = RowKey(table, part, item["key"])
         if item.get("removed") or "value" not in item:
@@ -232,15 +253,18 @@
         else:
             encoded = item["value"] if isinstance(item["value"], str) else ""
             version = make_version(era, item["ver"])
-            rows.append(Row(key, version, _value(key, item["value"]), encoded))
+            rows.append(Row(key, version, _decode_value(key, item["value"]), encoded))
     return rows
 
 
-# -- What other hosts are told, in the form of the store's own answers ---------
+# -- Relaying rows to other hosts, in the form of the store's own answers -------
 
 
 def parse_watch(target: str) -> WatchRows | None:
-    """Read what another host waits for; None if it is not as `StoreClient` asks."""
+    """Parse a request of another host for changes.
+
+    Returns None if the request does not have the form that `StoreClient` sends.
+    """
     path, _, query = target.partition("?")
     fields = dict(parse_qsl(query))
     table = TABLES_BY_NAME.get(fields.get("table", ""))
@@ -253,72 +277,77 @@
 
 
 def _is_number(text: str) -> bool:
-    return text.isascii() and text.isdigit() and len(text) <= _DIGITS_MAX
+    return text.isascii() and text.isdigit() and len(text) <= _MAX_DIGITS
 
 
 def render_rows(reply: StoreReply, compressed: bool = False) -> Response:
-    """Return the answer that tells another host of rows."""
+    """Return the answer that sends rows to another host."""
     if reply.status is not StoreStatus.DONE:
-        return Response(_UNAVAILABLE)
-    rows = [_item(row) for row in reply.rows]
-    body = {"rows": rows, "ver": reply.version, _WHOLE: reply.is_snapshot}
+        return Response(_SERVICE_UNAVAILABLE)
+    rows = [_row_fields(row) for row in reply.rows]
+    body = {"rows": rows, "ver": reply.version, _SNAPSHOT_FIELD: reply.is_snapshot}
     data = json.dumps(body, separators=(",", ":")).encode()
-    if compressed and len(data) >= COMPRESSED_MIN:
-        return Response(200, zlib.compress(data, COMPRESSION_LEVEL), CODING)
+    if compressed and len(data) >= _MIN_COMPRESSED_BYTES:
+        return Response(200, zlib.compress(data, _COMPRESSION_LEVEL), _CONTENT_CODING)
     return Response(200, data)
 
 
-def accepts_compressed(request: Request) -> bool:
-    """Tell whether another host reads compressed answers; an older one may not."""
-    return CODING in request.header("accept-encoding")
+def accepts_compression(request: Request) -> bool:
+    """Return whether the host that sent a request can read compressed answers.
+
+    Hosts of an earlier version do not request them.
+    """
+    return _CONTENT_CODING in request.header("accept-encoding")
 
 
-def _item(row: Row) -> dict[str, Any]:
-    item = _key(row.key) | {"ver": row.version}
+def _row_fields(row: Row) -> dict[str, Any]:
+    item = _key_fields(row.key) | {"ver": row.version}
     if row.value is None:
         return item | {"removed": True}
     return item | {"value": row.encoded}
 
 
-def _failure(response: Response) -> StoreReply:
+def _failed_reply(response: Response) -> StoreReply:
     status = StoreStatus.UNKNOWN
-    if response.status in _REFUSALS:
+    if response.status in _NOT_DONE_HTTP_CODES:
         status = StoreStatus.REFUSED
-    return StoreReply(status, message=f"status {response.status}", era=_era(response))
+    return StoreReply(
+        status, message=f"HTTP status {response.status}", era=_parse_era(response)
+    )
 
 
-def _time(body: dict[str, Any]) -> float:
-    # The store's steady clock, no time of day.
+def _parse_time(body: dict[str, Any]) -> float:
+    # The monotonic clock of the store, not the time of day.
     return body.get("nowMs", 0) / 1000.0
 
 
-def _key(key: RowKey) -> dict[str, Any]:
+def _key_fields(key: RowKey) -> dict[str, Any]:
     return {"table": TABLE_NAMES[key.table], "part": key.part, "key": key.key}
 
 
-def _encode(text: str) -> str:
+def _encode_value(text: str) -> str:
     return base64.b64encode(text.encode()).decode()
 
 
-def _value(key: RowKey, text: Any) -> Any:
-    """Return a row's value; other rows are read on whatever one of them holds.
+def _decode_value(key: RowKey, text: Any) -> Any:
+    """Return the value of a row; `Unreadable` if it can't be decoded.
 
-    An error that left here would have the whole answer count as none. It would come
-    again each time that the rows are asked for, and this host learn of nothing more.
+    No error may leave this function: it would invalidate the whole answer, each time
+    that the rows are requested, and this host would receive no more changes.
     """
     try:
         data = base64.b64decode(text, validate=True)
     except (TypeError, ValueError):
-        return Unreadable("no base64")
+        return Unreadable("not valid base64")
     try:
-        return _decode(key, data)
+        return _decode_by_table(key, data)
     except DocumentError as error:
         return Unreadable(str(error))
     except UnicodeDecodeError:
-        return Unreadable("no UTF-8 text")
+        return Unreadable("not valid UTF-8")
 
 
-def _decode(key: RowKey, data: bytes) -> Any:
+def _decode_by_table(key: RowKey, data: bytes) -> Any:
     if key.table is Table.ENDPOINTS:
         return decode_endpoint_entry(key.key, data)
     if key.table is not Table.CONFIGURATION:
--- a/tests/platform/test_relays.py
+++ b/tests/platform/test_relays.py
@@ -1,4 +1,4 @@
-"""Calls of hosts that follow the store by way of this one, and their answers."""
+"""Test how a relay answers its followers."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from mallowpass.platform.store import (
     FEED_PATH,
     StoreClient,
-    accepts_compressed,
+    accepts_compression,
     parse_watch,
     render_rows,
 )
@@ -50,23 +50,23 @@
         "/v1/rows-feed?table=servers&after=\u0663&waitMs=1",
     ],
 )
-def test_what_is_no_call_for_changes(target):
+def test_malformed_request_for_changes_is_refused(target):
     assert parse_watch(target) is None
 
 
-def test_refusal_is_told():
+def test_refusal_is_sent_as_service_unavailable():
     reply = StoreReply(StoreStatus.REFUSED, message="stopping")
     assert render_rows(reply).status == 503
 
 
-def test_rows_that_could_not_be_read_are_passed_on_as_they_are():
+def test_unreadable_rows_are_relayed_unchanged():
     key = RowKey(Table.ENDPOINTS, "", "db")
     reply = StoreReply(StoreStatus.DONE, (Row(key, 3, Unreadable("no"), "!!"),), 3)
     (item,) = json.loads(render_rows(reply).body)["rows"]
     assert item["value"] == "!!"
 
 
-async def _play(reply: StoreReply, port: int) -> tuple[FeedAsked, StoreReply]:
+async def _exchange(reply: StoreReply, port: int) -> tuple[FeedAsked, StoreReply]:
     asked = []
 
     def sink(event: FeedAsked) -> None:
@@ -82,14 +82,14 @@
     return asked[0], answer
 
 
-def test_rows_arrive_as_they_were_told(free_port):
+def test_rows_arrive_unchanged(free_port):
     sent = StoreReply(StoreStatus.DONE, ROWS, 11, is_snapshot=True)
-    asked, answer = asyncio.run(_play(sent, free_port))
+    asked, answer = asyncio.run(_exchange(sent, free_port))
     assert (asked.table, asked.after, asked.wait) == (Table.HOSTS, 7, 0.2)
     assert answer == sent
 
 
-def _many(count: int) -> StoreReply:
+def _reply_with_rows(count: int) -> StoreReply:
     rows = tuple(
         Row(RowKey(Table.HOSTS, "", f"host-{i}"), i, "casa - 1", "Y2FzYSAtIDE=")
         for i in range(1, count)
@@ -97,26 +97,26 @@
     return StoreReply(StoreStatus.DONE, rows, count, is_snapshot=True)
 
 
-def test_many_rows_arrive_compressed(free_port):
-    """Symptom: relays of a large fleet send more than their links take.
+def test_many_rows_are_compressed(free_port):
+    """Guard against relays that exceed their network bandwidth.
 
-    Sequence: hundreds of endpoints enter themselves, or half of the hosts start again.
-    Cause: each follower was sent all rows, which are much alike, at full length.
+    When hundreds of endpoints register, or half of the hosts restart, each follower of
+    a relay requests all rows. The rows are similar, but were sent uncompressed.
     """
-    sent = _many(300)
-    _, answer = asyncio.run(_play(sent, free_port))
+    sent = _reply_with_rows(300)
+    _, answer = asyncio.run(_exchange(sent, free_port))
     assert answer == sent
     plain, compressed = render_rows(sent), render_rows(sent, compressed=True)
     assert len(compressed.body) < len(plain.body) / 5
 
 
-def test_a_host_that_does_not_ask_for_it_gets_nothing_compressed():
-    """One that is older would take each answer for none."""
+def test_answer_is_compressed_only_on_request():
+    """Guard against hosts of an earlier version that can't read any answer."""
     old = Request("GET", "/v1/rows-feed?table=servers&after=1&waitMs=1")
-    assert not accepts_compressed(old)
+    assert not accepts_compression(old)
     headers = (("accept-encoding", "deflate"),)
-    assert accepts_compressed(Request("GET", old.target, headers))
-    assert json.loads(render_rows(_many(300)).body)["ver"] == 300
+    assert accepts_compression(Request("GET", old.target, headers))
+    assert json.loads(render_rows(_reply_with_rows(300)).body)["ver"] == 300
 
 
 @pytest.mark.parametrize(
@@ -128,28 +128,28 @@
         zlib.compress(b"no JSON"),
     ],
 )
-def test_a_compressed_answer_that_can_not_be_read(free_port, body):
-    async def play() -> StoreReply:
+def test_invalid_compressed_answer_is_unknown(free_port, body):
+    async def exchange() -> StoreReply:
         response = Response(200, body, "deflate")
         server = HttpServer({FEED_PATH: lambda request: response})
         address = Address("127.0.0.1", free_port)
         await server.start(address)
-        answer = await StoreClient(address, of_host=True).call(WATCH, 5.0)
+        answer = await StoreClient(address, is_relay=True).call(WATCH, 5.0)
         server.close()
         return answer
 
-    answer = asyncio.run(play())
+    answer = asyncio.run(exchange())
     assert answer.status is StoreStatus.UNKNOWN
     assert answer.rows == ()
 
 
-def test_relay_that_refuses(free_port):
+def test_call_to_a_refusing_relay_is_refused(free_port):
     sent = StoreReply(StoreStatus.REFUSED)
-    _, answer = asyncio.run(_play(sent, free_port))
+    _, answer = asyncio.run(_exchange(sent, free_port))
     assert answer.status is StoreStatus.REFUSED
 
 
-def test_relay_that_is_not_there(free_port):
+def test_call_to_an_unreachable_relay_is_refused(free_port):
     clients = RelayClients(Address("127.0.0.1", free_port))
     call = clients.client("127.0.0.1:1").call(WATCH, 1.0)
     assert asyncio.run(call).status is StoreStatus.REFUSED
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Rows of the store as they arrive: one that can't be read costs no other."""
+"""Test decoding of rows: a row that can't be decoded does not affect other rows."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from mallowpass.platform.store import TABLE_NAMES, decode_rows
 from tests.platform.test_documents import CONFIGURATION, ENTRY
 
-GOOD = {
+VALID_ROWS = {
     Table.CONFIGURATION: ("config", json.dumps(CONFIGURATION).encode()),
     Table.ENDPOINTS: ("i-1", json.dumps(ENTRY).encode()),
     Table.HOSTS: ("host-1", b"casa 10.0.0.1:7440 1"),
@@ -43,13 +43,13 @@
 
 @pytest.mark.parametrize("table", Table)
 @given(data=st.binary())
-def test_any_bytes_cost_no_other_row(table, data):
-    """Symptom: a host learns of nothing more.
+def test_any_bytes_in_a_row_do_not_affect_other_rows(table, data):
+    """Guard against a host that receives no more changes.
 
-    Sequence: another writer puts bytes into one row. Cause: the whole answer counts as
-    unreadable, each time that it is asked for.
+    Another program writes arbitrary bytes to one row. If that row made the whole answer
+    invalid, every later answer would be invalid too.
     """
-    key, good = GOOD[table]
+    key, good = VALID_ROWS[table]
     rows = _decode(
         _item(table, key, good), _item(table, "other", data), _item(table, key, good)
     )
@@ -59,35 +59,35 @@
 
 
 @pytest.mark.parametrize("text", ["é", "AAA", "!", 7, None, ["AA=="]])
-def test_value_that_is_no_base64(text):
-    good = _item(Table.ENDPOINTS, *GOOD[Table.ENDPOINTS])
+def test_invalid_base64_is_unreadable(text):
+    good = _item(Table.ENDPOINTS, *VALID_ROWS[Table.ENDPOINTS])
     rows = _decode(_item(Table.ENDPOINTS, "i-0", "") | {"value": text}, good)
     assert isinstance(rows[0].value, Unreadable)
     assert _readable(rows) == ["i-1"]
 
 
-def test_good_version_after_an_unreadable_one():
+def test_valid_row_after_an_unreadable_one_is_decoded():
     bad = _item(Table.ENDPOINTS, "i-1", b"{")
-    good = _item(Table.ENDPOINTS, "i-1", GOOD[Table.ENDPOINTS][1])
+    good = _item(Table.ENDPOINTS, "i-1", VALID_ROWS[Table.ENDPOINTS][1])
     rows = _decode(bad, good)
     assert isinstance(rows[0].value, Unreadable)
     assert isinstance(rows[1].value, EndpointEntry)
 
 
-def test_rows_in_other_parts_are_no_entries():
-    """Symptom: an endpoint vanishes. Sequence: its name is written in another part."""
+def test_rows_in_other_parts_are_ignored():
+    """Guard against an entry that is replaced by a row of its name in another part."""
     for table in (Table.ENDPOINTS, Table.CONFIGURATION):
-        assert _decode(_item(table, *GOOD[table], part="x")) == []
+        assert _decode(_item(table, *VALID_ROWS[table], part="x")) == []
 
 
-def test_reason_tells_the_field():
+def test_reason_contains_field_and_value():
     value = json.dumps(ENTRY | {"state": "zombie"}).encode()
     (row,) = _decode(_item(Table.ENDPOINTS, "i-1", value))
     assert "state" in row.value.reason and "zombie" in row.value.reason
 
 
 @given(st.text())
-def test_any_text_of_a_host(text):
+def test_any_text_in_a_host_row_raises_no_other_error(text):
     try:
         host = HostRow.decode("host-1", text)
     except ValueError:
@@ -96,12 +96,12 @@
 
 
 @given(st.text() | st.from_regex(r"\S+ \S+ \S+ \S+", fullmatch=True))
-def test_any_text_of_a_claim(text):
+def test_any_text_in_a_claim_raises_no_other_error(text):
     with contextlib.suppress(ValueError):
         Claim.decode(text)
 
 
 @pytest.mark.parametrize("capacity", ["nan", "inf", "-1", "0", "1e999"])
-def test_capacity_that_is_none(capacity):
+def test_invalid_capacity_is_refused(capacity):
     with pytest.raises(ValueError, match="capacity"):
         HostRow.decode("host-1", f"casa 10.0.0.1:7440 {capacity}")
--- a/tests/platform/test_store_eras.py
+++ b/tests/platform/test_store_eras.py
@@ -1,4 +1,4 @@
-"""Versions and eras of the store on their way between it and hosts."""
+"""Test versions and eras in answers of the store and of hosts that relay them."""
 
 from __future__ import annotations
 
@@ -25,7 +25,12 @@
 from mallowpass.core.timers import TimerService
 from mallowpass.platform.http import Response
 from mallowpass.platform.settings import Address
-from mallowpass.platform.store import StoreClient, _reply, _reply_of_host, render_rows
+from mallowpass.platform.store import (
+    StoreClient,
+    _parse_relay_reply,
+    _parse_reply,
+    render_rows,
+)
 from mallowpass.standins.proxied.httpserver import StoreServer
 from mallowpass.standins.proxied.rows import RowStore
 
@@ -48,32 +53,34 @@
     ("value", "era"), [(b"4", 4), (b"", 0), (b"x", 0), (b"-1", 0), (b"99999", 0)]
 )
 def test_era_is_read_from_each_answer(value, era):
-    reply = _reply(_answer(((b"store-era", value),)))
+    reply = _parse_reply(_answer(((b"store-era", value),)))
     assert reply.era == era
     assert reply.version == make_version(era, 9)
     assert reply.rows[0].version == make_version(era, 7)
 
 
-def test_answer_of_a_store_without_eras_is_read_as_before():
-    reply = _reply(_answer(()))
+def test_answer_of_a_store_without_eras_has_era_zero():
+    reply = _parse_reply(_answer(()))
     assert (reply.era, reply.version, reply.rows[0].version) == (0, 9, 7)
 
 
-def test_refusal_tells_its_era_too():
-    assert _reply(_answer(((b"store-era", b"4"),), status=503)).era == 4
+def test_era_is_read_from_a_refusal():
+    assert _parse_reply(_answer(((b"store-era", b"4"),), status=503)).era == 4
 
 
-def test_hosts_tell_each_other_versions_with_their_eras():
+def test_relayed_versions_include_their_eras():
     version = make_version(3, 7)
     reply = StoreReply(
         StoreStatus.DONE, (Row(KEY, version, "a", "YQ=="),), make_version(3, 9)
     )
-    told = _reply_of_host(render_rows(reply))
-    assert (told.era, told.version) == (3, make_version(3, 9))
-    assert told.rows[0].version == version
+    relayed = _parse_relay_reply(render_rows(reply))
+    assert (relayed.era, relayed.version) == (3, make_version(3, 9))
+    assert relayed.rows[0].version == version
 
 
-async def _play(store: RowStore, timers: TimerService, port: int) -> None:
+async def _check_restored_store(
+    store: RowStore, timers: TimerService, port: int
+) -> None:
     async def run_timers() -> None:
         while True:
             timers.advance(time.monotonic())
@@ -101,9 +108,11 @@
     task.cancel()
 
 
-def test_calls_to_a_store_that_comes_back_from_a_copy():
+def test_calls_to_a_store_restored_from_a_copy():
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         port = sock.getsockname()[1]
     timers = TimerService(time.monotonic())
-    asyncio.run(asyncio.wait_for(_play(RowStore(timers), timers, port), 5.0))
+    asyncio.run(
+        asyncio.wait_for(_check_restored_store(RowStore(timers), timers, port), 5.0)
+    )
