--- a/mallowpass/platform/allowances.py
+++ b/mallowpass/platform/allowances.py
@@ -1,8 +1,10 @@
-"""Asking the keepers of rate limits among hosts, and answering other hosts.
+"""Requests between hosts for allowances, which are operations within a rate limit.
 
-One connection between two hosts carries all questions: `ASK number part customer needed
-ahead` is answered with `GRANT number operations pause`, in milliseconds, or with `NONE
-number`.
+Rate limits are divided into parts, and each part is kept by one host, its keeper. All
+requests of one host to another share a connection. `ASK number part customer needed
+ahead` is answered with `GRANT number operations pause`, the pause in milliseconds, or
+with `NONE number` by a host that does not keep the part. `needed` counts the operations
+that wait, `ahead` those that may be granted beyond them.
 """
 
 from __future__ import annotations
@@ -20,35 +22,36 @@
 
 __all__ = ["AllowanceClients", "AllowanceServer"]
 
-BACKLOG = 256  # connections that wait to be accepted, as when all hosts come at once
-CONNECT_TIMEOUT = 0.45  # seconds: no question waits for longer
-NO_CUSTOMER = "-"
-_NUMBER_MAX = 2**53
+BACKLOG = 256  # connections waiting to be accepted: all hosts may connect at once
+CONNECT_TIMEOUT = 0.45  # seconds; no operation waits longer for an allowance
+NO_CUSTOMER = "-"  # in a request that only tests whether the keeper answers
+_MAX_NUMBER = 2**53
 
 
 class AllowanceServer(LineServer):
-    """Take other hosts' questions."""
+    """Accept requests of other hosts, and report them as events."""
 
-    __slots__ = ("_asks", "_ask_numbers")
+    __slots__ = ("_request_numbers", "_requests")
 
     def __init__(self, sink: EventSink) -> None:
-        super().__init__(_Asker, BACKLOG, sink)
-        self._ask_numbers = itertools.count(1)
-        self._asks: dict[int, tuple[int, int]] = {}  # connection, and number there
+        super().__init__(_RequestConnection, BACKLOG, sink)
+        self._request_numbers = itertools.count(1)
+        # Connection of each request, and the number of the request on it.
+        self._requests: dict[int, tuple[int, int]] = {}
 
     def _make(self) -> LineProtocol:
         connection = super()._make()
-        connection.register = self._register
+        connection.register_request = self._register_request
         return connection
 
-    def _register(self, connection: int, number: int) -> int:
-        ask = next(self._ask_numbers)
-        self._asks[ask] = (connection, number)
-        return ask
+    def _register_request(self, connection: int, number: int) -> int:
+        request = next(self._request_numbers)
+        self._requests[request] = (connection, number)
+        return request
 
     def answer(self, effect: AnswerAllowance) -> None:
-        """Answer a question; whoever is gone gets nothing."""
-        connection, number = self._asks.pop(effect.ask)
+        """Answer a request, unless the connection that it came on is closed."""
+        connection, number = self._requests.pop(effect.ask)
         if effect.operations is None:
             line = f"NONE {number}\r\n"
         else:
@@ -57,45 +60,47 @@
         self._write(connection, wire.encode(line))
 
 
-class _Asker(LineProtocol):
-    """Hold the connection of a host that asks."""
+class _RequestConnection(LineProtocol):
+    """A connection on which another host sends requests."""
 
-    __slots__ = ("register",)
+    __slots__ = ("register_request",)
 
     def data_received(self, data: bytes) -> None:
         try:
             for line in self._lines.feed(data):
-                self._take(wire.decode(line))
+                self._on_line(wire.decode(line))
         except wire.WireError:
             self.transport.close()
 
     def connection_lost(self, error: Exception | None) -> None:
         self._connections.pop(self._number, None)
 
-    def _take(self, line: str) -> None:
+    def _on_line(self, line: str) -> None:
         words = line.split(" ")
         if len(words) != 6 or words[0] != "ASK":
-            raise wire.WireError("no question for an allowance")
-        number, part, needed, ahead = map(_whole, (words[1], words[2], *words[4:]))
+            raise wire.WireError("malformed ASK request")
+        number, part, needed, ahead = map(
+            _parse_number, (words[1], words[2], *words[4:])
+        )
         customer = "" if words[3] == NO_CUSTOMER else words[3]
-        ask = self.register(self._number, number)
-        self._sink(AllowanceAsked(ask, part, customer, needed, ahead))
+        request = self.register_request(self._number, number)
+        self._sink(AllowanceAsked(request, part, customer, needed, ahead))
 
 
 class AllowanceClients:
-    """Ask keepers, by one connection to each."""
+    """Send requests to keepers, on one connection to each."""
 
-    __slots__ = ("_clients", "_own", "_sink", "_tasks")
+    __slots__ = ("_clients", "_own_address", "_sink", "_tasks")
 
-    def __init__(self, own: Address | None, sink: EventSink) -> None:
-        self._own = own
+    def __init__(self, own_address: Address | None, sink: EventSink) -> None:
+        self._own_address = own_address
         self._sink = sink
         self._clients: dict[str, _Client] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     def ask(self, effect: AskAllowance) -> None:
-        """Send a question; an event tells the answer, or that there is none."""
-        if self._own is None:
+        """Send a request; AllowanceAnswered follows, also if there is no answer."""
+        if self._own_address is None:
             self._sink(AllowanceAnswered(effect.call, None))
             return
         client = self._clients.get(effect.address)
@@ -106,7 +111,7 @@
 
     def _open(self, client: _Client, address: str) -> None:
         loop = asyncio.get_running_loop()
-        task = loop.create_task(client.open(address, self._own.port))
+        task = loop.create_task(client.open(address, self._own_address.port))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -119,20 +124,20 @@
 
 
 class _Client(asyncio.Protocol):
-    """Hold the connection to one keeper, and what it was asked."""
+    """The connection to one keeper, and the requests that have no answer yet."""
 
-    __slots__ = ("_asked", "_lines", "_sink", "_transport", "_unsent", "is_closed")
+    __slots__ = ("_lines", "_pending", "_sink", "_transport", "_unsent", "is_closed")
 
     def __init__(self, sink: EventSink) -> None:
         self._sink = sink
         self._lines = wire.LineBuffer()
         self._transport: asyncio.Transport | None = None
         self._unsent: list[bytes] = []
-        self._asked: set[int] = set()
+        self._pending: set[int] = set()
         self.is_closed = False
 
     async def open(self, address: str, port: int) -> None:
-        """Connect to a host; what was asked meanwhile is sent then."""
+        """Connect to a keeper, and send the requests made in the meantime."""
         loop = asyncio.get_running_loop()
         try:
             # Ports are the same on all hosts.
@@ -140,27 +145,27 @@
             async with asyncio.timeout(CONNECT_TIMEOUT):
                 await loop.create_connection(lambda: self, host, port)
         except (OSError, SettingsError, ValueError):
-            # ValueError: a host's name that no socket takes.
+            # ValueError: a host name that sockets do not accept.
             self.close()
 
     def ask(self, effect: AskAllowance) -> None:
-        """Send a question, or keep it until the connection is open."""
+        """Send a request, or keep it until the connection is open."""
         customer = effect.customer or NO_CUSTOMER
         words = (effect.call, effect.part, customer, effect.needed, effect.ahead)
         line = wire.encode(f"ASK {' '.join(map(str, words))}\r\n")
-        self._asked.add(effect.call)
+        self._pending.add(effect.call)
         if self._transport is None:
             self._unsent.append(line)
         else:
             self._transport.write(line)
 
     def close(self) -> None:
-        """Close; whatever has no answer gets none."""
+        """Close the connection, and report its pending requests as unanswered."""
         self.is_closed = True
         if self._transport is not None:
             self._transport.abort()
-        asked, self._asked = self._asked, set()
-        for call in asked:
+        pending, self._pending = self._pending, set()
+        for call in pending:
             self._sink(AllowanceAnswered(call, None))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -179,25 +184,25 @@
     def data_received(self, data: bytes) -> None:
         try:
             for line in self._lines.feed(data):
-                self._take(wire.decode(line))
+                self._on_line(wire.decode(line))
         except wire.WireError:
             self.close()
 
-    def _take(self, line: str) -> None:
+    def _on_line(self, line: str) -> None:
         words = line.split(" ")
         if len(words) == 4 and words[0] == "GRANT":
-            call, operations, pause = map(_whole, words[1:])
+            call, operations, pause = map(_parse_number, words[1:])
         elif len(words) == 2 and words[0] == "NONE":
-            call, operations, pause = _whole(words[1]), None, 0
+            call, operations, pause = _parse_number(words[1]), None, 0
         else:
-            raise wire.WireError("no answer of a keeper")
-        if call in self._asked:
-            self._asked.discard(call)
+            raise wire.WireError("malformed answer of a keeper")
+        if call in self._pending:
+            self._pending.discard(call)
             self._sink(AllowanceAnswered(call, operations, pause / 1000.0))
 
 
-def _whole(word: str) -> int:
+def _parse_number(word: str) -> int:
     is_number = word.isascii() and word.isdigit()
-    if not is_number or int(word[:20]) > _NUMBER_MAX:
-        raise wire.WireError(f"no number: {word[:40]!r}")
+    if not is_number or int(word[:20]) > _MAX_NUMBER:
+        raise wire.WireError(f"not an integer up to 2**53: {word[:40]!r}")
     return int(word)
--- a/mallowpass/platform/endpoints.py
+++ b/mallowpass/platform/endpoints.py
@@ -1,4 +1,7 @@
-"""Connections to endpoints: calls out, whole replies in."""
+"""Connections to endpoints: sending calls and receiving replies.
+
+An endpoint may be reached through another host, which speaks the same protocol.
+"""
 
 from __future__ import annotations
 
@@ -29,22 +32,25 @@
 
 __all__ = ["EndpointConnections"]
 
-_STATUS_STATEMENTS = (Status, Pause, Resume, Demote)
+_STATUS_STATEMENTS = (Status, Pause, Resume, Demote)  # answered with a status row
 
 
 class EndpointConnections:
-    """Open connections, and send calls on them."""
+    """Open connections to endpoints, send calls, and report replies as events."""
 
-    __slots__ = ("_connections", "_name", "_opening", "_sink")
+    __slots__ = ("_connections", "_host_name", "_opening", "_sink")
 
-    def __init__(self, name: str, sink: EventSink) -> None:
-        self._name = name
+    def __init__(self, host_name: str, sink: EventSink) -> None:
+        self._host_name = host_name
         self._sink = sink
         self._connections: dict[int, _Connection] = {}
         self._opening: dict[int, asyncio.Task[None]] = {}
 
     def open(self, effect: OpenConnection) -> None:
-        """Start to open a connection; an event tells how it ended."""
+        """Start opening a connection.
+
+        Either ConnectionReady or ConnectionRefused follows, unless `close` is called.
+        """
         task = asyncio.get_running_loop().create_task(self._open(effect))
         self._opening[effect.connection] = task
 
@@ -55,7 +61,7 @@
             connection.send(effect)
 
     def close(self, number: int) -> None:
-        """Close a connection; no event of it follows."""
+        """Close a connection, or stop opening it; no further event follows."""
         task = self._opening.pop(number, None)
         if task is not None:
             task.cancel()
@@ -65,7 +71,7 @@
 
     async def _open(self, effect: OpenConnection) -> None:
         number = effect.connection
-        connection = _Connection(effect, self._name, self._sink, self._connections)
+        connection = _Connection(effect, self._host_name, self._sink, self._connections)
         try:
             async with asyncio.timeout(effect.timeout):
                 address = Address.parse(effect.address)
@@ -73,16 +79,17 @@
                 await loop.create_connection(
                     lambda: connection, address.host, address.port
                 )
-                await connection.accepted
+                await connection.handshake
         except TimeoutError:
             connection.close()
-            self._refuse(number, "no answer in time")
+            self._report_unreachable(number, "no answer in time")
             return
         except (OSError, SettingsError, ValueError) as error:
-            # ValueError: a host's name that no socket takes. Uncaught, the attempt
-            # would count as going on, and few may go on at once.
+            # ValueError: a host name that sockets do not accept. If the error were not
+            # caught, the attempt would count as in progress forever, and the number
+            # of concurrent attempts is limited.
             connection.close()
-            self._refuse(number, str(error))
+            self._report_unreachable(number, str(error))
             return
         except asyncio.CancelledError:
             connection.close()
@@ -95,33 +102,35 @@
             self._sink(refusal)
             return
         if connection.is_closed:
-            self._refuse(number, "closed at once")
+            self._report_unreachable(
+                number, "connection closed right after it was accepted"
+            )
             return
         self._connections[number] = connection
         self._sink(ConnectionReady(number, connection.position, connection.floor))
 
-    def _refuse(self, number: int, why: str) -> None:
+    def _report_unreachable(self, number: int, why: str) -> None:
         self._sink(ConnectionRefused(number, Code.OTHER, why, unreachable=True))
 
 
 class _Connection(asyncio.Protocol):
-    """Hold one connection to an endpoint."""
+    """A connection to an endpoint."""
 
     __slots__ = (
         "_closed",
         "_code",
         "_connections",
         "_effect",
-        "_expected",
+        "_expects_status",
         "_lines",
         "_message",
-        "_name",
+        "_host_name",
         "_rows",
         "_signature",
         "_sink",
         "_transport",
-        "accepted",
         "floor",
+        "handshake",
         "position",
         "refusal",
     )
@@ -129,25 +138,27 @@
     def __init__(
         self,
         effect: OpenConnection,
-        name: str,
+        host_name: str,
         sink: EventSink,
         connections: dict[int, _Connection],
     ) -> None:
         self._effect = effect
-        self._name = name
+        self._host_name = host_name
         self._sink = sink
         self._connections = connections
         self._lines = wire.LineBuffer()
         self._transport: asyncio.Transport | None = None
         self._closed = False
-        self._expected: deque[bool] = deque()  # whether a status is the answer
-        self.accepted = asyncio.get_running_loop().create_future()
+        # For each pending call, oldest first: whether a status row is the reply.
+        self._expects_status: deque[bool] = deque()
+        # Done once the endpoint has accepted or refused the connection.
+        self.handshake = asyncio.get_running_loop().create_future()
         self.position: LogPosition | None = None
         self.floor: FloorHint | None = None
         self.refusal: ConnectionRefused | None = None
-        self._clear()
+        self._clear_reply()
 
-    def _clear(self) -> None:
+    def _clear_reply(self) -> None:
         self._rows: list[bytes] = []
         self._code: Code | None = None
         self._signature = ""
@@ -155,17 +166,17 @@
 
     @property
     def is_closed(self) -> bool:
-        """Tell whether it was closed, by whichever side."""
+        """Return whether either side has closed the connection."""
         return self._closed
 
     def send(self, effect: SendCalls) -> None:
         """Send calls in one write."""
         for call in effect.calls:
-            self._expected.append(isinstance(call.statement, _STATUS_STATEMENTS))
+            self._expects_status.append(isinstance(call.statement, _STATUS_STATEMENTS))
         self._transport.write(b"".join(map(wire.render_call, effect.calls)))
 
     def close(self) -> None:
-        """Close without a further event."""
+        """Close the connection; no further event follows."""
         self._closed = True
         if self._transport is not None:
             self._transport.abort()
@@ -177,7 +188,7 @@
             return
         watch_peer(transport)
         effect = self._effect
-        caller = self._name if effect.customer is None else effect.customer
+        caller = self._host_name if effect.customer is None else effect.customer
         line = f"CONNECT {effect.service} {caller} {effect.endpoint}\r\n"
         self._transport.write(wire.encode(line))
 
@@ -186,29 +197,29 @@
             for line in self._lines.feed(data):
                 if self._closed:
                     return
-                self._take(line)
+                self._on_line(line)
         except (wire.WireError, ValueError, IndexError) as error:
-            self._lose(f"an answer that can't be read: {error}")
+            self._fail(f"invalid reply: {error}")
 
     def connection_lost(self, error: Exception | None) -> None:
-        self._lose(str(error) if error else "closed by the endpoint")
+        self._fail(str(error) if error else "connection closed by the endpoint")
 
-    def _lose(self, why: str) -> None:
+    def _fail(self, why: str) -> None:
         if self._closed:
             return
         self.close()
         number = self._effect.connection
-        if not self.accepted.done():
-            self._refuse(Code.OTHER, why, unreachable=True)
+        if not self.handshake.done():
+            self._set_refusal(Code.OTHER, why, unreachable=True)
         elif self._connections.pop(number, None) is not None:
             self._sink(ConnectionLost(number, why))
 
-    def _refuse(self, code: Code, why: str, unreachable: bool = False) -> None:
+    def _set_refusal(self, code: Code, why: str, unreachable: bool = False) -> None:
         number = self._effect.connection
         self.refusal = ConnectionRefused(number, code, why, unreachable)
-        self.accepted.set_result(None)
+        self.handshake.set_result(None)
 
-    def _take(self, line: bytes) -> None:
+    def _on_line(self, line: bytes) -> None:
         word, _, rest = line.partition(b" ")
         if word == b"ROW":
             self._rows.append(rest)
@@ -216,30 +227,30 @@
             self._code = Code.DONE
             self._signature = wire.decode(rest)
         elif word == b"ERR":
-            self._take_error(wire.decode(rest))
+            self._on_error_line(wire.decode(rest))
         elif word == b"READY":
-            self._take_ready(wire.decode(rest))
+            self._on_ready_line(wire.decode(rest))
         else:
-            raise wire.WireError(f"not expected: {word[:40]!r}")
+            raise wire.WireError(f"unexpected keyword: {word[:40]!r}")
 
-    def _take_error(self, rest: str) -> None:
+    def _on_error_line(self, rest: str) -> None:
         code, _, self._message = rest.partition(" ")
         self._code = wire.code_of(code)
-        if not self.accepted.done():
-            self._refuse(self._code, f"{code} {self._message}")
+        if not self.handshake.done():
+            self._set_refusal(self._code, f"{code} {self._message}")
 
-    def _take_ready(self, rest: str) -> None:
+    def _on_ready_line(self, rest: str) -> None:
         words = rest.split(" ")
-        state, where = words[0], wire.parse_position(words[1])
-        if not self.accepted.done():
-            self.position = where
+        state, position = words[0], wire.parse_position(words[1])
+        if not self.handshake.done():
+            self.position = position
             self.floor = wire.parse_floor(words[2:])
-            self.accepted.set_result(None)
+            self.handshake.set_result(None)
             return
-        if self._code is None or not self._expected:
-            raise wire.WireError("an answer to nothing")
+        if self._code is None or not self._expects_status:
+            raise wire.WireError("reply without a pending call")
         status = None
-        if self._expected.popleft() and self._code is Code.DONE and self._rows:
+        if self._expects_status.popleft() and self._code is Code.DONE and self._rows:
             status = wire.parse_status(self._rows[0])
         reply = EndpointReply(
             code=self._code,
@@ -247,9 +258,9 @@
             signature=self._signature,
             message=self._message,
             state=wire.parse_state(state),
-            position=where,
+            position=position,
             status=status,
             floor=wire.parse_floor(words[2:]),
         )
-        self._clear()
+        self._clear_reply()
         self._sink(EndpointAnswered(self._effect.connection, reply))
--- a/mallowpass/platform/links.py
+++ b/mallowpass/platform/links.py
@@ -1,8 +1,8 @@
-"""Connections of other hosts, served as by an endpoint: calls in, replies out.
+"""Links: connections on which other hosts send calls for an endpoint to this host.
 
-Hosts speak the endpoints' own protocol with each other. So a host reaches an endpoint
-directly or by way of another host with the same code, and a further protocol, with its
-library's memory on every host, is not needed.
+Hosts speak the protocol of endpoints with each other. The same code therefore reaches
+an endpoint directly or through another host, and no library of another protocol takes
+up memory on every host.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 __all__ = ["LinkServer"]
 
-BACKLOG = 256  # connections that wait to be accepted, as when all hosts come at once
+BACKLOG = 256  # connections waiting to be accepted: all hosts may connect at once
 
 
 class LinkServer(LineServer):
-    """Accept other hosts, and pass on what they send."""
+    """Accept links of other hosts, and report their calls as events."""
 
     __slots__ = ()
 
@@ -34,22 +34,22 @@
     def accept(
         self, number: int, position: LogPosition | None, floor: FloorHint | None
     ) -> None:
-        """Tell a host that it is served."""
+        """Confirm to a host that its link is open."""
         self._write(number, wire.render_ready(SessionState.IDLE, position, floor))
 
     def answer(self, number: int, reply: EndpointReply) -> None:
-        """Answer a call."""
+        """Send the reply to the oldest call on a link that has none yet."""
         self._write(number, wire.render_reply(reply))
 
 
 class _Link(LineProtocol):
-    """Hold one link."""
+    """A link of another host."""
 
     __slots__ = ()
 
     def data_received(self, data: bytes) -> None:
         try:
-            self._take(self._lines.feed(data))
+            self._on_lines(self._lines.feed(data))
         except wire.WireError as error:
             self.transport.write(wire.render_error(Code.MALFORMED, str(error)))
             self.transport.close()
@@ -59,7 +59,7 @@
         if self._open:
             self._sink(LinkClosed(self._number))
 
-    def _take(self, lines: list[bytes]) -> None:
+    def _on_lines(self, lines: list[bytes]) -> None:
         calls = []
         for line in lines:
             word, _, rest = wire.decode(line).partition(" ")
@@ -67,16 +67,16 @@
                 request_id, _, text = rest.partition(" ")
                 calls.append(wire.parse_call(request_id, text))
             elif word == "CONNECT" and not self._open:
-                self._connect(rest)
+                self._on_connect(rest)
             else:
-                raise wire.WireError(f"not expected here: {word[:40]!r}")
+                raise wire.WireError(f"unexpected keyword: {word[:40]!r}")
         if calls:
             self._sink(LinkCalled(self._number, tuple(calls)))
 
-    def _connect(self, rest: str) -> None:
+    def _on_connect(self, rest: str) -> None:
         fields = rest.split(" ")
         if len(fields) != 3:
-            raise wire.WireError("a link names a service, a host and an endpoint")
+            raise wire.WireError("CONNECT requires a service, a host and an endpoint")
         self._open = True
         service, host, endpoint = fields
         self._sink(LinkOpened(self._number, host, service, endpoint))
--- a/mallowpass/platform/promotions.py
+++ b/mallowpass/platform/promotions.py
@@ -1,4 +1,7 @@
-"""Orders to the platform that one host at a time may give: promotions."""
+"""Ordering promotions from the platform.
+
+Only the holder of the lease may order one; the platform checks its fencing token.
+"""
 
 from __future__ import annotations
 
@@ -11,23 +14,27 @@
 
 __all__ = ["PromotionClient"]
 
-_REFUSED_FOR_NOW = frozenset({429, 503})
+# Too Many Requests and Service Unavailable: the order was refused for the moment.
+_RETRYABLE_HTTP_CODES = frozenset({429, 503})
 
 
 class PromotionClient:
-    """Give orders under this host's name."""
+    """Order promotions in the name of this host."""
 
-    __slots__ = ("_client", "_name")
+    __slots__ = ("_client", "_host_name")
 
-    def __init__(self, address: Address, name: str) -> None:
+    def __init__(self, address: Address, host_name: str) -> None:
         self._client = HttpClient(address)
-        self._name = name
+        self._host_name = host_name
 
     async def promote(self, order: OrderPromotion) -> PromotionAnswered:
-        """Order a promotion, and tell what the platform answered."""
+        """Order a promotion, and return the answer of the platform.
+
+        `accepted` of the answer is None if the order may have been carried out.
+        """
         headers = (
             ("Content-Type", "application/json"),
-            ("Mallowpass-Lease-Holder", self._name),
+            ("Mallowpass-Lease-Holder", self._host_name),
             ("Mallowpass-Fencing-Token", str(order.fencing_token)),
         )
         body = json.dumps({"service": order.service, "id": order.endpoint}).encode()
@@ -37,12 +44,14 @@
         except HttpError as error:
             accepted = None if error.sent else False
             return PromotionAnswered(order.call, accepted, message=str(error))
-        message = f"status {response.status} {response.body[:200].decode('latin-1')}"
+        message = (
+            f"HTTP status {response.status} {response.body[:200].decode('latin-1')}"
+        )
         if response.status == 200:
             return PromotionAnswered(order.call, True)
         if response.status == 409:
-            # Either a newer token was seen, or the endpoint is not running.
+            # The platform has seen a newer token, or the endpoint is not running.
             return PromotionAnswered(order.call, False, outdated=True, message=message)
-        if response.status in _REFUSED_FOR_NOW or 400 <= response.status < 500:
+        if response.status in _RETRYABLE_HTTP_CODES or 400 <= response.status < 500:
             return PromotionAnswered(order.call, False, message=message)
         return PromotionAnswered(order.call, None, message=message)
--- a/tests/platform/test_allowances.py
+++ b/tests/platform/test_allowances.py
@@ -1,4 +1,4 @@
-"""Questions for allowances among hosts, over sockets."""
+"""Test requests for allowances between hosts, over sockets."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from mallowpass.platform.allowances import AllowanceClients, AllowanceServer
 from mallowpass.platform.settings import Address
 
-ASK = AskAllowance(7, "127.0.0.1:1", 2, "bode960", 3, 1)
+REQUEST = AskAllowance(7, "127.0.0.1:1", 2, "bode960", 3, 1)
 
 
 def _free_port() -> int:
@@ -23,11 +23,11 @@
         return sock.getsockname()[1]
 
 
-def _play(
+def _run(
     answer: Callable[[AllowanceServer, AllowanceAsked], None],
     ask: Callable[[AllowanceClients, list[Any]], Awaitable[None]],
 ) -> list[Any]:
-    """Have clients ask a server; return the events of both."""
+    """Run `ask` on clients of a server that calls `answer`; return all events."""
     events: list[Any] = []
 
     async def run() -> None:
@@ -51,19 +51,19 @@
     return events
 
 
-async def _until(events: list[Any], count: int) -> None:
+async def _wait_for_events(events: list[Any], count: int) -> None:
     while len(events) < count:
         await asyncio.sleep(0.005)
 
 
 async def _ask_once(clients: AllowanceClients, events: list[Any]) -> None:
-    clients.ask(ASK)
-    await _until(events, 2)
+    clients.ask(REQUEST)
+    await _wait_for_events(events, 2)
 
 
 @pytest.mark.parametrize(("operations", "pause"), [(3, 0.0), (0, 1.25), (None, 0.0)])
-def test_question_and_answer(operations, pause):
-    events = _play(
+def test_request_and_answer(operations, pause):
+    events = _run(
         lambda server, asked: server.answer(
             AnswerAllowance(asked.ask, operations, pause)
         ),
@@ -73,16 +73,16 @@
     assert events[1] == AllowanceAnswered(7, operations, pause)
 
 
-def test_two_askers_may_use_the_same_numbers():
+def test_two_clients_may_use_the_same_request_numbers():
     async def ask(clients: AllowanceClients, events: list[Any]) -> None:
-        other = AllowanceClients(clients._own, events.append)
-        clients.ask(ASK)
-        await _until(events, 2)
-        other.ask(ASK)
-        await _until(events, 4)
+        other = AllowanceClients(clients._own_address, events.append)
+        clients.ask(REQUEST)
+        await _wait_for_events(events, 2)
+        other.ask(REQUEST)
+        await _wait_for_events(events, 4)
         other.abort()
 
-    events = _play(
+    events = _run(
         lambda server, asked: server.answer(AnswerAllowance(asked.ask, asked.ask, 0.0)),
         ask,
     )
@@ -90,19 +90,19 @@
     assert answers == [1, 2]
 
 
-def test_question_has_an_answer_if_the_connection_is_lost():
-    events = _play(lambda server, asked: server.abort(), _ask_once)
+def test_request_is_unanswered_if_the_connection_is_lost():
+    events = _run(lambda server, asked: server.abort(), _ask_once)
     assert AllowanceAnswered(7, None) in events
 
 
 @pytest.mark.parametrize("address", ["127.0.0.1:1", "x", f"{'a' * 300}:1", ""])
-def test_keeper_that_can_not_be_reached_is_told(address):
+def test_request_to_an_unreachable_keeper_is_unanswered(address):
     events: list[Any] = []
 
     async def run() -> None:
         clients = AllowanceClients(Address("127.0.0.1", _free_port()), events.append)
         clients.ask(AskAllowance(7, address, 0, "bode960", 1, 0))
-        await _until(events, 1)
+        await _wait_for_events(events, 1)
 
     asyncio.run(asyncio.wait_for(run(), 2.0))
     assert events == [AllowanceAnswered(7, None)]
@@ -119,12 +119,12 @@
         b"ASK 1 2 a 1 0\n",
     ],
 )
-def test_line_that_is_no_question_ends_the_connection(line):
+def test_malformed_request_closes_the_connection(line):
     async def ask(clients: AllowanceClients, events: list[Any]) -> None:
-        own = clients._own
-        reader, writer = await asyncio.open_connection(own.host, own.port)
+        address = clients._own_address
+        reader, writer = await asyncio.open_connection(address.host, address.port)
         writer.write(line)
         assert await reader.read() == b""
         writer.close()
 
-    assert _play(lambda server, asked: None, ask) == []
+    assert _run(lambda server, asked: None, ask) == []
--- a/tests/platform/test_endpoints.py
+++ b/tests/platform/test_endpoints.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints, whatever their entries say."""
+"""Test connections to endpoints whose entries are invalid."""
 
 from __future__ import annotations
 
@@ -15,11 +15,12 @@
 @pytest.mark.parametrize(
     "address", ["", "x", f"{'a' * 300}:80", "10.0.0.1:99999", "a\0b:80", "\ud800:80"]
 )
-def test_address_that_can_not_be_used(address):
-    """Symptom: an endpoint gets no connection any more, nor does another try.
+def test_connection_to_an_invalid_address_is_refused(address):
+    """Guard against a host that opens no more connections.
 
-    Sequence: another writer puts an address into an entry that no socket takes. Cause:
-    the attempt ends with an error that nobody expects, and counts as going on.
+    Another program writes an address that sockets do not accept. If the error were not
+    caught, each attempt would count as in progress forever, and the number of
+    concurrent attempts is limited.
     """
 
     async def run() -> list[Any]:
