--- a/mallowpass/platform/allowances.py
+++ b/mallowpass/platform/allowances.py
@@ -1,10 +1,12 @@
-"""Requests between hosts for allowances, which are operations within a rate limit.
+"""Requests between hosts for allowances to start operations of a customer.
 
-Rate limits are divided into parts, and each part is kept by one host, its keeper. All
-requests of one host to another share a connection. `ASK number part customer needed
-ahead` is answered with `GRANT number operations pause`, the pause in milliseconds, or
-with `NONE number` by a host that does not keep the part. `needed` counts the operations
-that wait, `ahead` those that may be granted beyond them.
+The rate limits of customers are divided into parts, and each part is kept by one host,
+its keeper. All requests of one host to another share a connection.
+
+`ASK number part customer needed ahead` is answered with `GRANT number operations
+pause`, or with `NONE number` by a host that does not keep the part. `needed` counts the
+operations that wait, `ahead` those that may be granted beyond them; `pause` is the time
+in milliseconds until more operations may be granted.
 """
 
 from __future__ import annotations
@@ -76,13 +78,13 @@
         self._connections.pop(self._number, None)
 
     def _on_line(self, line: str) -> None:
-        words = line.split(" ")
-        if len(words) != 6 or words[0] != "ASK":
+        fields = line.split(" ")
+        if len(fields) != 6 or fields[0] != "ASK":
             raise wire.WireError("malformed ASK request")
         number, part, needed, ahead = map(
-            _parse_number, (words[1], words[2], *words[4:])
+            _parse_number, (fields[1], fields[2], *fields[4:])
         )
-        customer = "" if words[3] == NO_CUSTOMER else words[3]
+        customer = "" if fields[3] == NO_CUSTOMER else fields[3]
         request = self.register_request(self._number, number)
         self._sink(AllowanceAsked(request, part, customer, needed, ahead))
 
@@ -99,7 +101,10 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def ask(self, effect: AskAllowance) -> None:
-        """Send a request; AllowanceAnswered follows, also if there is no answer."""
+        """Send a request to a keeper; AllowanceAnswered reports the outcome.
+
+        Its `operations` is None if the connection fails, or is lost before the answer.
+        """
         if self._own_address is None:
             self._sink(AllowanceAnswered(effect.call, None))
             return
@@ -151,8 +156,8 @@
     def ask(self, effect: AskAllowance) -> None:
         """Send a request, or keep it until the connection is open."""
         customer = effect.customer or NO_CUSTOMER
-        words = (effect.call, effect.part, customer, effect.needed, effect.ahead)
-        line = wire.encode(f"ASK {' '.join(map(str, words))}\r\n")
+        fields = (effect.call, effect.part, customer, effect.needed, effect.ahead)
+        line = wire.encode(f"ASK {' '.join(map(str, fields))}\r\n")
         self._pending.add(effect.call)
         if self._transport is None:
             self._unsent.append(line)
@@ -189,11 +194,11 @@
             self.close()
 
     def _on_line(self, line: str) -> None:
-        words = line.split(" ")
-        if len(words) == 4 and words[0] == "GRANT":
-            call, operations, pause = map(_parse_number, words[1:])
-        elif len(words) == 2 and words[0] == "NONE":
-            call, operations, pause = _parse_number(words[1]), None, 0
+        fields = line.split(" ")
+        if len(fields) == 4 and fields[0] == "GRANT":
+            call, operations, pause = map(_parse_number, fields[1:])
+        elif len(fields) == 2 and fields[0] == "NONE":
+            call, operations, pause = _parse_number(fields[1]), None, 0
         else:
             raise wire.WireError("malformed answer of a keeper")
         if call in self._pending:
--- a/mallowpass/platform/endpoints.py
+++ b/mallowpass/platform/endpoints.py
@@ -122,9 +122,9 @@
         "_connections",
         "_effect",
         "_expects_status",
+        "_host_name",
         "_lines",
         "_message",
-        "_host_name",
         "_rows",
         "_signature",
         "_sink",
@@ -220,18 +220,18 @@
         self.handshake.set_result(None)
 
     def _on_line(self, line: bytes) -> None:
-        word, _, rest = line.partition(b" ")
-        if word == b"ROW":
+        keyword, _, rest = line.partition(b" ")
+        if keyword == b"ROW":
             self._rows.append(rest)
-        elif word == b"DONE":
+        elif keyword == b"DONE":
             self._code = Code.DONE
             self._signature = wire.decode(rest)
-        elif word == b"ERR":
+        elif keyword == b"ERR":
             self._on_error_line(wire.decode(rest))
-        elif word == b"READY":
+        elif keyword == b"READY":
             self._on_ready_line(wire.decode(rest))
         else:
-            raise wire.WireError(f"unexpected keyword: {word[:40]!r}")
+            raise wire.WireError(f"unexpected keyword: {keyword[:40]!r}")
 
     def _on_error_line(self, rest: str) -> None:
         code, _, self._message = rest.partition(" ")
@@ -240,11 +240,11 @@
             self._set_refusal(self._code, f"{code} {self._message}")
 
     def _on_ready_line(self, rest: str) -> None:
-        words = rest.split(" ")
-        state, position = words[0], wire.parse_position(words[1])
+        fields = rest.split(" ")
+        state, position = fields[0], wire.parse_position(fields[1])
         if not self.handshake.done():
             self.position = position
-            self.floor = wire.parse_floor(words[2:])
+            self.floor = wire.parse_floor(fields[2:])
             self.handshake.set_result(None)
             return
         if self._code is None or not self._expects_status:
@@ -260,7 +260,7 @@
             state=wire.parse_state(state),
             position=position,
             status=status,
-            floor=wire.parse_floor(words[2:]),
+            floor=wire.parse_floor(fields[2:]),
         )
         self._clear_reply()
         self._sink(EndpointAnswered(self._effect.connection, reply))
--- a/mallowpass/platform/links.py
+++ b/mallowpass/platform/links.py
@@ -62,14 +62,14 @@
     def _on_lines(self, lines: list[bytes]) -> None:
         calls = []
         for line in lines:
-            word, _, rest = wire.decode(line).partition(" ")
-            if word == "QUERY" and self._open:
+            keyword, _, rest = wire.decode(line).partition(" ")
+            if keyword == "QUERY" and self._open:
                 request_id, _, text = rest.partition(" ")
                 calls.append(wire.parse_call(request_id, text))
-            elif word == "CONNECT" and not self._open:
+            elif keyword == "CONNECT" and not self._open:
                 self._on_connect(rest)
             else:
-                raise wire.WireError(f"unexpected keyword: {word[:40]!r}")
+                raise wire.WireError(f"unexpected keyword: {keyword[:40]!r}")
         if calls:
             self._sink(LinkCalled(self._number, tuple(calls)))
 
--- a/mallowpass/platform/promotions.py
+++ b/mallowpass/platform/promotions.py
@@ -1,6 +1,7 @@
 """Ordering promotions from the platform.
 
-Only the holder of the lease may order one; the platform checks its fencing token.
+Only the holder of a lease orders promotions. Each order carries the name of the holder
+and its fencing token, so that the platform can refuse the order of an earlier holder.
 """
 
 from __future__ import annotations
--- a/mallowpass/platform/store.py
+++ b/mallowpass/platform/store.py
@@ -136,8 +136,8 @@
                 done = StoreStatus.DONE
                 return StoreReply(done, tuple(rows), version, time, era=era)
             if era != era_of(rows[0].version):
-                # The store was restored from a copy between two pages. The pages before
-                # may have rows that the copy lacks.
+                # The store was restored from a copy between two pages. The earlier
+                # pages may have rows that the copy lacks.
                 return StoreReply(
                     StoreStatus.REFUSED,
                     message="the store was restored while its rows were listed",
@@ -207,10 +207,10 @@
     body = json.loads(_decompressed_body(response))
     rows = tuple(decode_rows(body))
     version = body["ver"]
-    whole = body.get(_SNAPSHOT_FIELD) is True
+    is_snapshot = body.get(_SNAPSHOT_FIELD) is True
     era = era_of(version)
     status = _STATUS_BY_HTTP_CODE[response.status]
-    return StoreReply(status, rows, version, is_snapshot=whole, era=era)
+    return StoreReply(status, rows, version, is_snapshot=is_snapshot, era=era)
 
 
 def _parse_era(response: Response) -> int:
--- a/mallowpass/platform/wire.py
+++ b/mallowpass/platform/wire.py
@@ -446,12 +446,12 @@
     return LogPosition(int(term), int(number))
 
 
-def parse_floor(words: list[str]) -> FloorHint | None:
+def parse_floor(fields: list[str]) -> FloorHint | None:
     """Parse the floor hint that a host adds to READY; None if there is no valid one."""
-    if len(words) != 3 or words[0] != "FLOOR" or not words[2].isdecimal():
+    if len(fields) != 3 or fields[0] != "FLOOR" or not fields[2].isdecimal():
         return None
-    position = parse_position(words[1])
-    return None if position is None else FloorHint(position, int(words[2]) / 1000.0)
+    position = parse_position(fields[1])
+    return None if position is None else FloorHint(position, int(fields[2]) / 1000.0)
 
 
 def parse_status(row: bytes) -> EndpointStatus:
@@ -460,10 +460,10 @@
     Its fields: role, term, log position received, term that the replica is paused for,
     replication lag in milliseconds, statements running, open connections.
     """
-    words = decode(row).split(" ")
-    if len(words) < _STATUS_FIELD_COUNT:
-        raise WireError(f"status row has too few fields: {words}")
-    role, term, received, _paused_for, lag, busy, connections = words[
+    fields = decode(row).split(" ")
+    if len(fields) < _STATUS_FIELD_COUNT:
+        raise WireError(f"status row has too few fields: {fields}")
+    role, term, received, _paused_for, lag, busy, connections = fields[
         :_STATUS_FIELD_COUNT
     ]
     position = parse_position(received)
--- a/tests/platform/test_relays.py
+++ b/tests/platform/test_relays.py
@@ -101,7 +101,7 @@
     """Guard against relays that exceed their network bandwidth.
 
     When hundreds of endpoints register, or half of the hosts restart, each follower of
-    a relay requests all rows. The rows are similar, but were sent uncompressed.
+    a relay requests all rows. The rows are similar, so compression saves most bytes.
     """
     sent = _reply_with_rows(300)
     _, answer = asyncio.run(_exchange(sent, free_port))
@@ -111,7 +111,7 @@
 
 
 def test_answer_is_compressed_only_on_request():
-    """Guard against hosts of an earlier version that can't read any answer."""
+    """Guard against compressed answers to earlier versions, which can't read them."""
     old = Request("GET", "/v1/rows-feed?table=servers&after=1&waitMs=1")
     assert not accepts_compression(old)
     headers = (("accept-encoding", "deflate"),)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -49,9 +49,9 @@
     Another program writes arbitrary bytes to one row. If that row made the whole answer
     invalid, every later answer would be invalid too.
     """
-    key, good = VALID_ROWS[table]
+    key, valid = VALID_ROWS[table]
     rows = _decode(
-        _item(table, key, good), _item(table, "other", data), _item(table, key, good)
+        _item(table, key, valid), _item(table, "other", data), _item(table, key, valid)
     )
     assert [row.key.key for row in rows] == [key, "other", key]
     assert rows[0] == rows[2]
@@ -60,16 +60,16 @@
 
 @pytest.mark.parametrize("text", ["é", "AAA", "!", 7, None, ["AA=="]])
 def test_invalid_base64_is_unreadable(text):
-    good = _item(Table.ENDPOINTS, *VALID_ROWS[Table.ENDPOINTS])
-    rows = _decode(_item(Table.ENDPOINTS, "i-0", "") | {"value": text}, good)
+    valid = _item(Table.ENDPOINTS, *VALID_ROWS[Table.ENDPOINTS])
+    rows = _decode(_item(Table.ENDPOINTS, "i-0", "") | {"value": text}, valid)
     assert isinstance(rows[0].value, Unreadable)
     assert _readable(rows) == ["i-1"]
 
 
 def test_valid_row_after_an_unreadable_one_is_decoded():
-    bad = _item(Table.ENDPOINTS, "i-1", b"{")
-    good = _item(Table.ENDPOINTS, "i-1", VALID_ROWS[Table.ENDPOINTS][1])
-    rows = _decode(bad, good)
+    invalid = _item(Table.ENDPOINTS, "i-1", b"{")
+    valid = _item(Table.ENDPOINTS, "i-1", VALID_ROWS[Table.ENDPOINTS][1])
+    rows = _decode(invalid, valid)
     assert isinstance(rows[0].value, Unreadable)
     assert isinstance(rows[1].value, EndpointEntry)
 
