--- a/mallowpass/platform/promotions.py
+++ b/mallowpass/platform/promotions.py
@@ -31,7 +31,7 @@
     async def promote(self, order: OrderPromotion) -> PromotionAnswered:
         """Order a promotion, and return the answer of the platform.
 
-        `accepted` of the answer is None if the order may have been carried out.
+        Its `accepted` is None if it is unknown whether the order was carried out.
         """
         headers = (
             ("Content-Type", "application/json"),
--- a/mallowpass/platform/store.py
+++ b/mallowpass/platform/store.py
@@ -99,10 +99,10 @@
         self._is_relay = is_relay
 
     async def call(self, call: StoreCall, timeout: float) -> StoreReply:
-        """Return the reply to a call, within `timeout` seconds.
+        """Return the reply to a call; `timeout` applies to each HTTP request (seconds).
 
-        A failure is returned as a reply too: REFUSED if the call did not change
-        anything, else UNKNOWN.
+        A failure is returned as a reply, too. Its status is REFUSED only if the call
+        has certainly not changed anything, otherwise UNKNOWN.
         """
         try:
             return await self._call(call, timeout)
