--- a/mallowpass/platform/allowances.py
+++ b/mallowpass/platform/allowances.py
@@ -16,7 +16,7 @@
 from mallowpass.platform import wire
 from mallowpass.platform.lineserver import EventSink, LineProtocol, LineServer
 from mallowpass.platform.settings import Address, SettingsError
-from mallowpass.platform.sockets import watch_peer
+from mallowpass.platform.sockets import enable_keepalive
 
 __all__ = ["AllowanceClients", "AllowanceServer"]
 
@@ -36,8 +36,8 @@
         self._ask_numbers = itertools.count(1)
         self._asks: dict[int, tuple[int, int]] = {}  # connection, and number there
 
-    def _make(self) -> LineProtocol:
-        connection = super()._make()
+    def _make_protocol(self) -> LineProtocol:
+        connection = super()._make_protocol()
         connection.register = self._register
         return connection
 
@@ -168,7 +168,7 @@
         if self.is_closed:
             transport.abort()
             return
-        watch_peer(transport)
+        enable_keepalive(transport)
         self._transport.writelines(self._unsent)
         self._unsent.clear()
 
--- a/mallowpass/platform/callers.py
+++ b/mallowpass/platform/callers.py
@@ -69,21 +69,21 @@
     def connection_lost(self, error: Exception | None) -> None:
         self._timer.cancel()
         self._connections.pop(self._number, None)
-        if self._open:
+        if self._is_open:
             self._sink(SessionClosed(self._number))
 
     def _take(self, line: str) -> None:
         if self._number not in self._connections:
             return
         word, _, rest = line.partition(" ")
-        if word == "QUERY" and self._open:
+        if word == "QUERY" and self._is_open:
             request_id, _, text = rest.partition(" ")
             if not request_id or request_id == wire.OWN_ID:
                 raise wire.WireError("a statement without an id")
             statement = wire.parse_statement(text)
             self._sink(StatementReceived(self._number, request_id, statement))
-        elif word == "CONNECT" and not self._open and rest:
-            self._open = True
+        elif word == "CONNECT" and not self._is_open and rest:
+            self._is_open = True
             self._timer.cancel()
             database, _, key = rest.partition(" ")
             opened = SessionOpened(self._number, database, credential_of(key))
--- a/mallowpass/platform/endpoints.py
+++ b/mallowpass/platform/endpoints.py
@@ -25,7 +25,7 @@
 from mallowpass.platform import wire
 from mallowpass.platform.lineserver import EventSink
 from mallowpass.platform.settings import Address, SettingsError
-from mallowpass.platform.sockets import watch_peer
+from mallowpass.platform.sockets import enable_keepalive
 
 __all__ = ["EndpointConnections"]
 
@@ -175,7 +175,7 @@
         if self._closed:
             transport.abort()
             return
-        watch_peer(transport)
+        enable_keepalive(transport)
         effect = self._effect
         caller = self._name if effect.customer is None else effect.customer
         line = f"CONNECT {effect.service} {caller} {effect.endpoint}\r\n"
--- a/mallowpass/platform/http.py
+++ b/mallowpass/platform/http.py
@@ -9,7 +9,7 @@
 import h11
 
 from mallowpass.platform.settings import Address
-from mallowpass.platform.sockets import watch_peer
+from mallowpass.platform.sockets import enable_keepalive
 
 __all__ = ["HttpClient", "HttpError", "HttpServer", "Request", "Response"]
 
@@ -28,11 +28,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """Hold an answer; `coding` names how its body is compressed, if it is."""
+    """Hold an answer; `content_encoding` is empty without compression."""
 
     status: int
     body: bytes = b""
-    coding: str = ""
+    content_encoding: str = ""
     headers: tuple[tuple[bytes, bytes], ...] = ()  # names in lower case
 
     def header(self, name: bytes) -> bytes:
@@ -127,7 +127,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = transport  # type: ignore[assignment]
-        watch_peer(transport)
+        enable_keepalive(transport)
 
     def data_received(self, data: bytes) -> None:
         try:
@@ -241,14 +241,14 @@
 class HttpServer:
     """Answer calls on fixed paths, at once or later."""
 
-    paths: dict[str, Handler] = field(default_factory=dict)
+    handlers: dict[str, Handler] = field(default_factory=dict)
     _server: asyncio.Server | None = None
 
     async def start(self, address: Address) -> None:
         """Listen."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: _ServerConnection(self.paths), address.host, address.port
+            lambda: _ServerConnection(self.handlers), address.host, address.port
         )
 
     def close(self) -> None:
@@ -262,9 +262,9 @@
 
     __slots__ = ("_head", "_paths", "_task")
 
-    def __init__(self, paths: dict[str, Handler]) -> None:
+    def __init__(self, handlers: dict[str, Handler]) -> None:
         super().__init__(h11.SERVER)
-        self._paths = paths
+        self._paths = handlers
         self._head: h11.Request | None = None
         self._task: asyncio.Task[None] | None = None
 
@@ -322,8 +322,8 @@
 
     def _answer(self, response: Response) -> None:
         headers = [("Content-Length", str(len(response.body)))]
-        if response.coding:
-            headers.append(("Content-Encoding", response.coding))
+        if response.content_encoding:
+            headers.append(("Content-Encoding", response.content_encoding))
         headers.extend(response.headers)
         data = self._wire.send(
             h11.Response(status_code=response.status, headers=headers)
--- a/mallowpass/platform/lineserver.py
+++ b/mallowpass/platform/lineserver.py
@@ -11,7 +11,7 @@
 from mallowpass.core.proxy.statements import Code
 from mallowpass.platform import wire
 from mallowpass.platform.settings import Address
-from mallowpass.platform.sockets import watch_peer
+from mallowpass.platform.sockets import enable_keepalive
 
 __all__ = ["EventSink", "LineProtocol", "LineServer"]
 
@@ -35,10 +35,10 @@
         """Listen."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            self._make, address.host, address.port, backlog=self._backlog
+            self._make_protocol, address.host, address.port, backlog=self._backlog
         )
 
-    def _make(self) -> LineProtocol:
+    def _make_protocol(self) -> LineProtocol:
         return self._kind(next(self._numbers), self._connections, self._sink)
 
     def refuse(self, number: int, code: Code, message: str) -> None:
@@ -78,7 +78,7 @@
 class LineProtocol(asyncio.Protocol):
     """Hold one connection of a LineServer."""
 
-    __slots__ = ("_connections", "_lines", "_number", "_open", "_sink", "transport")
+    __slots__ = ("_connections", "_is_open", "_lines", "_number", "_sink", "transport")
 
     def __init__(
         self, number: int, connections: dict[int, LineProtocol], sink: EventSink
@@ -87,11 +87,11 @@
         self._connections = connections
         self._sink = sink
         self._lines = wire.LineBuffer()
-        self._open = False  # it has sent its first line
+        self._is_open = False  # it has sent its first line
         self.transport: asyncio.Transport = None  # type: ignore[assignment]
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Begin to count among the server's connections."""
         self.transport = transport  # type: ignore[assignment]
         self._connections[self._number] = self
-        watch_peer(transport)
+        enable_keepalive(transport)
--- a/mallowpass/platform/links.py
+++ b/mallowpass/platform/links.py
@@ -56,17 +56,17 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         self._connections.pop(self._number, None)
-        if self._open:
+        if self._is_open:
             self._sink(LinkClosed(self._number))
 
     def _take(self, lines: list[bytes]) -> None:
         calls = []
         for line in lines:
             word, _, rest = wire.decode(line).partition(" ")
-            if word == "QUERY" and self._open:
+            if word == "QUERY" and self._is_open:
                 request_id, _, text = rest.partition(" ")
                 calls.append(wire.parse_call(request_id, text))
-            elif word == "CONNECT" and not self._open:
+            elif word == "CONNECT" and not self._is_open:
                 self._connect(rest)
             else:
                 raise wire.WireError(f"not expected here: {word[:40]!r}")
@@ -77,6 +77,6 @@
         fields = rest.split(" ")
         if len(fields) != 3:
             raise wire.WireError("a link names a service, a host and an endpoint")
-        self._open = True
+        self._is_open = True
         service, host, endpoint = fields
         self._sink(LinkOpened(self._number, host, service, endpoint))
--- a/mallowpass/platform/metrics.py
+++ b/mallowpass/platform/metrics.py
@@ -37,7 +37,7 @@
             histogram = self._histograms[key] = _Histogram()
         histogram.add(effect.value)
 
-    def text(self, tables: ProxyTables) -> bytes:
+    def render(self, tables: ProxyTables) -> bytes:
         """Return all of them, with the sizes of the main tables, as text."""
         # Imported here: most processes are never asked, and it takes memory.
         from prometheus_client import CollectorRegistry, generate_latest
--- a/mallowpass/platform/runtime.py
+++ b/mallowpass/platform/runtime.py
@@ -38,10 +38,10 @@
 )
 from mallowpass.platform.store import StoreClient
 
-__all__ = ["ESCAPED", "HostRuntime", "host_clock"]
+__all__ = ["EXCEPTION_ESCAPED", "HostRuntime", "host_clock"]
 
 # The event, and the counter, of an exception that nobody was there to catch.
-ESCAPED = "exception_escaped"
+EXCEPTION_ESCAPED = "exception_escaped"
 
 READY_PATH = "/v1/ready"
 # Where deploy/system.toml says that metrics are; a test holds the two together.
@@ -233,10 +233,12 @@
         """Log an exception that escaped, and where: it shows nowhere else."""
         frames = traceback.extract_tb(error.__traceback__)
         where = f"{frames[-1].filename}:{frames[-1].lineno}" if frames else ""
-        self._metrics.count(Count(ESCAPED, 1, (("kind", type(error).__name__),)))
+        self._metrics.count(
+            Count(EXCEPTION_ESCAPED, 1, (("kind", type(error).__name__),))
+        )
         self._log.write(
             "error",
-            ESCAPED,
+            EXCEPTION_ESCAPED,
             (
                 ("kind", type(error).__name__),
                 ("message", error),
@@ -400,7 +402,7 @@
         return Response(200 if self._ready else 503)
 
     def _answer_metrics(self, request: Request) -> Response:
-        return Response(200, self._metrics.text(self._node.tables))
+        return Response(200, self._metrics.render(self._node.tables))
 
 
 def _identity(settings: HostSettings, incarnation: int) -> HostIdentity:
--- a/mallowpass/platform/sockets.py
+++ b/mallowpass/platform/sockets.py
@@ -5,7 +5,7 @@
 import asyncio
 import socket
 
-__all__ = ["watch_peer"]
+__all__ = ["enable_keepalive"]
 
 # A connection can go silent for good without a reset: a cut, a lost machine, a
 # middlebox that forgot it. Without these, one would learn of it from the timeout of
@@ -17,7 +17,7 @@
 UNACKNOWLEDGED_MAX = 3000  # milliseconds
 
 
-def watch_peer(transport: asyncio.BaseTransport) -> None:
+def enable_keepalive(transport: asyncio.BaseTransport) -> None:
     """Have a connection end by itself once its other end can't be reached."""
     sock = transport.get_extra_info("socket")
     if sock is None:
--- a/mallowpass/platform/store.py
+++ b/mallowpass/platform/store.py
@@ -206,7 +206,7 @@
 
     Whatever a host sends, it takes no more memory than an answer of the store may.
     """
-    if response.coding != CODING:
+    if response.content_encoding != CODING:
         return response.body
     unpacker = zlib.decompressobj()
     body = unpacker.decompress(response.body, BODY_MAX)
--- a/mallowpass/standins/proxied/platform.py
+++ b/mallowpass/standins/proxied/platform.py
@@ -18,7 +18,7 @@
 )
 from mallowpass.core.proxy.storage import EndpointEntry, RowKey, Table
 from mallowpass.core.timers import TimerService
-from mallowpass.platform.runtime import ESCAPED, HostRuntime
+from mallowpass.platform.runtime import EXCEPTION_ESCAPED, HostRuntime
 from mallowpass.platform.settings import Address, HostSettings
 from mallowpass.standins.proxied.httpserver import OrderServer, StoreServer
 from mallowpass.standins.proxied.replicas import Group, Replica
@@ -190,7 +190,9 @@
         for server in self.servers.values():
             server.stop()
         self.release()
-        escaped = [fields for log in self.logs for fields in log.fields(ESCAPED)]
+        escaped = [
+            fields for log in self.logs for fields in log.fields(EXCEPTION_ESCAPED)
+        ]
         if escaped:
             raise RuntimeError(f"exceptions escaped: {escaped}")
 
--- a/tests/platform/test_runtime.py
+++ b/tests/platform/test_runtime.py
@@ -16,7 +16,7 @@
 from mallowpass.core.proxy.events import StoreAnswered
 from mallowpass.core.proxy.registry import SYSTEMS
 from mallowpass.core.proxy.storage import ListRows, StoreReply, StoreStatus, Table
-from mallowpass.platform.runtime import ESCAPED, HostRuntime
+from mallowpass.platform.runtime import EXCEPTION_ESCAPED, HostRuntime
 from mallowpass.platform.settings import load_settings
 from mallowpass.standins.proxied.platform import MemoryLog
 
@@ -110,11 +110,11 @@
         host._node.subscribe(Woken, fail)
         host._node.subscribe(Woken, reached.append)
         host._wake()
-        assert b"exception_escaped" in host._metrics.text(host._node.tables)
+        assert b"exception_escaped" in host._metrics.render(host._node.tables)
 
     log = _with_host(tmp_path, use)
     assert len(reached) == 1
-    (line,) = log.fields(ESCAPED)
+    (line,) = log.fields(EXCEPTION_ESCAPED)
     assert line["kind"] == "OverflowError"
     assert "test_runtime" in line["where"]
 
@@ -125,7 +125,7 @@
         assert host.ready
 
     log = _with_host(tmp_path, use)
-    assert [line["during"] for line in log.fields(ESCAPED)] == ["object"]
+    assert [line["during"] for line in log.fields(EXCEPTION_ESCAPED)] == ["object"]
 
 
 def test_nothing_is_begun_after_the_core_has_stopped(tmp_path, monkeypatch):
--- a/tests/report/test_hostmetrics.py
+++ b/tests/report/test_hostmetrics.py
@@ -18,7 +18,7 @@
         metrics.observe(
             Observe("statement_seconds", value, (("consistency", "primary"),))
         )
-    lines = status_lines(metrics.text(ProxyTables()).decode())
+    lines = status_lines(metrics.render(ProxyTables()).decode())
     assert "statements code=done 3" in lines
     assert "statement_seconds consistency=primary mean=0.0200 count=2" in lines
     assert "sessions 0" in lines
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, replace
 from pathlib import Path
 
-from mallowpass.platform.runtime import ESCAPED
+from mallowpass.platform.runtime import EXCEPTION_ESCAPED
 from mallowpass.standins.proxied.caller import CallerError, WireCaller
 from mallowpass.standins.proxied.platform import (
     CONFIGURATION_KEY,
@@ -129,7 +129,7 @@
         """End all processes that this run started."""
         for host in self.hosts:
             host.look()
-            if host.has_logged(ESCAPED):
+            if host.has_logged(EXCEPTION_ESCAPED):
                 self.findings.broken.append(f"{host.name}: an exception escaped")
             if host.ended_by_itself:
                 self.findings.broken.append(f"{host.name} ended by itself")
