--- a/mallowpass/platform/__init__.py
+++ b/mallowpass/platform/__init__.py
@@ -1,6 +1,6 @@
-"""Run on the users' platform: translate its settings, wire protocol and calls.
+"""Run a host on the users' platform: its settings, wire protocol and HTTP calls.
 
-Names of the platform's protocols end here. Everything that decides is in
-`mallowpass.core.proxy`; this package turns bytes into its events, and its effects
-into bytes.
+This package turns received bytes into events of `mallowpass.core.proxy`, and that
+package's effects into bytes. All decisions are made in `mallowpass.core.proxy`, which
+uses no names of the platform's protocols.
 """
--- a/mallowpass/platform/__main__.py
+++ b/mallowpass/platform/__main__.py
@@ -9,14 +9,14 @@
 
 __all__ = ["main"]
 
-EXIT_SETTINGS = 3  # as the command line's code for settings with findings
+EXIT_SETTINGS = 3  # the command line's exit status for invalid settings
 
 
-def _stop_early(number: int, frame: FrameType | None) -> None:
-    """End with 0 when told to stop before there is anything to finish.
+def _exit_early(signum: int, frame: FrameType | None) -> None:
+    """Exit with status 0 on SIGTERM before the host has started.
 
-    Without this a host that is stopped while it starts dies of the signal, which looks
-    like a crash to whoever waits for it.
+    The default action ends the process by the signal, which its parent process takes
+    for a crash.
     """
     raise SystemExit(0)
 
@@ -31,9 +31,10 @@
 
 
 def main() -> None:
-    """Serve until told to stop; a wrong settings file ends it at once."""
-    signal.signal(signal.SIGTERM, _stop_early)
-    # Told to reload before it has read its settings, a host would end by the signal.
+    """Serve until a signal stops this host; exit with 3 if its settings are invalid."""
+    signal.signal(signal.SIGTERM, _exit_early)
+    # A reload signal that arrives before the settings are read would end the process.
+    # It is ignored, as the settings are about to be read.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from mallowpass.platform.settings import SettingsError
 
--- a/mallowpass/platform/http.py
+++ b/mallowpass/platform/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1: a client that keeps connections, and a server for a few fixed paths."""
+"""An HTTP/1.1 client with a connection pool, and a server for a few fixed paths."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 __all__ = ["HttpClient", "HttpError", "HttpServer", "Request", "Response"]
 
-BODY_MAX = 16 << 20  # bytes; the store's largest answer is some 1 MB
-IDLE_MAX = 4  # connections kept for further calls
+BODY_MAX = 16 << 20  # bytes; the store's largest response is about 1 MB
+IDLE_CONNECTIONS_MAX = 4  # kept open for further requests
 CONNECT_TIMEOUT = 1.0  # seconds
 
 
 class HttpError(Exception):
-    """Say that a call got no answer; `sent` tells whether it may have arrived."""
+    """Report a request without a response; `sent`: it may have reached the server."""
 
     def __init__(self, message: str, sent: bool) -> None:
         super().__init__(message)
@@ -28,12 +28,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """Hold an answer; `content_encoding` is empty without compression."""
+    """An HTTP response; `content_encoding` is empty if the body is not compressed."""
 
     status: int
     body: bytes = b""
     content_encoding: str = ""
-    headers: tuple[tuple[bytes, bytes], ...] = ()  # names in lower case
+    headers: tuple[tuple[bytes, bytes], ...] = ()  # header names in lower case
 
     def header(self, name: bytes) -> bytes:
         """Return a header's value; the name in lower case, empty if there is none."""
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """Hold a call; `target` is its path with the query."""
+    """An HTTP request; `target` is the path with the query."""
 
     method: str
     target: str
@@ -51,15 +51,15 @@
 
     def header(self, name: str) -> str:
         """Return a header's value; the name in lower case, empty if there is none."""
-        found = (value for key, value in self.headers if key.lower() == name)
-        return next(found, "")
+        values = (value for key, value in self.headers if key.lower() == name)
+        return next(values, "")
 
 
 # -- Client ------------------------------------------------------------------
 
 
 class HttpClient:
-    """Call one server, over as many connections as calls are open."""
+    """Send requests to one server, with one connection for each open request."""
 
     __slots__ = ("_address", "_idle")
 
@@ -68,11 +68,14 @@
         self._idle: list[_ClientConnection] = []
 
     async def call(self, request: Request, timeout: float) -> Response:
-        """Return the answer to a call; HttpError if none came in time (seconds)."""
+        """Send a request and return the response.
+
+        HttpError if no response arrives within `timeout` seconds.
+        """
         connection = None
         while self._idle and connection is None:
             candidate = self._idle.pop()
-            if not candidate.closed:
+            if not candidate.is_closed:
                 connection = candidate
         try:
             async with asyncio.timeout(timeout):
@@ -80,17 +83,19 @@
                     connection = await self._connect()
                 response = await connection.call(request, str(self._address))
         except TimeoutError:
-            # What comes later on this connection would answer another call.
-            self._drop(connection)
+            # A late response would be taken for the response to the next request.
+            self._discard(connection)
             sent = connection is not None
-            raise HttpError(f"no answer in {timeout:g} s", sent) from None
+            raise HttpError(
+                f"no response from {self._address} within {timeout:g} s", sent
+            ) from None
         except asyncio.CancelledError:
-            self._drop(connection)
+            self._discard(connection)
             raise
         except HttpError:
-            self._drop(connection)
+            self._discard(connection)
             raise
-        if connection.reusable and len(self._idle) < IDLE_MAX:
+        if connection.is_reusable and len(self._idle) < IDLE_CONNECTIONS_MAX:
             self._idle.append(connection)
         else:
             connection.close()
@@ -104,24 +109,27 @@
                     _ClientConnection, self._address.host, self._address.port
                 )
         except TimeoutError:
-            raise HttpError("no connection in time", sent=False) from None
+            raise HttpError(
+                f"no connection to {self._address} within {CONNECT_TIMEOUT:g} s",
+                sent=False,
+            ) from None
         except OSError as error:
             raise HttpError(str(error), sent=False) from error
         return connection
 
     @staticmethod
-    def _drop(connection: _ClientConnection | None) -> None:
+    def _discard(connection: _ClientConnection | None) -> None:
         if connection is not None:
             connection.close()
 
 
 class _Connection(asyncio.Protocol):
-    """Hold what both ends of a connection do with what arrives."""
+    """Base class of client and server connections: parse received bytes with h11."""
 
-    __slots__ = ("_body", "_transport", "_wire")
+    __slots__ = ("_body", "_h11", "_transport")
 
     def __init__(self, role: type) -> None:  # h11.CLIENT or h11.SERVER
-        self._wire = h11.Connection(role)
+        self._h11 = h11.Connection(role)
         self._transport: asyncio.Transport | None = None
         self._body = bytearray()
 
@@ -131,7 +139,7 @@
 
     def data_received(self, data: bytes) -> None:
         try:
-            self._wire.receive_data(data)
+            self._h11.receive_data(data)
             self._read()
         except h11.ProtocolError as error:
             self._on_malformed(error)
@@ -144,54 +152,58 @@
 
 
 class _ClientConnection(_Connection):
-    """Hold one connection; one call at a time."""
+    """A connection of a client; it carries one request at a time."""
 
-    __slots__ = ("_answer", "_headers", "_status", "closed")
+    __slots__ = ("_headers", "_response_future", "_status", "is_closed")
 
     def __init__(self) -> None:
         super().__init__(h11.CLIENT)
-        self._answer: asyncio.Future[Response] | None = None
+        self._response_future: asyncio.Future[Response] | None = None
         self._status = 0
         self._headers: tuple[tuple[bytes, bytes], ...] = ()
-        self.closed = False
+        self.is_closed = False
 
     @property
-    def reusable(self) -> bool:
-        """Tell whether a further call may be sent on it."""
-        return not self.closed and self._wire.our_state is h11.IDLE
+    def is_reusable(self) -> bool:
+        """Whether a further request may be sent on this connection."""
+        return not self.is_closed and self._h11.our_state is h11.IDLE
 
     async def call(self, request: Request, host: str) -> Response:
-        """Send a call and return its answer."""
-        self._answer = asyncio.get_running_loop().create_future()
+        """Send a request and return its response."""
+        self._response_future = asyncio.get_running_loop().create_future()
         headers = [("Host", host), *request.headers]
         if request.body or request.method in ("POST", "PUT"):
             headers.append(("Content-Length", str(len(request.body))))
         head = h11.Request(
             method=request.method, target=request.target, headers=headers
         )
-        data = self._wire.send(head)
+        data = self._h11.send(head)
         if request.body:
-            data += self._wire.send(h11.Data(data=request.body))
-        data += self._wire.send(h11.EndOfMessage())
+            data += self._h11.send(h11.Data(data=request.body))
+        data += self._h11.send(h11.EndOfMessage())
         self._transport.write(data)
-        return await self._answer
+        return await self._response_future
 
     def close(self) -> None:
-        """Close; an open call gets no answer."""
-        self.closed = True
+        """Close the connection; an open request gets no response."""
+        self.is_closed = True
         if self._transport is not None:
             self._transport.abort()
 
     def _on_malformed(self, error: h11.ProtocolError) -> None:
-        self._fail(f"an answer that can't be read: {error}")
+        self._fail_response(f"malformed HTTP response: {error}")
 
     def connection_lost(self, error: Exception | None) -> None:
-        self.closed = True
-        self._fail(str(error) if error else "the connection was closed")
+        self.is_closed = True
+        self._fail_response(
+            str(error)
+            if error
+            else "connection closed before the response was complete"
+        )
 
     def _read(self) -> None:
         while True:
-            event = self._wire.next_event()
+            event = self._h11.next_event()
             if event is h11.NEED_DATA or event is h11.PAUSED:
                 return
             if isinstance(event, h11.Response):
@@ -201,31 +213,33 @@
             elif isinstance(event, h11.Data):
                 self._body += event.data
                 if len(self._body) > BODY_MAX:
-                    self._fail("the answer is too long")
+                    self._fail_response(f"response body exceeds {BODY_MAX} bytes")
                     return
             elif isinstance(event, h11.EndOfMessage):
-                self._finish()
+                self._complete_response()
                 return
             elif isinstance(event, h11.ConnectionClosed):
                 return
 
-    def _finish(self) -> None:
+    def _complete_response(self) -> None:
         headers = self._headers
-        response = Response(self._status, bytes(self._body), _coding(headers), headers)
-        if self._wire.our_state is h11.DONE and self._wire.their_state is h11.DONE:
-            self._wire.start_next_cycle()
-        answer, self._answer = self._answer, None
-        if answer is not None and not answer.done():
-            answer.set_result(response)
-
-    def _fail(self, why: str) -> None:
-        answer, self._answer = self._answer, None
-        if answer is not None and not answer.done():
-            answer.set_exception(HttpError(why, sent=True))
+        response = Response(
+            self._status, bytes(self._body), _content_encoding(headers), headers
+        )
+        if self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE:
+            self._h11.start_next_cycle()
+        future, self._response_future = self._response_future, None
+        if future is not None and not future.done():
+            future.set_result(response)
+
+    def _fail_response(self, why: str) -> None:
+        future, self._response_future = self._response_future, None
+        if future is not None and not future.done():
+            future.set_exception(HttpError(why, sent=True))
         self.close()
 
 
-def _coding(headers: tuple[tuple[bytes, bytes], ...]) -> str:
+def _content_encoding(headers: tuple[tuple[bytes, bytes], ...]) -> str:
     for name, value in headers:
         if name == b"content-encoding":
             return value.decode("latin-1")
@@ -239,32 +253,32 @@
 
 @dataclass(slots=True)
 class HttpServer:
-    """Answer calls on fixed paths, at once or later."""
+    """Serve fixed paths; a handler returns a response or an awaitable of one."""
 
     handlers: dict[str, Handler] = field(default_factory=dict)
     _server: asyncio.Server | None = None
 
     async def start(self, address: Address) -> None:
-        """Listen."""
+        """Listen on an address."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: _ServerConnection(self.handlers), address.host, address.port
         )
 
     def close(self) -> None:
-        """Stop listening; open connections stay."""
+        """Stop listening; keep open connections."""
         if self._server is not None:
             self._server.close()
 
 
 class _ServerConnection(_Connection):
-    """Hold one caller's connection."""
+    """A connection of the server."""
 
-    __slots__ = ("_head", "_paths", "_task")
+    __slots__ = ("_handlers", "_head", "_task")
 
     def __init__(self, handlers: dict[str, Handler]) -> None:
         super().__init__(h11.SERVER)
-        self._paths = handlers
+        self._handlers = handlers
         self._head: h11.Request | None = None
         self._task: asyncio.Task[None] | None = None
 
@@ -277,7 +291,7 @@
 
     def _read(self) -> None:
         while True:
-            event = self._wire.next_event()
+            event = self._h11.next_event()
             if event is h11.NEED_DATA or event is h11.PAUSED:
                 return
             if isinstance(event, h11.Request):
@@ -303,36 +317,36 @@
         target = head.target.decode("latin-1")
         method = head.method.decode("latin-1")
         request = Request(method, target, headers, bytes(self._body))
-        handler = self._paths.get(target.partition("?")[0])
+        handler = self._handlers.get(target.partition("?")[0])
         if handler is None:
-            self._answer(Response(404))
+            self._send_response(Response(404))
             return
         response = handler(request)
         if isinstance(response, Response):
-            self._answer(response)
+            self._send_response(response)
         else:
             loop = asyncio.get_running_loop()
-            self._task = loop.create_task(self._answer_later(response))
+            self._task = loop.create_task(self._send_response_later(response))
 
-    async def _answer_later(self, response: Awaitable[Response]) -> None:
-        answer = await response
+    async def _send_response_later(self, pending: Awaitable[Response]) -> None:
+        response = await pending
         self._task = None
-        self._answer(answer)
+        self._send_response(response)
         self._read()
 
-    def _answer(self, response: Response) -> None:
+    def _send_response(self, response: Response) -> None:
         headers = [("Content-Length", str(len(response.body)))]
         if response.content_encoding:
             headers.append(("Content-Encoding", response.content_encoding))
         headers.extend(response.headers)
-        data = self._wire.send(
+        data = self._h11.send(
             h11.Response(status_code=response.status, headers=headers)
         )
         if response.body:
-            data += self._wire.send(h11.Data(data=response.body))
-        data += self._wire.send(h11.EndOfMessage())
+            data += self._h11.send(h11.Data(data=response.body))
+        data += self._h11.send(h11.EndOfMessage())
         self._transport.write(data)
-        if self._wire.our_state is h11.DONE:
-            self._wire.start_next_cycle()
+        if self._h11.our_state is h11.DONE:
+            self._h11.start_next_cycle()
         else:
             self._transport.close()
--- a/mallowpass/platform/lineserver.py
+++ b/mallowpass/platform/lineserver.py
@@ -1,4 +1,4 @@
-"""What servers of the line protocol share: listening, numbering, closing."""
+"""Base classes of servers of the line protocol: listening, numbering, closing."""
 
 from __future__ import annotations
 
@@ -19,12 +19,21 @@
 
 
 class LineServer:
-    """Accept connections, each under a number of its own that is never reused."""
+    """Accept connections, and identify each by a number that is never reused."""
 
-    __slots__ = ("_backlog", "_connections", "_kind", "_numbers", "_server", "_sink")
+    __slots__ = (
+        "_backlog",
+        "_connections",
+        "_numbers",
+        "_protocol_class",
+        "_server",
+        "_sink",
+    )
 
-    def __init__(self, kind: type[LineProtocol], backlog: int, sink: EventSink) -> None:
-        self._kind = kind
+    def __init__(
+        self, protocol_class: type[LineProtocol], backlog: int, sink: EventSink
+    ) -> None:
+        self._protocol_class = protocol_class
         self._backlog = backlog
         self._sink = sink
         self._connections: dict[int, LineProtocol] = {}
@@ -32,33 +41,33 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, address: Address) -> None:
-        """Listen."""
+        """Listen on an address."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             self._make_protocol, address.host, address.port, backlog=self._backlog
         )
 
     def _make_protocol(self) -> LineProtocol:
-        return self._kind(next(self._numbers), self._connections, self._sink)
+        return self._protocol_class(next(self._numbers), self._connections, self._sink)
 
     def refuse(self, number: int, code: Code, message: str) -> None:
-        """Tell the other end why it is not served, and close."""
+        """Send an error with the reason for the refusal, and close the connection."""
         self._write(number, wire.render_error(code, message))
         self.close(number)
 
     def close(self, number: int) -> None:
-        """Close a connection once all that was written has left."""
+        """Close a connection after the data written to it has been sent."""
         connection = self._connections.pop(number, None)
         if connection is not None:
             connection.transport.close()
 
     def stop_accepting(self) -> None:
-        """Stop listening; open connections stay."""
+        """Stop listening; keep open connections."""
         if self._server is not None:
             self._server.close()
 
     def close_all(self) -> None:
-        """Close all connections once what was written has left."""
+        """Stop listening, and close all connections after their data has been sent."""
         self.stop_accepting()
         for number in list(self._connections):
             self.close(number)
@@ -76,7 +85,7 @@
 
 
 class LineProtocol(asyncio.Protocol):
-    """Hold one connection of a LineServer."""
+    """Base class of the connections of a LineServer."""
 
     __slots__ = ("_connections", "_is_open", "_lines", "_number", "_sink", "transport")
 
@@ -87,11 +96,11 @@
         self._connections = connections
         self._sink = sink
         self._lines = wire.LineBuffer()
-        self._is_open = False  # it has sent its first line
+        self._is_open = False  # whether its opening line has been received
         self.transport: asyncio.Transport = None  # type: ignore[assignment]
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to count among the server's connections."""
+        """Add this connection to those of the server."""
         self.transport = transport  # type: ignore[assignment]
         self._connections[self._number] = self
         enable_keepalive(transport)
--- a/mallowpass/platform/logs.py
+++ b/mallowpass/platform/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs on standard output: bounded, and never waited for."""
+"""Structured logs on standard output, limited in rate and written without blocking."""
 
 from __future__ import annotations
 
@@ -9,73 +9,74 @@
 
 __all__ = ["LogWriter"]
 
-RATE_MAX = 200.0  # lines a second that may be written for long; about 60 kB
-BURST_MAX = 400.0  # lines that may be written at once
-UNWRITTEN_MAX = 256 << 10  # bytes that wait for a reader of standard output
-# Lines that are never dropped for the rate: few, and what others are read against.
-_ALWAYS = frozenset({"warning", "error"})
+# The rate limit is a token bucket: each line takes one token.
+LINES_PER_SECOND_MAX = 200.0  # sustained; about 60 kB/s
+BURST_LINES_MAX = 400.0
+BUFFER_SIZE_MAX = 256 << 10  # bytes that standard output has not accepted yet
+# Levels exempt from the rate limit: such lines are few, and explain the other lines.
+_UNLIMITED_LEVELS = frozenset({"warning", "error"})
 
 
 class LogWriter:
     """Write one line of key=value pairs for each event.
 
-    Whoever reads standard output may be slow or gone. Lines that would have to be
-    waited for, or that exceed the rate, are dropped and counted.
+    The process that reads standard output may be slow or gone. Lines that exceed the
+    rate limit or do not fit into the buffer are dropped and counted.
     """
 
-    __slots__ = ("_allowance", "_dropped", "_file", "_refilled_at", "_unwritten")
+    __slots__ = ("_buffer", "_descriptor", "_dropped", "_refilled_at", "_tokens")
 
-    def __init__(self, file: int | None = None) -> None:
-        self._file = sys.stdout.fileno() if file is None else file
-        os.set_blocking(self._file, False)
-        self._allowance = BURST_MAX
+    def __init__(self, descriptor: int | None = None) -> None:
+        self._descriptor = sys.stdout.fileno() if descriptor is None else descriptor
+        os.set_blocking(self._descriptor, False)
+        self._tokens = BURST_LINES_MAX
         self._refilled_at = time.monotonic()
         self._dropped = 0
-        self._unwritten = bytearray()
+        self._buffer = bytearray()
 
     def write(
         self, level: str, event: str, fields: tuple[tuple[str, Any], ...]
     ) -> None:
-        """Write a line, or count it as dropped."""
+        """Write a line, or drop and count it if the rate limit is exceeded."""
         now = time.monotonic()
-        self._refill(now)
-        if self._allowance < 1.0 and level not in _ALWAYS:
+        self._refill_tokens(now)
+        if self._tokens < 1.0 and level not in _UNLIMITED_LEVELS:
             self._dropped += 1
             return
-        self._allowance -= 1.0
-        if self._dropped and self._allowance >= 1.0:
+        self._tokens -= 1.0
+        if self._dropped and self._tokens >= 1.0:
             dropped, self._dropped = self._dropped, 0
-            self._put(_line("warning", "log_dropped", (("lines", dropped),)))
-        self._put(_line(level, event, fields))
+            self._emit(_format_line("warning", "log_dropped", (("lines", dropped),)))
+        self._emit(_format_line(level, event, fields))
 
-    def _refill(self, now: float) -> None:
-        earned = (now - self._refilled_at) * RATE_MAX
+    def _refill_tokens(self, now: float) -> None:
+        refill = (now - self._refilled_at) * LINES_PER_SECOND_MAX
         self._refilled_at = now
-        self._allowance = min(BURST_MAX, self._allowance + earned)
+        self._tokens = min(BURST_LINES_MAX, self._tokens + refill)
 
-    def _put(self, line: bytes) -> None:
-        if len(self._unwritten) + len(line) > UNWRITTEN_MAX:
+    def _emit(self, line: bytes) -> None:
+        if len(self._buffer) + len(line) > BUFFER_SIZE_MAX:
             self._dropped += 1
             return
-        self._unwritten += line
+        self._buffer += line
         try:
-            written = os.write(self._file, self._unwritten)
+            written = os.write(self._descriptor, self._buffer)
         except BlockingIOError:
-            return  # kept, and written with the next line
+            return  # stays in the buffer, to be written with the next line
         except OSError:
-            self._unwritten.clear()  # nobody reads any more
+            self._buffer.clear()  # the reader is gone
             self._dropped += 1
             return
-        del self._unwritten[:written]
+        del self._buffer[:written]
 
 
-def _line(level: str, event: str, fields: tuple[tuple[str, Any], ...]) -> bytes:
-    words = [f"ts={time.time():.3f}", f"level={level}", f"event={event}"]
-    words += [f"{key}={_text(value)}" for key, value in fields]
-    return (" ".join(words) + "\n").encode("utf-8", "replace")
+def _format_line(level: str, event: str, fields: tuple[tuple[str, Any], ...]) -> bytes:
+    pairs = [f"ts={time.time():.3f}", f"level={level}", f"event={event}"]
+    pairs += [f"{key}={_format_value(value)}" for key, value in fields]
+    return (" ".join(pairs) + "\n").encode("utf-8", "replace")
 
 
-def _text(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     text = str(value)
--- a/mallowpass/platform/metrics.py
+++ b/mallowpass/platform/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms, kept as numbers and rendered as text when asked for."""
+"""Counters and histograms, rendered in the Prometheus text format on request."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 
 __all__ = ["Metrics"]
 
-# Upper bounds in seconds: from a read within a region to the longest timeout in use.
-BUCKETS = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2)
+# Upper bounds of the buckets, in seconds. They range from the duration of a read within
+# a region to the longest timeout in use.
+BUCKET_BOUNDS = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2)
 
 Labels = tuple[tuple[str, str], ...]
 
 
 class Metrics:
-    """Hold all counters and histograms of this process."""
+    """The counters and histograms of this process."""
 
     __slots__ = ("_counters", "_histograms")
 
@@ -25,12 +26,12 @@
         self._histograms: dict[tuple[str, Labels], _Histogram] = {}
 
     def count(self, effect: Count) -> None:
-        """Add to a counter."""
+        """Increase a counter."""
         key = (effect.name, effect.attributes)
         self._counters[key] = self._counters.get(key, 0) + effect.value
 
     def observe(self, effect: Observe) -> None:
-        """Record a value of a histogram, in seconds."""
+        """Add a value, in seconds, to a histogram."""
         key = (effect.name, effect.attributes)
         histogram = self._histograms.get(key)
         if histogram is None:
@@ -38,8 +39,8 @@
         histogram.add(effect.value)
 
     def render(self, tables: ProxyTables) -> bytes:
-        """Return all of them, with the sizes of the main tables, as text."""
-        # Imported here: most processes are never asked, and it takes memory.
+        """Return all metrics, and the sizes of the main tables, as text."""
+        # Imported late to save memory: most processes never serve their metrics.
         from prometheus_client import CollectorRegistry, generate_latest
 
         registry = CollectorRegistry()
@@ -48,29 +49,36 @@
 
 
 class _Histogram:
-    """Count values by bucket."""
+    """A histogram with one count per bucket."""
 
     __slots__ = ("counts", "total")
 
     def __init__(self) -> None:
-        self.counts = [0] * (len(BUCKETS) + 1)
+        self.counts = [0] * (len(BUCKET_BOUNDS) + 1)
         self.total = 0.0
 
     def add(self, value: float) -> None:
-        self.counts[bisect_left(BUCKETS, value)] += 1
+        self.counts[bisect_left(BUCKET_BOUNDS, value)] += 1
         self.total += value
 
-    def buckets(self) -> list[tuple[str, float]]:
-        pairs = []
-        below = 0
-        for bound, number in zip((*BUCKETS, float("inf")), self.counts, strict=True):
-            below += number
-            pairs.append(("+Inf" if bound == float("inf") else str(bound), below))
-        return pairs
+    def cumulative_buckets(self) -> list[tuple[str, float]]:
+        buckets = []
+        cumulative = 0
+        for upper_bound, count in zip(
+            (*BUCKET_BOUNDS, float("inf")), self.counts, strict=True
+        ):
+            cumulative += count
+            buckets.append(
+                (
+                    "+Inf" if upper_bound == float("inf") else str(upper_bound),
+                    cumulative,
+                )
+            )
+        return buckets
 
 
 class _Collector:
-    """Turn the numbers into the library's families."""
+    """Convert counters and histograms to metric families of `prometheus_client`."""
 
     def __init__(
         self,
@@ -104,7 +112,7 @@
                 family = HistogramMetricFamily(f"mallowpass_{name}", name, labels=keys)
                 families[name] = family
             texts = [text for _, text in labels]
-            family.add_metric(texts, histogram.buckets(), histogram.total)
+            family.add_metric(texts, histogram.cumulative_buckets(), histogram.total)
         yield from families.values()
         for name in ("sessions", "connections", "endpoints", "hosts"):
             size = len(getattr(self._tables, name))
--- a/mallowpass/platform/runtime.py
+++ b/mallowpass/platform/runtime.py
@@ -1,4 +1,4 @@
-"""Drive one host's core: events in, effects carried out."""
+"""Drive the core of one host: pass events to it and carry out its effects."""
 
 from __future__ import annotations
 
@@ -40,51 +40,52 @@
 
 __all__ = ["EXCEPTION_ESCAPED", "HostRuntime", "host_clock"]
 
-# The event, and the counter, of an exception that nobody was there to catch.
+# Log event and counter of an uncaught exception.
 EXCEPTION_ESCAPED = "exception_escaped"
 
 READY_PATH = "/v1/ready"
-# Where deploy/system.toml says that metrics are; a test holds the two together.
+# Must match `metrics` in deploy/system.toml; a test compares the two.
 METRICS_PORT = 9464
 METRICS_PATH = "/metrics"
-# Settings that a reload puts in force at once; the others name sockets, or who this is.
-_CHANGE_WHILE_RUNNING = ("grace",)
+# Settings that take effect on reload. All others, such as sockets and the host's name,
+# take effect at the next start.
+_RELOADABLE = ("grace",)
 
 
 def host_clock() -> float:
-    """Return seconds of a clock that goes on while the machine is suspended.
+    """Return the time, in seconds, of a clock that also runs during a system suspend.
 
-    The steady clock stands still meanwhile. By it a floor from before a suspension
-    would look fresh, and reads would be served that are older than accepted.
+    CLOCK_MONOTONIC stops during a suspend. Measured by it, a floor from before the
+    suspend would look fresh, and reads would be staler than their route accepts.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class HostRuntime:
-    """Own the sockets of one host, and its core."""
+    """Own the sockets and the core of one host."""
 
     __slots__ = (
-        "_aborted",
-        "_callers",
+        "_allowance_clients",
+        "_allowance_server",
+        "_caller_server",
         "_endpoints",
-        "_feeds",
-        "_http",
-        "_keepers",
-        "_limits",
-        "_links",
+        "_feed_server",
+        "_is_closed",
+        "_is_ready",
+        "_link_server",
         "_log",
         "_metrics",
-        "_metrics_http",
+        "_metrics_server",
         "_node",
-        "_orders",
-        "_path",
-        "_ready",
-        "_relays",
+        "_promotion_client",
+        "_ready_server",
+        "_relay_clients",
         "_settings",
+        "_settings_path",
         "_stopped",
-        "_store",
+        "_store_client",
         "_tasks",
-        "_timer",
+        "_wake_timer",
     )
 
     def __init__(
@@ -94,77 +95,80 @@
         path: str | os.PathLike[str] | None = None,
     ) -> None:
         self._settings = settings
-        self._path = path
+        self._settings_path = path
         self._log = log
         self._metrics = Metrics()
-        self._ready = False
-        self._aborted = False
-        self._timer: asyncio.TimerHandle | None = None
+        self._is_ready = False
+        self._is_closed = False
+        self._wake_timer: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._stopped = asyncio.Event()
         seed = int.from_bytes(os.urandom(8), "big")
         now = host_clock()
         identity = _identity(settings, seed)
-        # A platform that checks fences also takes the lead from a primary at once; one
-        # that does not has it go on until it hears of its successor.
+        # A platform that checks fencing tokens also demotes the old primary at the
+        # moment of a promotion. Without these checks the old primary continues until
+        # it learns of its successor.
         tables = ProxyTables(
             settings.first_start,
             promotion_fences_primary=settings.fences,
             settle_time=settings.settle_time,
-            # Without a port for it nobody can follow the store by way of another.
+            # Without a feeds port, no host follows the store through another host.
             apply_time=0.0 if settings.feeds is None else settings.apply_time,
             key_lapse=settings.key_lapse,
             rate_bounds=settings.rate_bounds,
         )
         self._node = Node(identity, Tuning(), seed, now, tables)
         self._node.on_error = self._on_error
-        self._callers = CallerServer(self.handle)
-        self._links = LinkServer(self.handle)
+        self._caller_server = CallerServer(self.handle)
+        self._link_server = LinkServer(self.handle)
         self._endpoints = EndpointConnections(settings.name, self.handle)
-        self._store = StoreClient(settings.store)
-        self._feeds = FeedServer(self.handle)
-        self._relays = RelayClients(settings.feeds)
-        self._limits = AllowanceServer(self.handle)
-        self._keepers = AllowanceClients(settings.limits, self.handle)
-        self._orders = None
+        self._store_client = StoreClient(settings.store)
+        self._feed_server = FeedServer(self.handle)
+        self._relay_clients = RelayClients(settings.feeds)
+        self._allowance_server = AllowanceServer(self.handle)
+        self._allowance_clients = AllowanceClients(settings.limits, self.handle)
+        self._promotion_client = None
         if settings.orders is not None:
-            self._orders = OrderClient(settings.orders, settings.name)
-        self._http = HttpServer({READY_PATH: self._answer_ready})
-        self._metrics_http = HttpServer({METRICS_PATH: self._answer_metrics})
+            self._promotion_client = OrderClient(settings.orders, settings.name)
+        self._ready_server = HttpServer({READY_PATH: self._answer_ready})
+        self._metrics_server = HttpServer({METRICS_PATH: self._answer_metrics})
 
     async def run(self) -> None:
-        """Serve until a signal says to stop."""
+        """Serve until a signal stops this host."""
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.stop)
+        for signum in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signum, self.stop)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
         await self.start()
         await self._stopped.wait()
-        self._take_no_more()
+        self._ignore_further_events()
 
-    def _take_no_more(self) -> None:
-        """Leave whatever still comes: the core has stopped.
+    def _ignore_further_events(self) -> None:
+        """Ignore all further events, as the core has stopped.
 
-        Calls are cancelled as the event loop ends. One of them may end as a call that
-        got no answer; told of it, the core would begin another call, which nobody
-        cancels, and which fails as the loop is closed.
+        The event loop cancels open calls as it ends. A cancelled call may be reported
+        as unanswered. If the core received that report, it would start another call,
+        which the event loop no longer cancels and which fails when the loop closes.
         """
-        self._aborted = True
-        if self._timer is not None:
-            self._timer.cancel()
+        self._is_closed = True
+        if self._wake_timer is not None:
+            self._wake_timer.cancel()
 
     async def start(self) -> None:
-        """Listen, and start the core."""
+        """Listen on all ports, then start the core."""
         asyncio.get_running_loop().set_exception_handler(self._on_loop_error)
-        await self._http.start(self._settings.ready)
-        await self._metrics_http.start(Address(self._settings.ready.host, METRICS_PORT))
+        await self._ready_server.start(self._settings.ready)
+        await self._metrics_server.start(
+            Address(self._settings.ready.host, METRICS_PORT)
+        )
         if self._settings.peers is not None:
-            await self._links.start(self._settings.peers)
+            await self._link_server.start(self._settings.peers)
         if self._settings.feeds is not None:
-            await self._feeds.start(self._settings.feeds)
+            await self._feed_server.start(self._settings.feeds)
         if self._settings.limits is not None:
-            await self._limits.start(self._settings.limits)
-        await self._callers.start(self._settings.callers)
+            await self._allowance_server.start(self._settings.limits)
+        await self._caller_server.start(self._settings.callers)
         self._log.write(
             "info",
             "started",
@@ -178,59 +182,59 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether this host wants new connections of callers."""
-        return self._ready
+        """Return whether this host wants new connections from callers."""
+        return self._is_ready
 
     def stop(self) -> None:
-        """Begin to stop: what is in flight is finished first."""
+        """Begin a graceful shutdown: work in flight is finished first."""
         self.handle(ShutdownRequested(self._settings.grace))
 
     def abort(self) -> None:
-        """End at once, as when the process is killed."""
-        self._aborted = True
-        self._http.close()
-        self._metrics_http.close()
-        self._feeds.close()
-        self._callers.abort()
-        self._links.abort()
-        self._limits.abort()
-        self._keepers.abort()
+        """Stop at once, as when the process is killed; work in flight is lost."""
+        self._is_closed = True
+        self._ready_server.close()
+        self._metrics_server.close()
+        self._feed_server.close()
+        self._caller_server.abort()
+        self._link_server.abort()
+        self._allowance_server.abort()
+        self._allowance_clients.abort()
         for task in self._tasks:
             task.cancel()
 
     # -- Driving the core ----------------------------------------------------
 
     def handle(self, event: Event | ProxyEvent) -> None:
-        """Pass an event to the core, and carry out what follows from it."""
-        if self._aborted:
+        """Pass an event to the core, and carry out the resulting effects."""
+        if self._is_closed:
             return
         self._carry_out(self._node.handle(host_clock(), event))
 
     def _wake(self) -> None:
-        self._timer = None
-        if self._aborted:
+        self._wake_timer = None
+        if self._is_closed:
             return
         self._carry_out(self._node.wake(host_clock()))
 
-    def _carry_out(self, todo: list[Effect | effects.ProxyEffect]) -> None:
-        if self._aborted:
+    def _carry_out(self, pending: list[Effect | effects.ProxyEffect]) -> None:
+        if self._is_closed:
             return
-        for effect in todo:
+        for effect in pending:
             try:
                 self._apply(effect)
             except Exception as error:
-                # The others are not to blame: they belong to other connections.
+                # Continue: the other effects belong to other connections.
                 self._on_error(error, type(effect).__name__)
-        due = self._node.next_wake
-        if self._timer is not None:
-            self._timer.cancel()
-            self._timer = None
-        if due is not None:
-            delay = max(0.0, due - host_clock())
-            self._timer = asyncio.get_running_loop().call_later(delay, self._wake)
+        next_wake = self._node.next_wake
+        if self._wake_timer is not None:
+            self._wake_timer.cancel()
+            self._wake_timer = None
+        if next_wake is not None:
+            delay = max(0.0, next_wake - host_clock())
+            self._wake_timer = asyncio.get_running_loop().call_later(delay, self._wake)
 
     def _on_error(self, error: BaseException, during: str = "") -> None:
-        """Log an exception that escaped, and where: it shows nowhere else."""
+        """Log and count an uncaught exception, which is reported nowhere else."""
         frames = traceback.extract_tb(error.__traceback__)
         where = f"{frames[-1].filename}:{frames[-1].lineno}" if frames else ""
         self._metrics.count(
@@ -251,7 +255,7 @@
     def _on_loop_error(
         self, loop: asyncio.AbstractEventLoop, context: dict[str, object]
     ) -> None:
-        """Log what asyncio found in a socket's, a timer's or a task's handler."""
+        """Log an error that asyncio caught in a socket, timer or task callback."""
         error = context.get("exception")
         if not isinstance(error, BaseException):
             error = RuntimeError(str(context.get("message", "unknown")))
@@ -264,43 +268,43 @@
 
     @singledispatchmethod
     def _apply(self, effect: Effect | effects.ProxyEffect) -> None:
-        raise TypeError(f"no adapter for {type(effect).__name__}")
+        raise TypeError(f"no handler for effect {type(effect).__name__}")
 
     @_apply.register
     def _(self, effect: effects.AcceptSession) -> None:
-        self._callers.accept(effect.stream)
+        self._caller_server.accept(effect.stream)
 
     @_apply.register
     def _(self, effect: effects.RefuseSession) -> None:
-        self._callers.refuse(effect.stream, effect.code, effect.message)
+        self._caller_server.refuse(effect.stream, effect.code, effect.message)
 
     @_apply.register
     def _(self, effect: effects.AnswerStatement) -> None:
-        self._callers.answer(effect.stream, effect.answer)
+        self._caller_server.answer(effect.stream, effect.answer)
 
     @_apply.register
     def _(self, effect: effects.CloseSession) -> None:
-        self._callers.close(effect.stream)
+        self._caller_server.close(effect.stream)
 
     @_apply.register
     def _(self, effect: effects.StopAccepting) -> None:
-        self._callers.stop_accepting()
+        self._caller_server.stop_accepting()
 
     @_apply.register
     def _(self, effect: effects.AcceptLink) -> None:
-        self._links.accept(effect.link, effect.position, effect.floor)
+        self._link_server.accept(effect.link, effect.position, effect.floor)
 
     @_apply.register
     def _(self, effect: effects.RefuseLink) -> None:
-        self._links.refuse(effect.link, effect.code, effect.message)
+        self._link_server.refuse(effect.link, effect.code, effect.message)
 
     @_apply.register
     def _(self, effect: effects.AnswerLink) -> None:
-        self._links.answer(effect.link, effect.reply)
+        self._link_server.answer(effect.link, effect.reply)
 
     @_apply.register
     def _(self, effect: effects.CloseLink) -> None:
-        self._links.close(effect.link)
+        self._link_server.close(effect.link)
 
     @_apply.register
     def _(self, effect: effects.OpenConnection) -> None:
@@ -319,42 +323,42 @@
         self._spawn(self._call_store(effect))
 
     async def _call_store(self, effect: effects.CallStore) -> None:
-        client = self._store
+        client = self._store_client
         if effect.relay:
-            client = self._relays.client(effect.relay)
+            client = self._relay_clients.client(effect.relay)
         reply = await client.call(effect.request, effect.timeout)
         self.handle(StoreAnswered(effect.call, reply))
 
     @_apply.register
     def _(self, effect: effects.AnswerFeed) -> None:
-        self._feeds.answer(effect.feed, effect.reply)
+        self._feed_server.answer(effect.feed, effect.reply)
 
     @_apply.register
     def _(self, effect: effects.AskAllowance) -> None:
-        self._keepers.ask(effect)
+        self._allowance_clients.ask(effect)
 
     @_apply.register
     def _(self, effect: effects.AnswerAllowance) -> None:
-        self._limits.answer(effect)
+        self._allowance_server.answer(effect)
 
     @_apply.register
     def _(self, effect: effects.OrderPromotion) -> None:
-        self._spawn(self._order(effect))
+        self._spawn(self._order_promotion(effect))
 
-    async def _order(self, effect: effects.OrderPromotion) -> None:
-        if self._orders is None:
-            message = "the settings name nobody who takes orders"
+    async def _order_promotion(self, effect: effects.OrderPromotion) -> None:
+        if self._promotion_client is None:
+            message = "no [cloud] in the settings: promotions can't be ordered"
             self.handle(PromotionAnswered(effect.call, False, message=message))
             return
-        self.handle(await self._orders.promote(effect))
+        self.handle(await self._promotion_client.promote(effect))
 
     @_apply.register
     def _(self, effect: effects.SetReady) -> None:
-        self._ready = effect.ready
+        self._is_ready = effect.ready
 
     @_apply.register
     def _(self, effect: effects.Exit) -> None:
-        self._callers.close_all()
+        self._caller_server.close_all()
         self._stopped.set()
 
     @_apply.register
@@ -372,14 +376,15 @@
     # -- Signals and HTTP ----------------------------------------------------
 
     def reload(self) -> None:
-        """Read the settings file again; what can't change while running is told.
+        """Read the settings file again, and apply the reloadable settings.
 
-        A file that is wrong changes nothing: the host goes on with what it has.
+        Changed settings that need a restart are only logged. An invalid file is
+        refused: the host keeps its current settings.
         """
-        if self._path is None:
+        if self._settings_path is None:
             return
         try:
-            settings = load_settings(self._path)
+            settings = load_settings(self._settings_path)
         except SettingsError as error:
             self._log.write("error", "reload_refused", (("why", error),))
             return
@@ -388,18 +393,21 @@
             for field in dataclasses.fields(settings)
             if getattr(settings, field.name) != getattr(self._settings, field.name)
         ]
-        later = [name for name in changed if name not in _CHANGE_WHILE_RUNNING]
+        at_next_start = [name for name in changed if name not in _RELOADABLE]
         self._settings = dataclasses.replace(
-            self._settings, **{n: getattr(settings, n) for n in _CHANGE_WHILE_RUNNING}
+            self._settings, **{name: getattr(settings, name) for name in _RELOADABLE}
         )
         self._log.write(
             "info",
             "reloaded",
-            (("changed", ",".join(changed)), ("at_next_start", ",".join(later))),
+            (
+                ("changed", ",".join(changed)),
+                ("at_next_start", ",".join(at_next_start)),
+            ),
         )
 
     def _answer_ready(self, request: Request) -> Response:
-        return Response(200 if self._ready else 503)
+        return Response(200 if self._is_ready else 503)
 
     def _answer_metrics(self, request: Request) -> Response:
         return Response(200, self._metrics.render(self._node.tables))
--- a/mallowpass/platform/settings.py
+++ b/mallowpass/platform/settings.py
@@ -17,37 +17,38 @@
 SETTINGS_VARIABLE = "MALLOWPASS_NODE_FILE"
 _PORT = re.compile("[0-9]{1,5}")
 _PORT_MAX = 65535
-# Seconds, where the bounds name none: the shortest in use.
-SETTLE_TIME = 4.0
-APPLY_TIME = 3.0
-KEY_LAPSE = 5.0
-# Which of the ports that are free for use among hosts is for what.
-_LINKS_PORT = 0
-_FEEDS_PORT = 1
-_LIMITS_PORT = 2
+# Defaults in seconds for bounds that the file lacks: the shortest values in use.
+DEFAULT_SETTLE_TIME = 4.0
+DEFAULT_APPLY_TIME = 3.0
+DEFAULT_KEY_LAPSE = 5.0
+# Index of each server in `internalPorts`, the range of ports for traffic among hosts.
+_LINKS_PORT_INDEX = 0
+_FEEDS_PORT_INDEX = 1
+_LIMITS_PORT_INDEX = 2
 
-
-_RATES = RateBounds()
+_DEFAULT_RATE_BOUNDS = RateBounds()
 
 
 class SettingsError(Exception):
-    """Say which key of the settings is missing or wrong."""
+    """Report which settings are missing or invalid."""
 
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """Name a TCP endpoint; `host` is an IP number."""
+    """A TCP address; `host` is an IP address."""
 
     host: str
     port: int
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Read `HOST:PORT`."""
+        """Parse `HOST:PORT`; SettingsError if the text has another form."""
         host, _, port = text.rpartition(":")
         is_port = _PORT.fullmatch(port) is not None and int(port) <= _PORT_MAX
         if not host or not is_port:
-            raise SettingsError(f"not an address: {text!r}")
+            raise SettingsError(
+                f"expected HOST:PORT with a port up to {_PORT_MAX}, got {text!r}"
+            )
         return cls(host, int(port))
 
     def __str__(self) -> str:
@@ -56,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostSettings:
-    """Hold what a process is told at its start; times in seconds."""
+    """The settings of one host; times are in seconds."""
 
     name: str
     failure_domain: str
@@ -64,53 +65,55 @@
     callers: Address
     ready: Address
     store: Address
-    orders: Address | None  # where promotions are ordered
-    grace: float  # between the signal to stop and the kill
-    peers: Address | None = None  # where other hosts may call; None: nowhere
+    orders: Address | None  # of the platform's service that carries out promotions
+    grace: float  # time between SIGTERM and SIGKILL
+    peers: Address | None = None  # listens for links of other hosts; None: disabled
     capacity: float = 1.0  # cores
     first_start: bool = False  # the whole fleet starts for the first time
-    fences: bool = False  # the platform refuses orders of whoever was overtaken
-    feeds: Address | None = (
-        None  # where other hosts may follow the store; None: nowhere
-    )
-    # Where other hosts may ask for parts of rate limits; None: nowhere.
+    fences: bool = False  # the platform refuses orders with an outdated fencing token
+    # Listens for hosts that follow the store through this host; None: disabled.
+    feeds: Address | None = None
+    # Listens for hosts that ask for allowances of rate limits; None: disabled.
     limits: Address | None = None
     rate_bounds: RateBounds = RateBounds()
-    # Seconds after which a host refuses keys that it can't know to be in force still.
+    # Time without confirmation of the customers' keys after which a host refuses them,
+    # as they may have been revoked.
     key_lapse: float = math.inf
-    # Until then after a disruption this host may go by what held before it.
-    settle_time: float = SETTLE_TIME
-    # Within that a change of the configuration must be in force.
-    apply_time: float = APPLY_TIME
+    # Time after a disruption during which this host may rely on the state before it.
+    settle_time: float = DEFAULT_SETTLE_TIME
+    # Time within which a change of the configuration must be in force.
+    apply_time: float = DEFAULT_APPLY_TIME
 
 
 def settings_path() -> str:
-    """Return the file that the environment names."""
+    """Return the path of the settings file, from the environment."""
     name = os.environ.get(SETTINGS_VARIABLE)
     if not name:
-        raise SettingsError(f"{SETTINGS_VARIABLE} is not set")
+        raise SettingsError(f"environment variable {SETTINGS_VARIABLE} is not set")
     return name
 
 
 def load_settings(path: str | os.PathLike[str]) -> HostSettings:
-    """Read and check the file; SettingsError lists all findings."""
+    """Read and check the settings file; SettingsError lists all findings."""
     try:
         with open(path, "rb") as file:
             fields = tomllib.load(file)
     except (OSError, tomllib.TOMLDecodeError) as error:
         raise SettingsError(f"{path}: {error}") from error
     findings: list[str] = []
-    settings = _read(fields, findings)
+    settings = _parse(fields, findings)
     if findings:
         raise SettingsError("; ".join(f"{path}: {finding}" for finding in findings))
     return settings
 
 
-def _read(fields: dict[str, Any], findings: list[str]) -> HostSettings:
+def _parse(fields: dict[str, Any], findings: list[str]) -> HostSettings:
     def text(*keys: str) -> str:
-        value = _find(fields, keys)
+        value = _lookup(fields, keys)
         if not isinstance(value, str) or not value:
-            findings.append(f"{'.'.join(keys)}: text is missing")
+            findings.append(
+                f"{'.'.join(keys)}: missing, empty or not a string: {value!r}"
+            )
             return ""
         return value
 
@@ -123,33 +126,39 @@
             return Address("0.0.0.0", 0)
 
     def seconds(*keys: str) -> float:
-        value = _find(fields, keys)
+        value = _lookup(fields, keys)
         if isinstance(value, bool) or not isinstance(value, int | float) or value <= 0:
-            findings.append(f"{'.'.join(keys)}: a positive number is missing")
+            findings.append(
+                f"{'.'.join(keys)}: missing or not a positive number: {value!r}"
+            )
             return 1.0
         return float(value)
 
     def optional_milliseconds(default: float, *keys: str) -> float:
-        value = _find(fields, keys)
+        value = _lookup(fields, keys)
         if value is None:
             return default
         is_number = isinstance(value, int | float) and not isinstance(value, bool)
         if not is_number or not 0 < value < math.inf:
-            findings.append(f"{'.'.join(keys)}: not a positive number: {value!r}")
+            findings.append(
+                f"{'.'.join(keys)}: not a positive finite number: {value!r}"
+            )
             return default
         return float(value) / 1000.0
 
     def optional_number(default: float, *keys: str) -> float:
-        value = _find(fields, keys)
+        value = _lookup(fields, keys)
         if value is None:
             return default
         is_number = isinstance(value, int | float) and not isinstance(value, bool)
         if not is_number or not 0 <= value < math.inf:
-            findings.append(f"{'.'.join(keys)}: not a number: {value!r}")
+            findings.append(
+                f"{'.'.join(keys)}: not a finite number of at least 0: {value!r}"
+            )
             return default
         return float(value)
 
-    regions = _find(fields, ("zones",))
+    regions = _lookup(fields, ("zones",))
     orders = address("cloud", "address") if "cloud" in fields else None
     callers = address("listen", "front")
     return HostSettings(
@@ -161,33 +170,39 @@
         store=address("platform", "address"),
         orders=orders,
         grace=seconds("bounds", "graceS"),
-        peers=_peers_address(fields, callers, _LINKS_PORT),
-        feeds=_peers_address(fields, callers, _FEEDS_PORT),
-        limits=_peers_address(fields, callers, _LIMITS_PORT),
+        peers=_internal_address(fields, callers, _LINKS_PORT_INDEX),
+        feeds=_internal_address(fields, callers, _FEEDS_PORT_INDEX),
+        limits=_internal_address(fields, callers, _LIMITS_PORT_INDEX),
         key_lapse=_key_lapse(optional_milliseconds, fields),
         rate_bounds=RateBounds(
-            window=optional_number(_RATES.window, "bounds", "quotaWindowS"),
-            overage=optional_number(_RATES.overage, "bounds", "quotaOverage"),
-            slack=optional_number(_RATES.slack, "bounds", "quotaSlack"),
+            window=optional_number(
+                _DEFAULT_RATE_BOUNDS.window, "bounds", "quotaWindowS"
+            ),
+            overage=optional_number(
+                _DEFAULT_RATE_BOUNDS.overage, "bounds", "quotaOverage"
+            ),
+            slack=optional_number(_DEFAULT_RATE_BOUNDS.slack, "bounds", "quotaSlack"),
         ),
         capacity=_capacity(fields),
-        first_start=_find(fields, ("bootstrap",)) is True,
-        fences=_find(fields, ("bounds", "requireFencing")) is True,
-        settle_time=optional_milliseconds(SETTLE_TIME, "bounds", "contactMs"),
-        apply_time=optional_milliseconds(APPLY_TIME, "bounds", "configApplyMs"),
+        first_start=_lookup(fields, ("bootstrap",)) is True,
+        fences=_lookup(fields, ("bounds", "requireFencing")) is True,
+        settle_time=optional_milliseconds(DEFAULT_SETTLE_TIME, "bounds", "contactMs"),
+        apply_time=optional_milliseconds(DEFAULT_APPLY_TIME, "bounds", "configApplyMs"),
     )
 
 
-def _key_lapse(milliseconds: Callable[..., float], fields: dict[str, Any]) -> float:
-    lapse = milliseconds(KEY_LAPSE, "bounds", "revokeMs")
-    return lapse if _find(fields, ("bounds", "failClosed")) is True else math.inf
+def _key_lapse(
+    optional_milliseconds: Callable[..., float], fields: dict[str, Any]
+) -> float:
+    lapse = optional_milliseconds(DEFAULT_KEY_LAPSE, "bounds", "revokeMs")
+    return lapse if _lookup(fields, ("bounds", "failClosed")) is True else math.inf
 
 
-def _peers_address(
+def _internal_address(
     fields: dict[str, Any], callers: Address, index: int
 ) -> Address | None:
-    # The first and the last port that are free for use among hosts.
-    ports = _find(fields, ("internalPorts",))
+    # `internalPorts` holds the first and the last port of the range.
+    ports = _lookup(fields, ("internalPorts",))
     if not isinstance(ports, list) or not ports or not isinstance(ports[0], int):
         return None
     if index and not (isinstance(ports[-1], int) and ports[0] + index <= ports[-1]):
@@ -196,15 +211,15 @@
 
 
 def _capacity(fields: dict[str, Any]) -> float:
-    # A share of one core, which runs as many times as fast as `cores` says.
-    share = _find(fields, ("limits", "cpuShare"))
-    cores = _find(fields, ("limits", "cores"))
+    # `cpuShare` is a share of one core, which is `cores` times as fast as the standard.
+    share = _lookup(fields, ("limits", "cpuShare"))
+    cores = _lookup(fields, ("limits", "cores"))
     if not isinstance(share, int | float) or not isinstance(cores, int | float):
         return 1.0
     return float(share) * float(cores)
 
 
-def _find(fields: dict[str, Any], keys: tuple[str, ...]) -> Any:
+def _lookup(fields: dict[str, Any], keys: tuple[str, ...]) -> Any:
     value: Any = fields
     for key in keys:
         if not isinstance(value, dict) or key not in value:
--- a/mallowpass/platform/sockets.py
+++ b/mallowpass/platform/sockets.py
@@ -1,4 +1,4 @@
-"""Options of the sockets that this process opens or accepts."""
+"""Options for the sockets that this process opens or accepts."""
 
 from __future__ import annotations
 
@@ -7,23 +7,24 @@
 
 __all__ = ["enable_keepalive"]
 
-# A connection can go silent for good without a reset: a cut, a lost machine, a
-# middlebox that forgot it. Without these, one would learn of it from the timeout of
-# each call. Probes are sent only while a connection is idle.
-PROBE_AFTER = 2  # seconds without a packet
-PROBE_GAP = 1  # seconds between probes
-PROBES = 2
-# Sent bytes that stay unacknowledged for so long end the connection.
-UNACKNOWLEDGED_MAX = 3000  # milliseconds
+# A connection can die without a reset: by a network partition, the loss of a machine,
+# or a middlebox that dropped the connection's state. Without these options, only the
+# timeout of each call would reveal this. Keepalive probes are sent only while a
+# connection is idle.
+KEEPALIVE_IDLE_TIME = 2  # seconds without a packet before the first probe
+KEEPALIVE_INTERVAL = 1  # seconds between probes
+KEEPALIVE_PROBES = 2  # unanswered probes after which the connection is closed
+# Time for which sent bytes may stay unacknowledged before the connection is closed.
+USER_TIMEOUT_MS = 3000
 
 
 def enable_keepalive(transport: asyncio.BaseTransport) -> None:
-    """Have a connection end by itself once its other end can't be reached."""
+    """Have the kernel close a connection when its peer becomes unreachable."""
     sock = transport.get_extra_info("socket")
     if sock is None:
         return
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_GAP)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MAX)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_TIME)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
--- a/tests/platform/test_end_to_end.py
+++ b/tests/platform/test_end_to_end.py
@@ -1,4 +1,4 @@
-"""The whole path over sockets: callers, hosts, replicas, store and orders."""
+"""End-to-end tests over sockets: callers, hosts, replicas, store and promotions."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     claims_configuration,
 )
 
-LIMIT = 20.0  # seconds for one test
+TEST_TIMEOUT = 20.0  # seconds
 
 
 def on_platform(test: Callable[[LocalPlatform], Awaitable[None]]) -> Callable[[], None]:
@@ -31,13 +31,13 @@
     def run() -> None:
         asyncio.run(_run(test))
 
-    del run.__wrapped__  # pytest would take its parameter for a fixture
+    del run.__wrapped__  # otherwise pytest takes the parameter for a fixture
     return run
 
 
 async def _run(test: Callable[[LocalPlatform], Awaitable[None]]) -> None:
     platform = LocalPlatform()
-    async with asyncio.timeout(LIMIT):
+    async with asyncio.timeout(TEST_TIMEOUT):
         await platform.start()
         try:
             while not all(host.ready for host in platform.hosts):
@@ -67,7 +67,7 @@
 
 
 def test_two_platforms_never_share_addresses():
-    """Guard against a test that fails as another one plays at its addresses."""
+    """Guards against tests that fail because another test uses the same addresses."""
     one, other = LocalPlatform(seed=7), LocalPlatform(seed=7)
     assert one.callers_address(0) != other.callers_address(0)
     one.release()
@@ -81,7 +81,7 @@
 
 
 @on_platform
-async def test_statement_that_can_not_be_read(platform):
+async def test_malformed_statement(platform):
     caller = await WireCaller.connect(platform.callers_address(0), "status-sync")
     for text in ("AFTER 1.1 READ a", "STATUS", "READ", "WRITE a", "FLY"):
         assert (await caller.run(text)).code == "MALFORMED"
@@ -89,7 +89,7 @@
 
 
 @on_platform
-async def test_new_route_is_in_force_at_once(platform):
+async def test_new_route_takes_effect_without_restart(platform):
     configuration = claims_configuration(2, "claims-core")
     routes = dict(configuration.routes)
     routes["new"] = replace(routes["status-sync"], database="new")
@@ -100,7 +100,7 @@
 
 
 @on_platform
-async def test_primary_that_ends_is_replaced(platform):
+async def test_crashed_primary_is_replaced(platform):
     caller = await WireCaller.connect(platform.callers_address(0), "status-sync")
     other = await WireCaller.connect(platform.callers_address(1), "claim-filing")
     for number in range(10):
@@ -114,11 +114,11 @@
 
 
 @on_platform
-async def test_primary_that_starts_again_empty_is_replaced(platform):
-    """Symptom: reads give nothing, or no write is accepted any more.
+async def test_primary_that_restarts_empty_is_replaced(platform):
+    """Guards against reads that return no rows, and against writes that all fail.
 
-    Sequence: the primary ends, and starts again at once under its name and address with
-    nothing. Cause: the hosts take it for what it was.
+    The primary crashes and restarts at once without data, under the same name and
+    address. The hosts took it for the primary with its former data.
     """
     caller = await WireCaller.connect(platform.callers_address(0), "status-sync")
     assert (await caller.run("WRITE a 1")).code == "DONE"
@@ -134,8 +134,8 @@
 
 
 @on_platform
-async def test_entries_of_another_writer(platform):
-    """Symptom: a host knows no endpoint any more. Sequence: stray rows are written."""
+async def test_unreadable_store_entries_are_ignored(platform):
+    """Guards against a host that loses all endpoints because of unreadable rows."""
     for number, value in enumerate((b"\xff", b"[" * 100_000, b"{}", b"null")):
         key = RowKey(Table.ENDPOINTS, "", f"db-stray-{number}")
         platform.store.put(key, value)
@@ -152,7 +152,7 @@
 
 
 @on_platform
-async def test_stopping_host_finishes_its_transactions(platform):
+async def test_stopping_host_finishes_open_transactions(platform):
     caller = await WireCaller.connect(platform.callers_address(0), "status-sync")
     await caller.run("BEGIN")
     await caller.run("WRITE a 1")
@@ -160,13 +160,15 @@
     assert not platform.hosts[0].ready
     assert (await caller.run("COMMIT")).code == "DONE"
     with pytest.raises((CallerError, ConnectionError)):
-        while True:  # closed once callers have learnt to go elsewhere
+        while (
+            True
+        ):  # the host closes sessions after callers had time to move to other hosts
             await asyncio.sleep(0.35)
             await caller.run("READ a")
 
 
 @on_platform
-async def test_metrics_are_served_as_text(platform):
+async def test_metrics_endpoint(platform):
     caller = await WireCaller.connect(platform.callers_address(0), "status-sync")
     await caller.run("WRITE a 1")
     address = Address(platform.callers_address(0).host, METRICS_PORT)
--- a/tests/platform/test_http.py
+++ b/tests/platform/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP client and server: answers, silence, lost connections."""
+"""The HTTP client and server: responses, time-outs, refused connections."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     return server
 
 
-def test_answers_over_one_kept_connection(address):
+def test_requests_reuse_one_connection(address):
     async def run() -> None:
         server = await _serve(address)
         client = HttpClient(address)
@@ -65,21 +65,21 @@
     asyncio.run(run())
 
 
-def test_silence_is_an_error_that_may_have_arrived(address):
+def test_request_that_times_out_may_have_arrived(address):
     async def run() -> None:
         server = await _serve(address)
         client = HttpClient(address)
         with pytest.raises(HttpError) as caught:
             await client.call(Request("GET", "/silent"), 0.1)
         assert caught.value.sent
-        # The connection that may still answer is not used again.
+        # A connection that may still carry a late response is not reused.
         assert (await client.call(Request("POST", "/echo"), 1.0)).status == 200
         server.close()
 
     asyncio.run(run())
 
 
-def test_nobody_listens(address):
+def test_refused_connection_means_that_request_was_not_sent(address):
     async def run() -> None:
         with pytest.raises(HttpError) as caught:
             await HttpClient(address).call(Request("GET", "/echo"), 1.0)
--- a/tests/platform/test_runtime.py
+++ b/tests/platform/test_runtime.py
@@ -1,4 +1,4 @@
-"""Reloading settings while a host runs."""
+"""Signals, reloading of settings, and uncaught exceptions of a running host."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
     return asyncio.run(run())
 
 
-def test_change_is_in_force_and_told(tmp_path):
+def test_reload_applies_and_logs_changes(tmp_path):
     text = TEXT.replace("graceS = 6", "graceS = 4").replace("8784", "8799")
     host, log = _reload(tmp_path / "local.toml", text)
     assert host._settings.grace == 4.0
@@ -55,14 +55,15 @@
     ]
 
 
-def test_wrong_file_changes_nothing(tmp_path):
+def test_reload_of_invalid_file_changes_nothing(tmp_path):
     host, log = _reload(tmp_path / "local.toml", TEXT.replace("zone", "zonk"))
     assert host._settings.failure_domain == "casa"
     assert "zone" in str(log.fields("reload_refused")[0]["why"])
 
 
-# Sends itself a signal after the program has begun, and before it has its settings.
-EARLY = """
+# Sends a signal to its own process after its start, and before it has read
+# its settings.
+SIGNAL_DURING_START = """
 import os, signal, sys
 from mallowpass.platform import __main__ as program, settings
 def load(path):
@@ -75,10 +76,10 @@
 
 
 @pytest.mark.parametrize(("name", "code"), [("SIGHUP", EXIT_SETTINGS), ("SIGTERM", 0)])
-def test_signal_before_the_settings_are_read(tmp_path, name, code):
-    """Symptom: a host dies of a signal. Sequence: the signal comes while it starts."""
+def test_signal_before_settings_are_read(tmp_path, name, code):
+    """Guards against a host that is killed by a signal while it starts."""
     environment = os.environ | {"MALLOWPASS_NODE_FILE": str(tmp_path / "none")}
-    command = [sys.executable, "-c", EARLY, name]
+    command = [sys.executable, "-c", SIGNAL_DURING_START, name]
     done = subprocess.run(command, env=environment, capture_output=True, timeout=20)
     assert done.returncode == code, done.stderr
     assert done.returncode != -getattr(signal, name)
@@ -95,11 +96,11 @@
     return asyncio.run(run())
 
 
-def test_an_exception_of_one_handler_ends_nothing_beside_it(tmp_path):
-    """Callers are cut without an answer, and nothing tells why.
+def test_exception_in_one_handler_does_not_stop_other_handlers(tmp_path):
+    """Guards against callers that are disconnected without an answer or a log line.
 
-    A handler raised. What other handlers had decided about the same event was dropped,
-    and the socket that had brought the event was closed.
+    An exception in one handler discarded the effects of the other handlers of the same
+    event, and closed the socket on which the event had arrived.
     """
     reached = []
 
@@ -119,7 +120,7 @@
     assert "test_runtime" in line["where"]
 
 
-def test_an_effect_that_fails_takes_no_other_one_along(tmp_path):
+def test_failed_effect_does_not_stop_other_effects(tmp_path):
     def use(host: HostRuntime) -> None:
         host._carry_out([object(), SetReady(True)])
         assert host.ready
@@ -128,13 +129,12 @@
     assert [line["during"] for line in log.fields(EXCEPTION_ESCAPED)] == ["object"]
 
 
-def test_nothing_is_begun_after_the_core_has_stopped(tmp_path, monkeypatch):
-    """Symptom: a host that stops logs an exception, "Task was destroyed but it is
-    pending!".
+def test_no_call_is_started_after_shutdown(tmp_path, monkeypatch):
+    """Guards against the log line "Task was destroyed but it is pending!" at shutdown.
 
-    Sequence: it is told to stop while a call to the store is under way. Cause: the call
-    was cancelled, told the core that it got no answer, and the core began another one,
-    which the closing event loop did not know of.
+    The host stops while a call to the store is in flight. The cancelled call was
+    reported to the core as unanswered, and the core started another call that the
+    closing event loop did not cancel.
     """
 
     async def stop_at_once(host: HostRuntime) -> None:
--- a/tests/platform/test_secrets.py
+++ b/tests/platform/test_secrets.py
@@ -1,4 +1,4 @@
-"""Callers' keys: nothing that a host prints or tells anybody holds one."""
+"""Callers' keys appear in no output of a host: logs, answers, metrics or calls."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 KEYS = ("nirth5mgjy5rcpihhacr", "uddedev3nax7u27gxpry", "kafigo3wexo1dimu7yst")
 UNKNOWN = "zzplq9vunknownkey0a"
 MISTYPED = ("nirth5mgjy5rcpihhacs", "nirth5 mgjy5rcpihhacr", "uddedev3nax7u27gxpry ")
-LIMIT = 20.0  # seconds for one test
+TEST_TIMEOUT = 20.0  # seconds
 
 
 def _document(version: int, *customers: dict) -> bytes:
@@ -46,38 +46,38 @@
 
 
 async def _run(platform: LocalPlatform) -> str:
-    """Play callers with all kinds of keys; return all that hosts printed and told."""
+    """Connect callers with valid and invalid keys; return all output of the hosts."""
     address = platform.callers_address(0)
-    told = []
+    received = []
     for key in (UNKNOWN, *MISTYPED, ""):
         with pytest.raises(CallerError, match="ERR NOAUTH") as caught:
             await WireCaller.connect(address, "primary", key)
-        told.append(str(caught.value))
+        received.append(str(caught.value))
     callers = [await WireCaller.connect(address, "primary", key) for key in KEYS]
     for caller in callers:
         answer = await caller.run("WRITE a 1")
-        told.append(answer.text)
-        while answer.code != "DONE":  # until parts of limits have keepers
+        received.append(answer.text)
+        while answer.code != "DONE":  # until the parts of the rate limits have keepers
             await asyncio.sleep(0.1)
             answer = await caller.run("WRITE a 1")
-            told.append(answer.text)
-    # One key is taken away, then the configuration can't be read for a while.
-    kept = (_customer("acme", KEYS[0]), _customer("berth", KEYS[2]))
-    platform.store.put(CONFIGURATION_KEY, _document(2, *kept))
+            received.append(answer.text)
+    # One key is revoked. Then an invalid configuration gives a key to two customers.
+    remaining = (_customer("acme", KEYS[0]), _customer("berth", KEYS[2]))
+    platform.store.put(CONFIGURATION_KEY, _document(2, *remaining))
     await asyncio.sleep(0.4)
-    told.append((await callers[1].run("READ a")).text)
+    received.append((await callers[1].run("READ a")).text)
     assert (await callers[1].run("READ a")).code == "NOAUTH"
-    wrong = (_customer("acme", KEYS[0]), _customer("berth", KEYS[0]))
-    platform.store.put(CONFIGURATION_KEY, _document(3, *wrong))
+    invalid = (_customer("acme", KEYS[0]), _customer("berth", KEYS[0]))
+    platform.store.put(CONFIGURATION_KEY, _document(3, *invalid))
     await asyncio.sleep(0.4)
     assert (await callers[0].run("READ a")).code == "DONE"
     reader, writer = await asyncio.open_connection(address.host, address.port)
     writer.write(f"CONNEXT primary {KEYS[0]}\r\n".encode())
-    told.append((await reader.read()).decode())
+    received.append((await reader.read()).decode())
     metrics = HttpClient(Address(address.host, METRICS_PORT))
     response = await metrics.call(Request("GET", METRICS_PATH), 1.0)
-    told.append(response.body.decode())
-    logged = [line for log in platform.logs for line in log.lines]
+    received.append(response.body.decode())
+    log_lines = [line for log in platform.logs for line in log.lines]
     assert platform.logs[0].fields("configuration_unreadable")
     customers = {
         connection.customer
@@ -85,15 +85,15 @@
         for connection in replica.connections
     }
     assert {"acme", "berth"} <= customers
-    return repr((told, logged, customers))
+    return repr((received, log_lines, customers))
 
 
-def test_no_key_is_printed_or_told():
+def test_no_key_appears_in_output():
     async def run() -> str:
         platform = LocalPlatform(peers=True)
-        first = (_customer("acme", *KEYS[:2]), _customer("berth", KEYS[2]))
-        platform.store.put(CONFIGURATION_KEY, _document(1, *first))
-        async with asyncio.timeout(LIMIT):
+        customers = (_customer("acme", *KEYS[:2]), _customer("berth", KEYS[2]))
+        platform.store.put(CONFIGURATION_KEY, _document(1, *customers))
+        async with asyncio.timeout(TEST_TIMEOUT):
             await platform.start()
             try:
                 while not all(host.ready for host in platform.hosts):
@@ -102,6 +102,6 @@
             finally:
                 platform.stop()
 
-    printed = asyncio.run(run())
+    output = asyncio.run(run())
     for key in (*KEYS, UNKNOWN, *MISTYPED):
-        assert key.strip() not in printed
+        assert key.strip() not in output
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes, and the deploy file."""
+"""The settings file that the platform writes, and the metrics address in deploy/."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     ("line", "fences"),
     [("requireFencing = true", True), ("requireFencing = false", False), ("", False)],
 )
-def test_fences(tmp_path, line, fences):
+def test_require_fencing(tmp_path, line, fences):
     text = TEXT.replace("graceS = 6", f"graceS = 6\n{line}")
     assert _load(tmp_path, text).fences is fences
 
@@ -51,7 +51,7 @@
     assert settings.grace == 6.0
 
 
-def test_all_findings_are_told(tmp_path):
+def test_error_lists_all_findings(tmp_path):
     text = TEXT.replace('zone = "casa"', "")
     text = text.replace(":8784", "").replace("graceS = 6", "graceS = 0")
     with pytest.raises(SettingsError) as caught:
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "= 3", "nodeName = 3"])
-def test_no_settings(tmp_path, text):
+def test_empty_or_malformed_file(tmp_path, text):
     with pytest.raises(SettingsError):
         _load(tmp_path, text)
 
@@ -71,7 +71,7 @@
         load_settings(tmp_path / "none.toml")
 
 
-def test_deploy_file_names_the_metrics_address():
+def test_metrics_address_matches_deploy_file():
     deploy = Path(__file__).parents[2] / "deploy" / "system.toml"
     roles = tomllib.loads(deploy.read_text())["roles"]
     (role,) = roles.values()
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("value", ["0", "-1", "true", '"8000"', "nan", "inf"])
-def test_settle_time_that_is_none(tmp_path, value):
+def test_invalid_settle_time(tmp_path, value):
     text = TEXT.replace("graceS = 6", f"graceS = 6\ncontactMs = {value}")
     with pytest.raises(SettingsError, match="contactMs"):
         _load(tmp_path, text)
