--- a/mallowpass/platform/http.py
+++ b/mallowpass/platform/http.py
@@ -19,7 +19,7 @@
 
 
 class HttpError(Exception):
-    """Report a request without a response; `sent`: it may have reached the server."""
+    """Raised when a request gets no response; `sent` if it may have arrived."""
 
     def __init__(self, message: str, sent: bool) -> None:
         super().__init__(message)
@@ -36,7 +36,7 @@
     headers: tuple[tuple[bytes, bytes], ...] = ()  # header names in lower case
 
     def header(self, name: bytes) -> bytes:
-        """Return a header's value; the name in lower case, empty if there is none."""
+        """Return the value of a header, empty if absent; `name` is in lower case."""
         return next((value for key, value in self.headers if key == name), b"")
 
 
@@ -50,7 +50,7 @@
     body: bytes = b""
 
     def header(self, name: str) -> str:
-        """Return a header's value; the name in lower case, empty if there is none."""
+        """Return the value of a header, empty if absent; `name` is in lower case."""
         values = (value for key, value in self.headers if key.lower() == name)
         return next(values, "")
 
--- a/mallowpass/platform/lineserver.py
+++ b/mallowpass/platform/lineserver.py
@@ -19,7 +19,7 @@
 
 
 class LineServer:
-    """Accept connections, and identify each by a number that is never reused."""
+    """Base class of servers; each connection has a number that is never reused."""
 
     __slots__ = (
         "_backlog",
--- a/mallowpass/platform/metrics.py
+++ b/mallowpass/platform/metrics.py
@@ -64,15 +64,12 @@
     def cumulative_buckets(self) -> list[tuple[str, float]]:
         buckets = []
         cumulative = 0
-        for upper_bound, count in zip(
+        for bound, count in zip(
             (*BUCKET_BOUNDS, float("inf")), self.counts, strict=True
         ):
             cumulative += count
             buckets.append(
-                (
-                    "+Inf" if upper_bound == float("inf") else str(upper_bound),
-                    cumulative,
-                )
+                ("+Inf" if bound == float("inf") else str(bound), cumulative)
             )
         return buckets
 
--- a/mallowpass/platform/settings.py
+++ b/mallowpass/platform/settings.py
@@ -65,15 +65,15 @@
     callers: Address
     ready: Address
     store: Address
-    orders: Address | None  # of the platform's service that carries out promotions
+    orders: Address | None  # of the platform's promotion service
     grace: float  # time between SIGTERM and SIGKILL
-    peers: Address | None = None  # listens for links of other hosts; None: disabled
+    peers: Address | None = None  # accepts links of other hosts; None: disabled
     capacity: float = 1.0  # cores
     first_start: bool = False  # the whole fleet starts for the first time
     fences: bool = False  # the platform refuses orders with an outdated fencing token
-    # Listens for hosts that follow the store through this host; None: disabled.
+    # Accepts hosts that follow the store through this host; None: disabled.
     feeds: Address | None = None
-    # Listens for hosts that ask for allowances of rate limits; None: disabled.
+    # Accepts requests of other hosts for allowances of rate limits; None: disabled.
     limits: Address | None = None
     rate_bounds: RateBounds = RateBounds()
     # Time without confirmation of the customers' keys after which a host refuses them,
@@ -87,10 +87,10 @@
 
 def settings_path() -> str:
     """Return the path of the settings file, from the environment."""
-    name = os.environ.get(SETTINGS_VARIABLE)
-    if not name:
+    path = os.environ.get(SETTINGS_VARIABLE)
+    if not path:
         raise SettingsError(f"environment variable {SETTINGS_VARIABLE} is not set")
-    return name
+    return path
 
 
 def load_settings(path: str | os.PathLike[str]) -> HostSettings:
@@ -211,7 +211,7 @@
 
 
 def _capacity(fields: dict[str, Any]) -> float:
-    # `cpuShare` is a share of one core, which is `cores` times as fast as the standard.
+    # The process gets `cpuShare` of one core that has the speed of `cores` cores.
     share = _lookup(fields, ("limits", "cpuShare"))
     cores = _lookup(fields, ("limits", "cores"))
     if not isinstance(share, int | float) or not isinstance(cores, int | float):
