--- a/mallowpass/platform/allowances.py
+++ b/mallowpass/platform/allowances.py
@@ -20,7 +20,7 @@
 from mallowpass.platform import wire
 from mallowpass.platform.lineserver import EventSink, LineProtocol, LineServer
 from mallowpass.platform.settings import Address, SettingsError
-from mallowpass.platform.sockets import watch_peer
+from mallowpass.platform.sockets import enable_keepalive
 
 __all__ = ["AllowanceClients", "AllowanceServer"]
 
@@ -41,8 +41,8 @@
         # Connection of each request, and the number of the request on it.
         self._requests: dict[int, tuple[int, int]] = {}
 
-    def _make(self) -> LineProtocol:
-        connection = super()._make()
+    def _make_protocol(self) -> LineProtocol:
+        connection = super()._make_protocol()
         connection.register_request = self._register_request
         return connection
 
@@ -178,7 +178,7 @@
         if self.is_closed:
             transport.abort()
             return
-        watch_peer(transport)
+        enable_keepalive(transport)
         self._transport.writelines(self._unsent)
         self._unsent.clear()
 
--- a/mallowpass/platform/links.py
+++ b/mallowpass/platform/links.py
@@ -56,17 +56,17 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         self._connections.pop(self._number, None)
-        if self._open:
+        if self._is_open:
             self._sink(LinkClosed(self._number))
 
     def _on_lines(self, lines: list[bytes]) -> None:
         calls = []
         for line in lines:
             keyword, _, rest = wire.decode(line).partition(" ")
-            if keyword == "QUERY" and self._open:
+            if keyword == "QUERY" and self._is_open:
                 request_id, _, text = rest.partition(" ")
                 calls.append(wire.parse_call(request_id, text))
-            elif keyword == "CONNECT" and not self._open:
+            elif keyword == "CONNECT" and not self._is_open:
                 self._on_connect(rest)
             else:
                 raise wire.WireError(f"unexpected keyword: {keyword[:40]!r}")
@@ -77,6 +77,6 @@
         fields = rest.split(" ")
         if len(fields) != 3:
             raise wire.WireError("CONNECT requires a service, a host and an endpoint")
-        self._open = True
+        self._is_open = True
         service, host, endpoint = fields
         self._sink(LinkOpened(self._number, host, service, endpoint))
--- a/mallowpass/platform/store.py
+++ b/mallowpass/platform/store.py
@@ -225,7 +225,7 @@
     Raises ValueError for a body above BODY_MAX, the limit for answers of the store, so
     that an answer of another host can't exhaust memory.
     """
-    if response.coding != _CONTENT_CODING:
+    if response.content_encoding != _CONTENT_CODING:
         return response.body
     decompressor = zlib.decompressobj()
     body = decompressor.decompress(response.body, BODY_MAX)
