--- a/mallowpass/core/proxy/answers.py
+++ b/mallowpass/core/proxy/answers.py
@@ -98,7 +98,7 @@
             timer.cancel()
         request.timers.clear()
         if request.granted_until is not None:
-            self._allowances.give_back(request.customer, request.granted_until)
+            self._allowances.return_unused(request.customer, request.granted_until)
         group = self.tables.group(request.route.service)
         if request in group.waiting:
             group.waiting.remove(request)
--- a/mallowpass/core/proxy/ratelimits/allowances.py
+++ b/mallowpass/core/proxy/ratelimits/allowances.py
@@ -111,7 +111,7 @@
 
     # -- Operations ----------------------------------------------------------
 
-    def begin(self, customer: str | None, handler: Handler) -> None:
+    def acquire(self, customer: str | None, handler: Handler) -> None:
         """Have a handler called once an operation may begin, or may not."""
         if not self._is_limited(customer):
             handler(math.inf, "")
@@ -126,7 +126,7 @@
         account.waiting.append(waiting)
         self._ask(account)
 
-    def give_back(self, customer: str | None, until: float) -> None:
+    def return_unused(self, customer: str | None, until: float) -> None:
         """Take back what an operation was granted that was not sent after all."""
         if self._is_limited(customer) and until > self.now:
             self._account(customer).granted.appendleft((until, 1))
--- a/mallowpass/core/proxy/ratelimits/buckets.py
+++ b/mallowpass/core/proxy/ratelimits/buckets.py
@@ -27,7 +27,7 @@
 from mallowpass.core.records import record
 
 __all__ = [
-    "PARTS",
+    "PART_COUNT",
     "VALIDITY",
     "BucketSize",
     "TokenBucket",
@@ -38,7 +38,7 @@
 
 # Parts of each limit. Without one of them its hosts go by the others, and a customer
 # that asks for less than two thirds of its limit lacks nothing.
-PARTS = 3
+PART_COUNT = 3
 # How long a host may use what it was granted, in seconds. What it does not use is lost.
 VALIDITY = 0.5
 # A burst of which each part has less than this is one part's alone.
@@ -95,7 +95,7 @@
     """Return what a bucket may begin with, once in a window."""
     size = full_size(customer, part, bounds)
     start = START_SHARE * _left(customer, bounds)
-    return min(size.burst, start / PARTS)
+    return min(size.burst, start / PART_COUNT)
 
 
 def spare_size(customer: Customer, part: int, bounds: RateBounds) -> BucketSize:
@@ -113,8 +113,8 @@
 
 
 def _divide(customer: Customer, part: int, rate: float, burst: float) -> BucketSize:
-    if burst >= PARTS * PART_MIN:
-        return BucketSize(rate / PARTS, burst / PARTS)
+    if burst >= PART_COUNT * PART_MIN:
+        return BucketSize(rate / PART_COUNT, burst / PART_COUNT)
     name = customer.name.encode("utf-8", "surrogateescape")
-    is_its_own = crc32(name) % PARTS == part
+    is_its_own = crc32(name) % PART_COUNT == part
     return BucketSize(rate, burst) if is_its_own else BucketSize(0.0, 0.0)
--- a/mallowpass/core/proxy/ratelimits/keepers.py
+++ b/mallowpass/core/proxy/ratelimits/keepers.py
@@ -13,7 +13,7 @@
 from zlib import crc32
 
 from mallowpass.core.node import Node
-from mallowpass.core.proxy.ratelimits.buckets import PARTS, VALIDITY
+from mallowpass.core.proxy.ratelimits.buckets import PART_COUNT, VALIDITY
 from mallowpass.core.proxy.ratelimits.parts import (
     LEFT,
     PartEntry,
@@ -144,7 +144,7 @@
             return Right(part, kept.since, is_full=False)
         return Right(part, kept.alone_from, is_full=True, filled=kept.filled)
 
-    def has_alone(self, part: int) -> bool:
+    def is_sole_keeper(self, part: int) -> bool:
         """Tell whether this host may grant all of a part."""
         right = self.right(part)
         return right is not None and right.is_full
@@ -155,7 +155,7 @@
         Keepers that do not answer are left out.
         """
         usable = []
-        for part in range(PARTS):
+        for part in range(PART_COUNT):
             host = self._keeper(part)
             if host is not None and self._may_ask(host):
                 usable.append((part, host))
@@ -208,7 +208,7 @@
             part = part_of(row.key)
             if part is not None:
                 self._put(part, row, before.get(part))
-        for part in range(PARTS):
+        for part in range(PART_COUNT):
             self._take(part)
         self._node.publish(KeepersChanged())
 
@@ -301,7 +301,7 @@
     def _look(self) -> None:
         if not self._known or self.tables.hosts_version == 0:
             return
-        for part in range(PARTS):
+        for part in range(PART_COUNT):
             if self._has_to_claim(part):
                 self._claim(part)
             elif self._is_unsettled(part):
@@ -319,7 +319,11 @@
 
     def _is_unsettled(self, part: int) -> bool:
         """Tell whether a part's row says what is not true any more."""
-        if part in self._claiming or not self.has_alone(part) or part not in self._rows:
+        if (
+            part in self._claiming
+            or not self.is_sole_keeper(part)
+            or part not in self._rows
+        ):
             return False
         stage = self._stage(self._rows[part].entry)
         if stage is Stage.STARTED:
@@ -411,7 +415,7 @@
     def leave(self) -> None:
         """Leave all parts to others; nothing is granted from them any more."""
         self._stopping = True
-        left = [part for part in self._kept if self.has_alone(part)]
+        left = [part for part in self._kept if self.is_sole_keeper(part)]
         self._kept.clear()
         for part in left:
             started = self._rows[part].entry.stage is Stage.STARTED
--- a/mallowpass/core/proxy/ratelimits/parts.py
+++ b/mallowpass/core/proxy/ratelimits/parts.py
@@ -4,7 +4,7 @@
 
 from enum import Enum
 
-from mallowpass.core.proxy.ratelimits.buckets import PARTS
+from mallowpass.core.proxy.ratelimits.buckets import PART_COUNT
 from mallowpass.core.proxy.storage import RowKey, Table
 from mallowpass.core.records import record
 
@@ -69,5 +69,5 @@
 
 def part_of(key: RowKey) -> int | None:
     """Return the part that a row is of, None for other rows."""
-    is_part = key.key.isascii() and key.key.isdigit() and int(key.key) < PARTS
+    is_part = key.key.isascii() and key.key.isdigit() and int(key.key) < PART_COUNT
     return int(key.key) if is_part and not key.part else None
--- a/mallowpass/core/proxy/requests.py
+++ b/mallowpass/core/proxy/requests.py
@@ -161,7 +161,7 @@
         def on_granted(until: float | None, why: str) -> None:
             if request.finished:
                 if until is not None:
-                    self._allowances.give_back(request.customer, until)
+                    self._allowances.return_unused(request.customer, until)
             elif until is None:
                 self._answers.refuse(request, Code.BUSY, why)
             else:
@@ -169,7 +169,7 @@
                 self._wait(request)
 
         request.detail = "waits for its customer's limit"
-        self._allowances.begin(request.customer, on_granted)
+        self._allowances.acquire(request.customer, on_granted)
 
     def abandon_session(self, session: SessionRow) -> None:
         """Forget a statement whose caller is gone; what was sent runs to its end."""
--- a/tests/core/proxy/ratelimits/test_buckets.py
+++ b/tests/core/proxy/ratelimits/test_buckets.py
@@ -8,7 +8,7 @@
 
 from mallowpass.core.proxy.configuration import Customer, RateBounds
 from mallowpass.core.proxy.ratelimits.buckets import (
-    PARTS,
+    PART_COUNT,
     VALIDITY,
     BucketSize,
     TokenBucket,
@@ -33,18 +33,18 @@
     customer = Customer("acme", rate=rate, burst=burst)
     sizes = [
         find(customer, part, bounds)
-        for part in range(PARTS)
+        for part in range(PART_COUNT)
         for find in (full_size, spare_size)
     ]
     allowed = (rate * WINDOW + burst) * (1.0 + OVERAGE) + bounds.slack
-    begun = sum(start_level(customer, part, bounds) for part in range(PARTS))
+    begun = sum(start_level(customer, part, bounds) for part in range(PART_COUNT))
     assert sum(map(_within_a_window, sizes)) + begun <= allowed * (1 + 1e-9)
 
 
 @given(rate=LIMITS, burst=LIMITS)
 def test_customer_can_run_its_rate_and_its_burst(rate, burst):
     customer = Customer("acme", rate=rate, burst=burst)
-    sizes = [full_size(customer, part, BOUNDS) for part in range(PARTS)]
+    sizes = [full_size(customer, part, BOUNDS) for part in range(PART_COUNT)]
     assert sum(size.rate for size in sizes) == pytest.approx(rate)
     assert sum(size.burst for size in sizes) >= burst * (1 - 1e-9)
 
@@ -52,7 +52,7 @@
 def test_small_burst_is_not_divided():
     """Guard against three buckets of which none ever holds a whole operation."""
     customer = Customer("acme", rate=0.5, burst=1.0)
-    sizes = [full_size(customer, part, EXACT) for part in range(PARTS)]
+    sizes = [full_size(customer, part, EXACT) for part in range(PART_COUNT)]
     assert max(size.burst for size in sizes) >= 1.0
 
 
--- a/tests/core/proxy/ratelimits/test_limits.py
+++ b/tests/core/proxy/ratelimits/test_limits.py
@@ -9,7 +9,7 @@
 import pytest
 
 from mallowpass.core.proxy.ratelimits.allowances import Allowances
-from mallowpass.core.proxy.ratelimits.buckets import PARTS
+from mallowpass.core.proxy.ratelimits.buckets import PART_COUNT
 from mallowpass.core.proxy.ratelimits.keepers import Keepers
 from mallowpass.core.proxy.ratelimits.parts import PartEntry, Stage
 from mallowpass.core.proxy.statements import Begin, Code, Read, Write
@@ -73,14 +73,14 @@
     return {
         part: index
         for index, host in enumerate(world.hosts)
-        for part in range(PARTS)
-        if not host.exited and host.node.system(Keepers).has_alone(part)
+        for part in range(PART_COUNT)
+        if not host.exited and host.node.system(Keepers).is_sole_keeper(part)
     }
 
 
 def test_three_hosts_keep_the_parts(world):
-    assert sorted(_keepers(world)) == list(range(PARTS))
-    assert len({world.hosts[i].domain for i in _keepers(world).values()}) == PARTS
+    assert sorted(_keepers(world)) == list(range(PART_COUNT))
+    assert len({world.hosts[i].domain for i in _keepers(world).values()}) == PART_COUNT
 
 
 def test_customer_below_its_limit_is_never_refused(world):
@@ -255,7 +255,7 @@
     for index in list(_keepers(world).values()):
         world.hosts[index].stop()
         world.run(1.5)
-    assert len(_keepers(world)) == PARTS
+    assert len(_keepers(world)) == PART_COUNT
     before = load.count(Code.DONE)
     world.run(10.0)
     assert load.count(Code.DONE) - before >= 0.9 * 10.0 * RATE
@@ -297,7 +297,7 @@
     keepers = world.hosts[index].node.system(Keepers)
     older = Row(RowKey(Table.LIMITS, "", str(part)), 1, "host-of-before 1")
     keepers._on_rows((older,), complete=False)
-    assert keepers.has_alone(part)
+    assert keepers.is_sole_keeper(part)
 
 
 @pytest.mark.parametrize(
--- a/tests/core/proxy/test_eras.py
+++ b/tests/core/proxy/test_eras.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from mallowpass.core.proxy.ratelimits.buckets import PARTS
+from mallowpass.core.proxy.ratelimits.buckets import PART_COUNT
 from mallowpass.core.proxy.ratelimits.keepers import Keepers
 from mallowpass.core.proxy.statements import Code, Read, Write
 from mallowpass.core.proxy.store import SETTLE_TIME, Store
@@ -291,16 +291,18 @@
     send()
     world.run(2.0)
     for host in list(world.hosts):
-        if any(host.node.system(Keepers).has_alone(part) for part in range(PARTS)):
+        if any(
+            host.node.system(Keepers).is_sole_keeper(part) for part in range(PART_COUNT)
+        ):
             host.stop()
-            world.run(age / PARTS)
+            world.run(age / PART_COUNT)
     world.come_back(copy)
     world.run(40.0)
     assert world.judge.breaches == []
     kept = [
         part
         for host in world.hosts
-        for part in range(PARTS)
-        if not host.exited and host.node.system(Keepers).has_alone(part)
+        for part in range(PART_COUNT)
+        if not host.exited and host.node.system(Keepers).is_sole_keeper(part)
     ]
-    assert sorted(kept) == list(range(PARTS))
+    assert sorted(kept) == list(range(PART_COUNT))
