--- a/mallowpass/core/proxy/ratelimits/buckets.py
+++ b/mallowpass/core/proxy/ratelimits/buckets.py
@@ -1,21 +1,23 @@
-"""How many operations of a customer one part of its limit grants.
+"""Token buckets: how many operations of a customer one part of its limit grants.
 
-The load: a customer that sends several times its limit, for seconds, to all hosts at
-once, while keepers end and start again. Each part is a token bucket. One whose keeper
-starts, for the first time or again, begins empty: whatever was granted before, its
-sum with what is granted from then on is that of one bucket that was never lost.
+The sizes are chosen for a customer that sends several times its limit to all hosts at
+once, for seconds, while keepers stop and restart. A bucket begins empty, unless
+`initial_level` applies. So the operations granted before a restart and those granted
+after it add up to no more than one bucket would have granted without the restart.
 
-What may run is promised for any window. What was granted at its begin runs up to
-`VALIDITY` later, so that over the window and that time a bucket's rate and burst must
-stay within the promise:
+The limit is promised for every window of `RateBounds.window` seconds. An operation may
+begin up to `GRANT_VALIDITY` after its grant. So the operations of one window are those
+granted during the window or in the `GRANT_VALIDITY` before it, and the rates and bursts
+of all buckets must keep to:
 
-    rate * (window + VALIDITY) + burst
+    rate * (window + GRANT_VALIDITY) + burst
         <= (rate * window + burst) * (1 + overage) + slack
 
-What this leaves is divided: some is added to bursts, as three small buckets hold less
-for a moment's need than one; some is what buckets begin with whose keepers start again,
-as callers come back all at once then; some is for keepers that can't know whether
-another one grants from the same part.
+The headroom that remains is divided. `BURST_SHARE` of it enlarges the bursts, as three
+small buckets hold less for a short peak than one large bucket. `INITIAL_SHARE` is for
+the initial levels of buckets after a restart of their keepers, as all callers return at
+once then. `SPARE_SHARE` is for keepers that cannot know whether another keeper grants
+from the same part.
 """
 
 from __future__ import annotations
@@ -28,38 +30,39 @@
 
 __all__ = [
     "PART_COUNT",
-    "VALIDITY",
+    "GRANT_VALIDITY",
     "BucketSize",
     "TokenBucket",
     "full_size",
     "spare_size",
-    "start_level",
+    "initial_level",
 ]
 
-# Parts of each limit. Without one of them its hosts go by the others, and a customer
-# that asks for less than two thirds of its limit lacks nothing.
+# Number of parts of each limit. While one part has no keeper, hosts use the other two,
+# so a customer that uses less than two thirds of its limit is not affected.
 PART_COUNT = 3
-# How long a host may use what it was granted, in seconds. What it does not use is lost.
-VALIDITY = 0.5
-# A burst of which each part has less than this is one part's alone.
-PART_MIN = 2
-# Shares of what the bounds leave; the rest is for clocks that run at different rates.
+# How long a host may use a grant, in seconds. Operations not begun by then are lost.
+GRANT_VALIDITY = 0.5
+# Least burst of one part, in operations. A burst that would give each part less is not
+# divided: the whole limit goes to one part.
+PART_BURST_MIN = 2
+# Shares of the headroom; the rest is for clocks that run at different rates.
 BURST_SHARE = 0.25
-START_SHARE = 0.45
+INITIAL_SHARE = 0.45
 SPARE_SHARE = 0.15
-SPARE_BURST_TIME = 1.0  # seconds of its rate that a spare bucket holds
+SPARE_BURST_TIME = 1.0  # burst of a spare bucket, in seconds of its rate
 
 
 @record
 class BucketSize:
-    """Hold how many operations a bucket gains a second, and holds at the most."""
+    """A bucket's rate, in operations per second, and its burst, in operations."""
 
     rate: float
     burst: float
 
 
 class TokenBucket:
-    """Hold the operations that may be granted."""
+    """A token bucket; one token allows one operation."""
 
     __slots__ = ("_level", "_level_at")
 
@@ -67,54 +70,58 @@
         self._level = level
         self._level_at = now
 
-    def fill(self, size: BucketSize, now: float) -> float:
-        """Add what was gained, and return what may be granted."""
+    def refill(self, size: BucketSize, now: float) -> float:
+        """Add the tokens gained since the last call and return the level."""
         gained = size.rate * max(0.0, now - self._level_at)
         self._level = min(size.burst, self._level + gained)
         self._level_at = max(now, self._level_at)
         return self._level
 
     def take(self, operations: int) -> None:
-        """Take operations that it holds."""
+        """Remove one token per operation; the caller checks the level first."""
         self._level -= operations
 
-    def until_next(self, size: BucketSize) -> float:
-        """Return in how many seconds it will hold a whole operation."""
+    def time_until_next(self, size: BucketSize) -> float:
+        """Return the seconds until the bucket holds a token; infinite if never."""
         if size.rate <= 0.0 or size.burst < 1.0:
             return math.inf
         return max(0.0, 1.0 - self._level) / size.rate
 
 
 def full_size(customer: Customer, part: int, bounds: RateBounds) -> BucketSize:
-    """Return the size of a customer's bucket for a part that one keeper has alone."""
-    burst = customer.burst + BURST_SHARE * _left(customer, bounds)
+    """Return the size of a customer's bucket at the sole keeper of a part."""
+    burst = customer.burst + BURST_SHARE * _headroom(customer, bounds)
     return _divide(customer, part, customer.rate, burst)
 
 
-def start_level(customer: Customer, part: int, bounds: RateBounds) -> float:
-    """Return what a bucket may begin with, once in a window."""
+def initial_level(customer: Customer, part: int, bounds: RateBounds) -> float:
+    """Return the level at which a bucket may begin, at most once per window."""
     size = full_size(customer, part, bounds)
-    start = START_SHARE * _left(customer, bounds)
-    return min(size.burst, start / PART_COUNT)
+    reserve = INITIAL_SHARE * _headroom(customer, bounds)
+    return min(size.burst, reserve / PART_COUNT)
 
 
 def spare_size(customer: Customer, part: int, bounds: RateBounds) -> BucketSize:
-    """Return the size of the bucket that a keeper may use beside another one's."""
-    spare = SPARE_SHARE * _left(customer, bounds)
-    rate = spare / (bounds.window + VALIDITY + SPARE_BURST_TIME)
+    """Return the size of a customer's bucket at a keeper that may not be the only one.
+
+    The bounds allow such a bucket in addition to a full one of the same part.
+    """
+    spare = SPARE_SHARE * _headroom(customer, bounds)
+    rate = spare / (bounds.window + GRANT_VALIDITY + SPARE_BURST_TIME)
     return _divide(customer, part, rate, SPARE_BURST_TIME * rate)
 
 
-def _left(customer: Customer, bounds: RateBounds) -> float:
-    """Return what the bounds of a window leave beyond the limit."""
-    promised = customer.rate * bounds.window + customer.burst
-    late = customer.rate * VALIDITY
-    return max(0.0, promised * bounds.overage + bounds.slack - late)
+def _headroom(customer: Customer, bounds: RateBounds) -> float:
+    """Return how many operations the bounds allow beyond the limit in one window."""
+    limit = customer.rate * bounds.window + customer.burst
+    late_operations = customer.rate * GRANT_VALIDITY
+    return max(0.0, limit * bounds.overage + bounds.slack - late_operations)
 
 
 def _divide(customer: Customer, part: int, rate: float, burst: float) -> BucketSize:
-    if burst >= PART_COUNT * PART_MIN:
+    """Return a part's share of a rate and a burst."""
+    if burst >= PART_COUNT * PART_BURST_MIN:
         return BucketSize(rate / PART_COUNT, burst / PART_COUNT)
     name = customer.name.encode("utf-8", "surrogateescape")
-    is_its_own = crc32(name) % PART_COUNT == part
-    return BucketSize(rate, burst) if is_its_own else BucketSize(0.0, 0.0)
+    is_assigned = crc32(name) % PART_COUNT == part
+    return BucketSize(rate, burst) if is_assigned else BucketSize(0.0, 0.0)
--- a/mallowpass/core/proxy/ratelimits/granting.py
+++ b/mallowpass/core/proxy/ratelimits/granting.py
@@ -11,27 +11,27 @@
 from mallowpass.core.proxy.ratelimits.buckets import (
     TokenBucket,
     full_size,
+    initial_level,
     spare_size,
-    start_level,
 )
 from mallowpass.core.proxy.ratelimits.keepers import Keepers
-from mallowpass.core.proxy.ratelimits.parts import Right
+from mallowpass.core.proxy.ratelimits.parts import GrantRight
 from mallowpass.core.proxy.signals import DrainBegan
 from mallowpass.core.proxy.tables import ProxySystem
 from mallowpass.core.records import record
 
-__all__ = ["Granted", "Granting"]
+__all__ = ["Grant", "Granting"]
 
 # Hosts are granted ahead of need while a bucket stays fuller than this: near the limit,
 # what one host leaves unused is missing to another.
 AHEAD_SHARE = 0.5
 PAUSE_MIN = 0.02  # seconds
 PAUSE_MAX = 10.0  # seconds after which to come back where nothing will be granted
-UNKNOWN_PAUSE = 0.5  # seconds until a host asks again for an unknown customer
+UNKNOWN_CUSTOMER_PAUSE = 0.5  # seconds until a host asks again for an unknown customer
 
 
 @record
-class Granted:
+class Grant:
     """Answer how many operations may begin; `pause` s until there is room for more."""
 
     operations: int
@@ -46,7 +46,7 @@
     def __init__(self, node: Node) -> None:
         super().__init__(node)
         # By customer, and the right that they are granted by: each begins anew.
-        self._buckets: dict[tuple[str, Right], TokenBucket] = {}
+        self._buckets: dict[tuple[str, GrantRight], TokenBucket] = {}
 
     def start(self) -> None:
         """Subscribe to what hosts ask."""
@@ -62,39 +62,39 @@
             answer = AnswerAllowance(event.ask, granted.operations, granted.pause)
             self._node.emit(answer)
 
-    def grant(self, part: int, name: str, needed: int, ahead: int) -> Granted | None:
+    def grant(self, part: int, name: str, needed: int, ahead: int) -> Grant | None:
         """Grant what is needed, and some ahead; None: this host keeps no such part."""
-        right = self._keepers.right(part)
+        right = self._keepers.grant_right(part)
         if right is None:
             return None
         configuration = self.tables.configuration
         customer = None if configuration is None else configuration.customers.get(name)
         if customer is None:
-            return Granted(0, UNKNOWN_PAUSE)
+            return Grant(0, UNKNOWN_CUSTOMER_PAUSE)
         return self._grant(customer, right, needed, ahead)
 
     def _grant(
-        self, customer: Customer, right: Right, needed: int, ahead: int
-    ) -> Granted:
-        find = full_size if right.is_full else spare_size
-        size = find(customer, right.part, self.tables.rate_bounds)
+        self, customer: Customer, right: GrantRight, needed: int, ahead: int
+    ) -> Grant:
+        size_for = full_size if right.is_full else spare_size
+        size = size_for(customer, right.part, self.tables.rate_bounds)
         key = (customer.name, right)
         bucket = self._buckets.get(key)
         if bucket is None:
             level = 0.0
-            if right.filled:
-                level = start_level(customer, right.part, self.tables.rate_bounds)
+            if right.is_prefilled:
+                level = initial_level(customer, right.part, self.tables.rate_bounds)
             bucket = self._buckets[key] = TokenBucket(right.since, level)
-        level = bucket.fill(size, self.now)
+        level = bucket.refill(size, self.now)
         if level - needed - ahead >= AHEAD_SHARE * size.burst:
             needed += ahead
         operations = needed if math.isinf(level) else min(needed, math.floor(level))
         bucket.take(operations)
         pause = 0.0
         if operations < needed:
-            pause = min(PAUSE_MAX, max(PAUSE_MIN, bucket.until_next(size)))
-        return Granted(operations, pause)
+            pause = min(PAUSE_MAX, max(PAUSE_MIN, bucket.time_until_next(size)))
+        return Grant(operations, pause)
 
     def _on_drain(self, signal: DrainBegan) -> None:
         """Leave all parts to other hosts; nothing is granted here any more."""
-        self._keepers.leave()
+        self._keepers.release_parts()
--- a/mallowpass/core/proxy/ratelimits/keepers.py
+++ b/mallowpass/core/proxy/ratelimits/keepers.py
@@ -13,11 +13,11 @@
 from zlib import crc32
 
 from mallowpass.core.node import Node
-from mallowpass.core.proxy.ratelimits.buckets import PART_COUNT, VALIDITY
+from mallowpass.core.proxy.ratelimits.buckets import GRANT_VALIDITY, PART_COUNT
 from mallowpass.core.proxy.ratelimits.parts import (
-    LEFT,
+    RELEASED,
+    GrantRight,
     PartEntry,
-    Right,
     Stage,
     key_of,
     part_of,
@@ -42,23 +42,23 @@
 
 # How long a keeper grants without having seen its row, in seconds, and how often it
 # looks. It goes on while the store is away for less than the difference.
-RIGHT_TIME = 12.0
-LOOK_GAP = 4.0
-ROUND = 0.5  # seconds between looks at what is to be done
+CONFIRMATION_TIMEOUT = 12.0
+CONFIRMATION_INTERVAL = 4.0
+CHECK_INTERVAL = 0.5  # seconds between looks at what is to be done
 # A keeper that answers nobody for so long is replaced, in seconds; by whom nobody
 # answers, only after the longer time: it is more likely cut off itself.
-SILENT_TIME = 2.0
-SILENT_ALONE_TIME = 10.0
+FAILURE_TIMEOUT = 2.0
+ISOLATED_FAILURE_TIMEOUT = 10.0
 # How long a keeper that did not answer is passed over, in seconds: doubled by each
 # further failure.
-FAILED_TIME_MIN = 0.1
-FAILED_TIME_MAX = 1.0
+BACKOFF_MIN = 0.1
+BACKOFF_MAX = 1.0
 # How long a host that starts again waits for the store to note that, in seconds.
-START_TIMEOUT = 0.3
+PREFILL_TIMEOUT = 0.3
 # Seconds that each in line leaves to the one before to replace a keeper, and how many
 # of them ask it whether it answers.
-TURN_TIME = 2.0
-WATCHING = 2
+CANDIDATE_DELAY = 2.0
+PROBING_CANDIDATES = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,49 +70,51 @@
 
 
 @dataclass(slots=True)
-class _Kept:
+class _KeptPart:
     """Hold a part that this host keeps."""
 
     since: float
-    alone_from: float  # no predecessor grants from then on
-    seen_at: float | None = None  # when its row was last asked for that named this host
-    filled: bool = False
+    sole_from: float  # no predecessor grants from then on
+    confirmed_at: float | None = (
+        None  # when its row was last asked for that named this host
+    )
+    is_prefilled: bool = False
 
 
 class Keepers(ProxySystem):
     """Own this host's parts, and know the keepers of all."""
 
     __slots__ = (
-        "_claiming",
+        "_pending_writes",
         "_failing_since",
         "_failures",
-        "_heard_at",
+        "_answered_at",
         "_kept",
-        "_known",
-        "_looking",
-        "_open_since",
-        "_passed_over",
+        "_rows_known",
+        "_confirming",
+        "_vacant_since",
+        "_backoff_until",
         "_rows",
-        "_stopping",
+        "_is_stopping",
         "_store",
         "_unreadable",
-        "_watching",
+        "_is_watching",
     )
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
         self._rows: dict[int, _PartRow] = {}  # by part
-        self._kept: dict[int, _Kept] = {}
-        self._known = False
-        self._watching = False
-        self._looking = False
-        self._stopping = False
-        self._claiming: set[int] = set()
-        self._open_since: dict[int, float] = {}  # by part that nobody keeps
+        self._kept: dict[int, _KeptPart] = {}
+        self._rows_known = False
+        self._is_watching = False
+        self._confirming = False
+        self._is_stopping = False
+        self._pending_writes: set[int] = set()
+        self._vacant_since: dict[int, float] = {}  # by part that nobody keeps
         self._failing_since: dict[str, float] = {}  # by keeper
         self._failures: dict[str, int] = {}  # in a row, by keeper
-        self._heard_at: dict[str, float] = {}
-        self._passed_over: dict[str, float] = {}  # until when
+        self._answered_at: dict[str, float] = {}
+        self._backoff_until: dict[str, float] = {}  # until when
 
     def start(self) -> None:
         """Wait for a configuration that holds limits."""
@@ -122,34 +124,39 @@
 
     def _on_configuration(self, signal: ConfigurationAccepted) -> None:
         customers = signal.configuration.customers.values()
-        if self._watching or not any(customer.is_limited for customer in customers):
+        if self._is_watching or not any(customer.is_limited for customer in customers):
             return
-        self._watching = True
+        self._is_watching = True
         self._store.watch(Table.LIMITS, self._on_rows)
-        self.timers.every(ROUND, self._look)
+        self.timers.every(CHECK_INTERVAL, self._check_parts)
 
     # -- Questions -----------------------------------------------------------
 
     @property
     def are_known(self) -> bool:
         """Tell whether the rows of the parts were learnt."""
-        return self._known
+        return self._rows_known
 
-    def right(self, part: int) -> Right | None:
+    def grant_right(self, part: int) -> GrantRight | None:
         """Return by which right this host grants from a part, None: by none."""
         kept = self._kept.get(part)
-        if kept is None or kept.seen_at is None:
+        if kept is None or kept.confirmed_at is None:
             return None
-        if self.now < kept.alone_from or self.now >= kept.seen_at + RIGHT_TIME:
-            return Right(part, kept.since, is_full=False)
-        return Right(part, kept.alone_from, is_full=True, filled=kept.filled)
+        if (
+            self.now < kept.sole_from
+            or self.now >= kept.confirmed_at + CONFIRMATION_TIMEOUT
+        ):
+            return GrantRight(part, kept.since, is_full=False)
+        return GrantRight(
+            part, kept.sole_from, is_full=True, is_prefilled=kept.is_prefilled
+        )
 
     def is_sole_keeper(self, part: int) -> bool:
         """Tell whether this host may grant all of a part."""
-        right = self.right(part)
+        right = self.grant_right(part)
         return right is not None and right.is_full
 
-    def nearest(self) -> list[tuple[int, HostRow]]:
+    def nearest_keepers(self) -> list[tuple[int, HostRow]]:
         """Return parts with their keepers, those first that are nearest.
 
         Keepers that do not answer are left out.
@@ -157,7 +164,7 @@
         usable = []
         for part in range(PART_COUNT):
             host = self._keeper(part)
-            if host is not None and self._may_ask(host):
+            if host is not None and self._is_usable(host):
                 usable.append((part, host))
         return sorted(usable, key=self._distance)
 
@@ -165,54 +172,54 @@
         row = self._rows.get(part)
         return None if row is None else self.tables.hosts.get(row.entry.keeper)
 
-    def _may_ask(self, host: HostRow) -> bool:
-        return self._passed_over.get(host.name, 0.0) <= self.now
+    def _is_usable(self, host: HostRow) -> bool:
+        return self._backoff_until.get(host.name, 0.0) <= self.now
 
-    def _distance(self, place: tuple[int, HostRow]) -> tuple[bool, int]:
+    def _distance(self, rank_of_host: tuple[int, HostRow]) -> tuple[bool, int]:
         identity = self._node.identity
-        part, host = place
+        part, host = rank_of_host
         is_far = identity.region_of(host.domain) != identity.region
         return (is_far, crc32(f"{identity.name} {part}".encode()))
 
-    def answered(self, host: str) -> None:
+    def record_answer(self, host: str) -> None:
         """Note that a keeper answered."""
-        self._heard_at[host] = self.now
+        self._answered_at[host] = self.now
         self._failing_since.pop(host, None)
         self._failures.pop(host, None)
 
-    def failed(self, host: str) -> None:
+    def record_failure(self, host: str) -> None:
         """Pass a keeper over for a while that did not answer, or is none."""
         self._failing_since.setdefault(host, self.now)
         failures = self._failures[host] = self._failures.get(host, 0) + 1
-        pause = min(FAILED_TIME_MAX, FAILED_TIME_MIN * 2 ** (failures - 1))
-        self._passed_over[host] = self.now + pause
+        pause = min(BACKOFF_MAX, BACKOFF_MIN * 2 ** (failures - 1))
+        self._backoff_until[host] = self.now + pause
 
     @property
-    def may_answer_soon(self) -> bool:
+    def may_recover_soon(self) -> bool:
         """Tell whether a keeper that does not answer has done so of late."""
         if not self._rows:
             return False
         since = [
             self._failing_since.get(row.entry.keeper) for row in self._rows.values()
         ]
-        return any(at is None or at > self.now - SILENT_TIME for at in since)
+        return any(at is None or at > self.now - FAILURE_TIMEOUT for at in since)
 
     # -- Rows ----------------------------------------------------------------
 
     def _on_rows(self, rows: tuple[Row, ...], complete: bool) -> None:
         before = dict(self._rows)
         if complete:
-            self._known = True
+            self._rows_known = True
             self._rows.clear()
         for row in rows:
             part = part_of(row.key)
             if part is not None:
-                self._put(part, row, before.get(part))
+                self._set_row(part, row, before.get(part))
         for part in range(PART_COUNT):
-            self._take(part)
+            self._sync_kept_part(part)
         self._node.publish(KeepersChanged())
 
-    def _put(self, part: int, row: Row, before: _PartRow | None) -> None:
+    def _set_row(self, part: int, row: Row, before: _PartRow | None) -> None:
         if before is not None and row.version < before.version:
             # A relay tells it after this host wrote a newer one.
             self._rows[part] = before
@@ -230,19 +237,19 @@
             return
         self._unreadable.clear(row.key)
         self._rows[part] = _PartRow(row.version, entry)
-        self._passed_over.pop(entry.keeper, None)
+        self._backoff_until.pop(entry.keeper, None)
 
-    def _take(self, part: int) -> None:
+    def _sync_kept_part(self, part: int) -> None:
         """Begin or end to keep a part, as its row says."""
-        if part in self._claiming:
+        if part in self._pending_writes:
             return
         row = self._rows.get(part)
         is_own = row is not None and row.entry.keeper == self._node.identity.name
-        if is_own and part not in self._kept and not self._stopping:
+        if is_own and part not in self._kept and not self._is_stopping:
             # This host kept it before it started, or its claim got no answer.
             stage = self._stage(row.entry)
-            if stage is Stage.ALONE:
-                self._start_again(part)
+            if stage is Stage.SETTLED:
+                self._resume(part)
             else:
                 self._keep(part, stage)
         elif not is_own and self._kept.pop(part, None) is not None:
@@ -253,26 +260,28 @@
 
         One of an earlier era may be of a copy: others may have kept the part since.
         """
-        return entry.stage if entry.era == self._store.era else Stage.FOLLOWING
+        return entry.stage if entry.era == self._store.era else Stage.TAKING_OVER
 
     def _keep(self, part: int, stage: Stage) -> None:
-        wait = RIGHT_TIME if stage is Stage.FOLLOWING else 0.0
-        self._kept[part] = _Kept(self.now, self.now + wait)
-        self._look_at_rows()
+        wait = CONFIRMATION_TIMEOUT if stage is Stage.TAKING_OVER else 0.0
+        self._kept[part] = _KeptPart(self.now, self.now + wait)
+        self._confirm_rows()
 
-    def _start_again(self, part: int) -> None:
+    def _resume(self, part: int) -> None:
         """Begin to keep a part with something to grant, unless it began so of late."""
 
         def on_reply(reply: StoreReply) -> None:
             if reply.status is StoreStatus.DONE:
-                self._kept[part] = _Kept(self.now, self.now, asked_at, filled=True)
+                self._kept[part] = _KeptPart(
+                    self.now, self.now, asked_at, is_prefilled=True
+                )
             else:
-                self._keep(part, Stage.STARTED)
+                self._keep(part, Stage.PREFILLED)
             self._node.publish(KeepersChanged())
 
         asked_at = self.now
-        entry = PartEntry(self._node.identity.name, Stage.STARTED, self._store.era)
-        self._write(part, entry, on_reply, START_TIMEOUT)
+        entry = PartEntry(self._node.identity.name, Stage.PREFILLED, self._store.era)
+        self._write(part, entry, on_reply, PREFILL_TIMEOUT)
 
     def _write(
         self,
@@ -288,48 +297,50 @@
         call = ChangeRows(expected, puts=((key, entry.encode()),))
 
         def on_reply(reply: StoreReply) -> None:
-            self._claiming.discard(part)
+            self._pending_writes.discard(part)
             if reply.status is StoreStatus.DONE:
                 self._rows[part] = _PartRow(reply.version, entry)
             handler(reply)
 
-        self._claiming.add(part)
+        self._pending_writes.add(part)
         self._store.call(call, on_reply, timeout)
 
     # -- Keeping -------------------------------------------------------------
 
-    def _look(self) -> None:
-        if not self._known or self.tables.hosts_version == 0:
+    def _check_parts(self) -> None:
+        if not self._rows_known or self.tables.hosts_version == 0:
             return
         for part in range(PART_COUNT):
-            if self._has_to_claim(part):
+            if self._should_claim(part):
                 self._claim(part)
             elif self._is_unsettled(part):
                 self._settle(part)
-        due = self.now - LOOK_GAP
+        due = self.now - CONFIRMATION_INTERVAL
         kept = self._kept.values()
-        if any(part.seen_at is None or part.seen_at <= due for part in kept):
-            self._look_at_rows()
+        if any(part.confirmed_at is None or part.confirmed_at <= due for part in kept):
+            self._confirm_rows()
 
-    def _has_to_claim(self, part: int) -> bool:
-        if not self._is_open(part, 0.0):
+    def _should_claim(self, part: int) -> bool:
+        if not self._needs_keeper(part, 0.0):
             return False
-        place = self._place_in_line(part)
-        return place is not None and self._is_open(part, place * TURN_TIME)
+        rank_of_host = self._candidate_rank(part)
+        return rank_of_host is not None and self._needs_keeper(
+            part, rank_of_host * CANDIDATE_DELAY
+        )
 
     def _is_unsettled(self, part: int) -> bool:
         """Tell whether a part's row says what is not true any more."""
         if (
-            part in self._claiming
+            part in self._pending_writes
             or not self.is_sole_keeper(part)
             or part not in self._rows
         ):
             return False
         stage = self._stage(self._rows[part].entry)
-        if stage is Stage.STARTED:
-            counts_for = VALIDITY + self.tables.rate_bounds.window
-            return self.now >= self._kept[part].alone_from + counts_for
-        return stage is Stage.FOLLOWING
+        if stage is Stage.PREFILLED:
+            counts_for = GRANT_VALIDITY + self.tables.rate_bounds.window
+            return self.now >= self._kept[part].sole_from + counts_for
+        return stage is Stage.TAKING_OVER
 
     def candidates(self, part: int) -> list[str]:
         """Return the hosts that may keep a part, whoever is first to do so first."""
@@ -346,26 +357,26 @@
         hosts = sorted(self.tables.hosts.values(), key=rank)
         return [host.name for host in hosts if host.name != keeper]
 
-    def _place_in_line(self, part: int) -> int | None:
+    def _candidate_rank(self, part: int) -> int | None:
         names = self.candidates(part)
         name = self._node.identity.name
         return names.index(name) if name in names else None
 
     def is_candidate(self, part: int) -> bool:
         """Tell whether this host is among the first to replace a part's keeper."""
-        place = self._place_in_line(part)
-        return place is not None and place < WATCHING
+        rank_of_host = self._candidate_rank(part)
+        return rank_of_host is not None and rank_of_host < PROBING_CANDIDATES
 
-    def _is_open(self, part: int, wait: float) -> bool:
+    def _needs_keeper(self, part: int, wait: float) -> bool:
         """Tell whether a part needs another keeper, for longer than `wait` s."""
-        if part in self._claiming or part in self._kept or self._stopping:
+        if part in self._pending_writes or part in self._kept or self._is_stopping:
             return False
         row = self._rows.get(part)
-        if row is None or row.entry.is_left:
+        if row is None or row.entry.is_released:
             # A part that nobody keeps needs no time to tell that its keeper is silent.
-            since = self._open_since.setdefault(part, self.now)
+            since = self._vacant_since.setdefault(part, self.now)
             return self.now >= since + wait
-        self._open_since.pop(part, None)
+        self._vacant_since.pop(part, None)
         keeper = row.entry.keeper
         if keeper not in self.tables.hosts:
             # It left without leaving the part.
@@ -373,34 +384,36 @@
         since = self._failing_since.get(keeper)
         if since is None:
             return False
-        heard = max(self._heard_at.values(), default=float("-inf"))
-        is_alone = heard < self.now - SILENT_TIME
-        least = SILENT_ALONE_TIME if is_alone else SILENT_TIME
-        return self.now >= since + least + wait
+        last_answer_at = max(self._answered_at.values(), default=float("-inf"))
+        is_isolated = last_answer_at < self.now - FAILURE_TIMEOUT
+        timeout_least = ISOLATED_FAILURE_TIMEOUT if is_isolated else FAILURE_TIMEOUT
+        return self.now >= since + timeout_least + wait
 
     def _claim(self, part: int) -> None:
         row = self._rows.get(part)
         before = PartEntry("") if row is None else row.entry
-        stage = Stage.FOLLOWING
-        if before.is_left and self._stage(before) is not Stage.FOLLOWING:
-            stage = Stage.STARTED
+        stage = Stage.TAKING_OVER
+        if before.is_released and self._stage(before) is not Stage.TAKING_OVER:
+            stage = Stage.PREFILLED
         elif (
             row is None
             and self.tables.first_start
             and not self._store.has_been_restored
         ):
             # Where the whole fleet starts, nobody can have kept the part before.
-            stage = Stage.ALONE
-        filled = stage is Stage.STARTED and before.stage is Stage.ALONE
+            stage = Stage.SETTLED
+        is_prefilled = stage is Stage.PREFILLED and before.stage is Stage.SETTLED
         asked_at = self.now
 
         def on_reply(reply: StoreReply) -> None:
             if reply.status is not StoreStatus.DONE:
                 # Whether or not it was done, the row says who keeps it.
-                self._look_at_rows()
+                self._confirm_rows()
                 return
-            wait = RIGHT_TIME if stage is Stage.FOLLOWING else 0.0
-            self._kept[part] = _Kept(self.now, self.now + wait, asked_at, filled)
+            wait = CONFIRMATION_TIMEOUT if stage is Stage.TAKING_OVER else 0.0
+            self._kept[part] = _KeptPart(
+                self.now, self.now + wait, asked_at, is_prefilled
+            )
             self._node.log("info", "limits_part_taken", part=part, before=before.keeper)
             self._node.publish(KeepersChanged())
 
@@ -412,45 +425,48 @@
         entry = PartEntry(self._node.identity.name, era=self._store.era)
         self._write(part, entry, lambda reply: None)
 
-    def leave(self) -> None:
+    def release_parts(self) -> None:
         """Leave all parts to others; nothing is granted from them any more."""
-        self._stopping = True
+        self._is_stopping = True
         left = [part for part in self._kept if self.is_sole_keeper(part)]
         self._kept.clear()
         for part in left:
-            started = self._rows[part].entry.stage is Stage.STARTED
-            stage = Stage.STARTED if started else Stage.ALONE
-            entry = PartEntry(LEFT, stage, self._store.era)
-            self._write(part, entry, self._on_left)
+            started = self._rows[part].entry.stage is Stage.PREFILLED
+            stage = Stage.PREFILLED if started else Stage.SETTLED
+            entry = PartEntry(RELEASED, stage, self._store.era)
+            self._write(part, entry, self._on_released)
 
-    def _on_left(self, reply: StoreReply) -> None:
+    def _on_released(self, reply: StoreReply) -> None:
         if reply.status is not StoreStatus.DONE:
             # Another host takes the part once this one is silent.
             self._node.log("warning", "limits_part_not_left", why=reply.message)
 
-    def _look_at_rows(self) -> None:
-        if self._looking:
+    def _confirm_rows(self) -> None:
+        if self._confirming:
             return
-        self._looking = True
+        self._confirming = True
         asked_at = self.now
 
         def on_reply(reply: StoreReply) -> None:
-            self._looking = False
+            self._confirming = False
             if reply.status is not StoreStatus.DONE:
                 return
             self._on_rows(reply.rows, complete=True)
             for part, kept in self._kept.items():
-                self._saw(part, kept, asked_at)
+                self._confirm(part, kept, asked_at)
 
         self._store.call(ListRows(Table.LIMITS), on_reply)
 
-    def _saw(self, part: int, kept: _Kept, asked_at: float) -> None:
+    def _confirm(self, part: int, kept: _KeptPart, asked_at: float) -> None:
         """Note that a part's row was found to name this host."""
-        lapsed = kept.seen_at is not None and asked_at >= kept.seen_at + RIGHT_TIME
+        lapsed = (
+            kept.confirmed_at is not None
+            and asked_at >= kept.confirmed_at + CONFIRMATION_TIMEOUT
+        )
         if lapsed and self._rows[part].entry.era != self._store.era:
             # Another host may have kept it until the store came back from a copy.
-            kept.alone_from = self.now + RIGHT_TIME
-        kept.seen_at = max(asked_at, kept.seen_at or asked_at)
+            kept.sole_from = self.now + CONFIRMATION_TIMEOUT
+        kept.confirmed_at = max(asked_at, kept.confirmed_at or asked_at)
 
 
 def _weight(part: int, host: HostRow) -> int:
--- a/mallowpass/core/proxy/ratelimits/parts.py
+++ b/mallowpass/core/proxy/ratelimits/parts.py
@@ -1,4 +1,4 @@
-"""What the store's rows say of the parts of rate limits, and the rights to grant."""
+"""Store rows of the parts of rate limits, and a keeper's right to grant from a part."""
 
 from __future__ import annotations
 
@@ -8,58 +8,62 @@
 from mallowpass.core.proxy.storage import RowKey, Table
 from mallowpass.core.records import record
 
-__all__ = ["LEFT", "PartEntry", "Right", "Stage", "key_of", "part_of"]
+__all__ = ["RELEASED", "PartEntry", "GrantRight", "Stage", "key_of", "part_of"]
 
-LEFT = "-"  # stands for the keeper of a part that was left
+RELEASED = "-"  # in place of the keeper's name: the last keeper released the part
 
 
 class Stage(Enum):
-    """Say what a part's keeper, or whoever left it, has to go by."""
+    """Describe what the keeper of a part, or its successor, must assume."""
 
-    ALONE = ""  # nobody else grants, and what it began with counts no more
-    FOLLOWING = "following"  # a predecessor may still grant
-    STARTED = "started"  # it began of late, with something to grant
+    SETTLED = ""  # no other host grants, and buckets may begin prefilled again
+    TAKING_OVER = "following"  # a previous keeper may still grant
+    PREFILLED = "started"  # buckets began prefilled within the last window
 
 
 @record
 class PartEntry:
-    """Hold what a part's row says, and the era of the store that it was written in."""
+    """The content of a part's row; `era` is the store's era when it was written."""
 
     keeper: str
-    stage: Stage = Stage.ALONE
+    stage: Stage = Stage.SETTLED
     era: int = 0
 
     @property
-    def is_left(self) -> bool:
-        """Tell whether nobody keeps the part."""
-        return self.keeper == LEFT
+    def is_released(self) -> bool:
+        """Return whether the last keeper released the part."""
+        return self.keeper == RELEASED
 
     def encode(self) -> str:
-        """Return the text that the store keeps."""
+        """Return the text of the row."""
         return f"{self.keeper} {self.era} {self.stage.value}".rstrip()
 
     @classmethod
     def decode(cls, text: str) -> PartEntry:
-        """Read what the store keeps; ValueError if it is no entry."""
+        """Parse the text of a row.
+
+        Raise ValueError if the text is not an entry.
+        """
         keeper, _, rest = text.partition(" ")
         era, _, stage = rest.partition(" ")
         if not keeper:
-            raise ValueError("no keeper of a part")
+            raise ValueError("entry of a rate limit's part names no keeper")
         return cls(keeper, Stage(stage), int(era))
 
 
 @record
-class Right:
-    """Say by which right a host grants from a part, and since when it has it.
+class GrantRight:
+    """A host's right to grant from a part, held since `since`.
 
-    Without a full one it grants what the bounds allow beyond the limit. `filled` tells
-    that it began with something to grant.
+    A full right grants the part's share of the limit. Any other right grants only from
+    a spare bucket, which the bounds allow beyond the limit. `is_prefilled` means that
+    buckets begin at their initial level instead of empty.
     """
 
     part: int
     since: float
     is_full: bool
-    filled: bool = False
+    is_prefilled: bool = False
 
 
 def key_of(part: int) -> RowKey:
@@ -68,6 +72,6 @@
 
 
 def part_of(key: RowKey) -> int | None:
-    """Return the part that a row is of, None for other rows."""
+    """Return the part that a row describes; None if the row describes no part."""
     is_part = key.key.isascii() and key.key.isdigit() and int(key.key) < PART_COUNT
     return int(key.key) if is_part and not key.part else None
--- a/tests/core/proxy/ratelimits/test_limits.py
+++ b/tests/core/proxy/ratelimits/test_limits.py
@@ -304,8 +304,8 @@
     "entry",
     [
         PartEntry("h"),
-        PartEntry("h", Stage.FOLLOWING),
-        PartEntry("-", Stage.STARTED, era=7),
+        PartEntry("h", Stage.TAKING_OVER),
+        PartEntry("-", Stage.PREFILLED, era=7),
         PartEntry("-"),
     ],
 )
@@ -319,7 +319,7 @@
     world.run(2.0)
     assert world.caller(0, "own", "key-a").run(Read("a")).code is Code.DONE
     assert world.store.get(RowKey(Table.LIMITS, "", "0")).value is None
-    assert not world.hosts[0].node.system(Allowances)._questions
+    assert not world.hosts[0].node.system(Allowances)._requests
 
 
 def test_judge_allows_the_limit_with_its_bounds():
