--- a/mallowpass/core/proxy/ratelimits/granting.py
+++ b/mallowpass/core/proxy/ratelimits/granting.py
@@ -1,4 +1,4 @@
-"""What the keeper of a part grants to hosts that ask."""
+"""Grants that the keeper of a part issues to hosts that request them."""
 
 from __future__ import annotations
 
@@ -22,48 +22,55 @@
 
 __all__ = ["Grant", "Granting"]
 
-# Hosts are granted ahead of need while a bucket stays fuller than this: near the limit,
-# what one host leaves unused is missing to another.
+# Operations are granted ahead of need only while a bucket keeps at least this share of
+# its burst: near the limit, operations that one host leaves unused are missing at
+# another.
 AHEAD_SHARE = 0.5
-PAUSE_MIN = 0.02  # seconds
-PAUSE_MAX = 10.0  # seconds after which to come back where nothing will be granted
-UNKNOWN_CUSTOMER_PAUSE = 0.5  # seconds until a host asks again for an unknown customer
+# Bounds of the pause after which a host may request more, in seconds. The upper bound
+# also applies to buckets that never gain a token.
+PAUSE_MIN = 0.02
+PAUSE_MAX = 10.0
+# Pause before a host requests operations of an unknown customer again, in seconds.
+UNKNOWN_CUSTOMER_PAUSE = 0.5
 
 
 @record
 class Grant:
-    """Answer how many operations may begin; `pause` s until there is room for more."""
+    """A number of operations that may begin; `pause` is in seconds, until more may."""
 
     operations: int
     pause: float = 0.0
 
 
 class Granting(ProxySystem):
-    """Grant operations from the parts that this host keeps."""
+    """Issue grants from the parts that this host keeps."""
 
     __slots__ = ("_buckets", "_keepers")
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
-        # By customer, and the right that they are granted by: each begins anew.
+        # By customer and right: each new right begins with new buckets.
         self._buckets: dict[tuple[str, GrantRight], TokenBucket] = {}
 
     def start(self) -> None:
-        """Subscribe to what hosts ask."""
+        """Subscribe to requests for grants and to the drain of this host."""
         self._keepers = self._node.system(Keepers)
         self._node.subscribe(AllowanceAsked, self._on_asked)
         self._node.subscribe(DrainBegan, self._on_drain)
 
     def _on_asked(self, event: AllowanceAsked) -> None:
-        granted = self.grant(event.part, event.customer, event.needed, event.ahead)
-        if granted is None:
+        grant = self.grant(event.part, event.customer, event.needed, event.ahead)
+        if grant is None:
             self._node.emit(AnswerAllowance(event.ask, None, 0.0))
         else:
-            answer = AnswerAllowance(event.ask, granted.operations, granted.pause)
+            answer = AnswerAllowance(event.ask, grant.operations, grant.pause)
             self._node.emit(answer)
 
     def grant(self, part: int, name: str, needed: int, ahead: int) -> Grant | None:
-        """Grant what is needed, and some ahead; None: this host keeps no such part."""
+        """Grant needed operations, and some ahead of need if there is room.
+
+        Return None if this host does not keep the part.
+        """
         right = self._keepers.grant_right(part)
         if right is None:
             return None
@@ -96,5 +103,5 @@
         return Grant(operations, pause)
 
     def _on_drain(self, signal: DrainBegan) -> None:
-        """Leave all parts to other hosts; nothing is granted here any more."""
+        """Release all parts; this host grants nothing afterwards."""
         self._keepers.release_parts()
--- a/mallowpass/core/proxy/ratelimits/keepers.py
+++ b/mallowpass/core/proxy/ratelimits/keepers.py
@@ -1,10 +1,11 @@
-"""Which host keeps each part of the limits, and whether it may still grant.
-
-A row of the store names a part's keeper. Whoever names itself there waits until its
-predecessor can't grant any more: a keeper looks at the row now and then, and one that
-could not for some time grants only what the bounds allow beyond the limit. So two that
-both believe to keep a part never grant it twice, and no row changes while nothing
-fails. A keeper that stops leaves its part, which another one takes at once.
+"""Keepers of the parts of rate limits, and their rights to grant.
+
+A row of the store names a part's keeper. A new keeper writes its name there, and waits
+until its predecessor's full right has expired: a keeper confirms periodically that the
+row names it, and a keeper that could not confirm for `CONFIRMATION_TIMEOUT` grants only
+from a spare bucket. So two hosts that both assume to keep a part never both grant all
+of it, and no row changes while nothing fails. A keeper that stops releases its part, so
+that another host takes the part at once.
 """
 
 from __future__ import annotations
@@ -40,30 +41,34 @@
 
 __all__ = ["Keepers"]
 
-# How long a keeper grants without having seen its row, in seconds, and how often it
-# looks. It goes on while the store is away for less than the difference.
+# How long a keeper may grant all of its part after it last confirmed that the part's
+# row names it, and how often it confirms that, in seconds. Outages of the store that
+# are shorter than the difference do not interrupt it.
 CONFIRMATION_TIMEOUT = 12.0
 CONFIRMATION_INTERVAL = 4.0
-CHECK_INTERVAL = 0.5  # seconds between looks at what is to be done
-# A keeper that answers nobody for so long is replaced, in seconds; by whom nobody
-# answers, only after the longer time: it is more likely cut off itself.
+CHECK_INTERVAL = 0.5  # seconds between checks of all parts
+# How long requests to a keeper must fail before it is replaced, in seconds. A host that
+# gets no answer from any keeper uses the longer time: more likely, that host itself is
+# cut off.
 FAILURE_TIMEOUT = 2.0
 ISOLATED_FAILURE_TIMEOUT = 10.0
-# How long a keeper that did not answer is passed over, in seconds: doubled by each
+# Backoff after a request that a keeper did not answer, in seconds: doubled by each
 # further failure.
 BACKOFF_MIN = 0.1
 BACKOFF_MAX = 1.0
-# How long a host that starts again waits for the store to note that, in seconds.
+# How long a restarted host waits for the store to record that its buckets begin
+# prefilled, in seconds.
 PREFILL_TIMEOUT = 0.3
-# Seconds that each in line leaves to the one before to replace a keeper, and how many
-# of them ask it whether it answers.
+# Delay per rank before a candidate replaces a keeper, in seconds, so that preferred
+# candidates come first.
 CANDIDATE_DELAY = 2.0
+# Number of candidates that probe the keeper, the preferred ones.
 PROBING_CANDIDATES = 2
 
 
 @dataclass(frozen=True, slots=True)
 class _PartRow:
-    """Hold a part's entry, and the version of its row."""
+    """A part's entry, and the version of its row."""
 
     version: int
     entry: PartEntry
@@ -71,53 +76,54 @@
 
 @dataclass(slots=True)
 class _KeptPart:
-    """Hold a part that this host keeps."""
+    """A part that this host keeps."""
 
     since: float
-    sole_from: float  # no predecessor grants from then on
-    confirmed_at: float | None = (
-        None  # when its row was last asked for that named this host
-    )
+    sole_from: float  # from this time on, no other host has a full right
+    # When the last read of the row that named this host was sent; None: none yet.
+    confirmed_at: float | None = None
     is_prefilled: bool = False
 
 
 class Keepers(ProxySystem):
-    """Own this host's parts, and know the keepers of all."""
+    """Own the parts that this host keeps, and find the keepers of all parts."""
 
     __slots__ = (
-        "_pending_writes",
+        "_answered_at",
+        "_are_rows_known",
+        "_backoff_until",
         "_failing_since",
         "_failures",
-        "_answered_at",
+        "_is_confirming",
+        "_is_stopping",
+        "_is_watching",
         "_kept",
-        "_rows_known",
-        "_confirming",
-        "_vacant_since",
-        "_backoff_until",
+        "_pending_writes",
         "_rows",
-        "_is_stopping",
         "_store",
         "_unreadable",
-        "_is_watching",
+        "_vacant_since",
     )
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
         self._rows: dict[int, _PartRow] = {}  # by part
         self._kept: dict[int, _KeptPart] = {}
-        self._rows_known = False
+        self._are_rows_known = False
         self._is_watching = False
-        self._confirming = False
+        self._is_confirming = False
         self._is_stopping = False
-        self._pending_writes: set[int] = set()
-        self._vacant_since: dict[int, float] = {}  # by part that nobody keeps
-        self._failing_since: dict[str, float] = {}  # by keeper
-        self._failures: dict[str, int] = {}  # in a row, by keeper
+        self._pending_writes: set[int] = set()  # parts whose row is being written
+        self._vacant_since: dict[int, float] = {}  # by part without a keeper
+        # By keeper: its first failure since its last answer, its failures since then,
+        # when it last answered, and until when no request is sent to it.
+        self._failing_since: dict[str, float] = {}
+        self._failures: dict[str, int] = {}
         self._answered_at: dict[str, float] = {}
-        self._backoff_until: dict[str, float] = {}  # until when
+        self._backoff_until: dict[str, float] = {}
 
     def start(self) -> None:
-        """Wait for a configuration that holds limits."""
+        """Subscribe to configurations; the first with limits starts the watch."""
         self._store = self._node.system(Store)
         self._unreadable = UnreadableRows(self._node, "limits_part_unreadable")
         self._node.subscribe(ConfigurationAccepted, self._on_configuration)
@@ -130,15 +136,15 @@
         self._store.watch(Table.LIMITS, self._on_rows)
         self.timers.every(CHECK_INTERVAL, self._check_parts)
 
-    # -- Questions -----------------------------------------------------------
+    # -- Look-ups ------------------------------------------------------------
 
     @property
     def are_known(self) -> bool:
-        """Tell whether the rows of the parts were learnt."""
-        return self._rows_known
+        """Return whether this host has read the rows of the parts."""
+        return self._are_rows_known
 
     def grant_right(self, part: int) -> GrantRight | None:
-        """Return by which right this host grants from a part, None: by none."""
+        """Return this host's right to grant from a part; None if it has none."""
         kept = self._kept.get(part)
         if kept is None or kept.confirmed_at is None:
             return None
@@ -152,14 +158,14 @@
         )
 
     def is_sole_keeper(self, part: int) -> bool:
-        """Tell whether this host may grant all of a part."""
+        """Return whether this host may grant all of a part."""
         right = self.grant_right(part)
         return right is not None and right.is_full
 
     def nearest_keepers(self) -> list[tuple[int, HostRow]]:
-        """Return parts with their keepers, those first that are nearest.
+        """Return parts with their keepers, nearest keepers first.
 
-        Keepers that do not answer are left out.
+        Keepers in backoff are left out.
         """
         usable = []
         for part in range(PART_COUNT):
@@ -175,20 +181,20 @@
     def _is_usable(self, host: HostRow) -> bool:
         return self._backoff_until.get(host.name, 0.0) <= self.now
 
-    def _distance(self, rank_of_host: tuple[int, HostRow]) -> tuple[bool, int]:
+    def _distance(self, keeper: tuple[int, HostRow]) -> tuple[bool, int]:
         identity = self._node.identity
-        part, host = rank_of_host
+        part, host = keeper
         is_far = identity.region_of(host.domain) != identity.region
         return (is_far, crc32(f"{identity.name} {part}".encode()))
 
     def record_answer(self, host: str) -> None:
-        """Note that a keeper answered."""
+        """Record that a keeper answered, which ends its failures."""
         self._answered_at[host] = self.now
         self._failing_since.pop(host, None)
         self._failures.pop(host, None)
 
     def record_failure(self, host: str) -> None:
-        """Pass a keeper over for a while that did not answer, or is none."""
+        """Back off from a host that did not answer, or does not keep the part."""
         self._failing_since.setdefault(host, self.now)
         failures = self._failures[host] = self._failures.get(host, 0) + 1
         pause = min(BACKOFF_MAX, BACKOFF_MIN * 2 ** (failures - 1))
@@ -196,7 +202,10 @@
 
     @property
     def may_recover_soon(self) -> bool:
-        """Tell whether a keeper that does not answer has done so of late."""
+        """Return whether any keeper is worth waiting for.
+
+        Its requests do not fail, or have failed for less than `FAILURE_TIMEOUT`.
+        """
         if not self._rows:
             return False
         since = [
@@ -209,7 +218,7 @@
     def _on_rows(self, rows: tuple[Row, ...], complete: bool) -> None:
         before = dict(self._rows)
         if complete:
-            self._rows_known = True
+            self._are_rows_known = True
             self._rows.clear()
         for row in rows:
             part = part_of(row.key)
@@ -221,7 +230,7 @@
 
     def _set_row(self, part: int, row: Row, before: _PartRow | None) -> None:
         if before is not None and row.version < before.version:
-            # A relay tells it after this host wrote a newer one.
+            # A relay sent an older row after this host had written a newer one.
             self._rows[part] = before
             return
         if row.value is None:
@@ -232,7 +241,7 @@
         except (ValueError, AttributeError) as error:
             self._unreadable.note(row.key, str(error))
             if before is not None:
-                # Whoever keeps the part by it goes on.
+                # The keeper that the last readable row names goes on.
                 self._rows[part] = before
             return
         self._unreadable.clear(row.key)
@@ -240,13 +249,13 @@
         self._backoff_until.pop(entry.keeper, None)
 
     def _sync_kept_part(self, part: int) -> None:
-        """Begin or end to keep a part, as its row says."""
+        """Begin or stop keeping a part, as its row says."""
         if part in self._pending_writes:
             return
         row = self._rows.get(part)
         is_own = row is not None and row.entry.keeper == self._node.identity.name
         if is_own and part not in self._kept and not self._is_stopping:
-            # This host kept it before it started, or its claim got no answer.
+            # This host kept the part before it restarted, or its claim got no reply.
             stage = self._stage(row.entry)
             if stage is Stage.SETTLED:
                 self._resume(part)
@@ -256,30 +265,36 @@
             self._node.log("info", "limits_part_lost", part=part)
 
     def _stage(self, entry: PartEntry) -> Stage:
-        """Return what a row says to whoever keeps the part from now on.
+        """Return the stage from which the next keeper of a part begins.
 
-        One of an earlier era may be of a copy: others may have kept the part since.
+        A row of an earlier era may come from a copy of the store: other hosts may have
+        kept the part since the copy was taken.
         """
         return entry.stage if entry.era == self._store.era else Stage.TAKING_OVER
 
     def _keep(self, part: int, stage: Stage) -> None:
+        """Begin to keep a part with empty buckets, as soon as its row is confirmed."""
         wait = CONFIRMATION_TIMEOUT if stage is Stage.TAKING_OVER else 0.0
         self._kept[part] = _KeptPart(self.now, self.now + wait)
         self._confirm_rows()
 
     def _resume(self, part: int) -> None:
-        """Begin to keep a part with something to grant, unless it began so of late."""
+        """Keep a part again after a restart of this host, with prefilled buckets.
+
+        The store has to record the prefill first, so that another restart within the
+        window does not prefill them again. If that fails, the buckets begin empty.
+        """
 
         def on_reply(reply: StoreReply) -> None:
             if reply.status is StoreStatus.DONE:
                 self._kept[part] = _KeptPart(
-                    self.now, self.now, asked_at, is_prefilled=True
+                    self.now, self.now, sent_at, is_prefilled=True
                 )
             else:
                 self._keep(part, Stage.PREFILLED)
             self._node.publish(KeepersChanged())
 
-        asked_at = self.now
+        sent_at = self.now
         entry = PartEntry(self._node.identity.name, Stage.PREFILLED, self._store.era)
         self._write(part, entry, on_reply, PREFILL_TIMEOUT)
 
@@ -290,7 +305,10 @@
         handler: ReplyHandler,
         timeout: float = CALL_TIMEOUT,
     ) -> None:
-        """Change a part's row unless it has changed; the handler gets the reply."""
+        """Write a part's row, on condition that it has not changed since it was read.
+
+        The handler gets the store's reply.
+        """
         row = self._rows.get(part)
         key = key_of(part)
         expected = ((key, 0 if row is None else row.version),)
@@ -305,10 +323,11 @@
         self._pending_writes.add(part)
         self._store.call(call, on_reply, timeout)
 
-    # -- Keeping -------------------------------------------------------------
+    # -- Claims --------------------------------------------------------------
 
     def _check_parts(self) -> None:
-        if not self._rows_known or self.tables.hosts_version == 0:
+        """Claim parts that need a keeper, settle rows, and confirm kept parts."""
+        if not self._are_rows_known or self.tables.hosts_version == 0:
             return
         for part in range(PART_COUNT):
             if self._should_claim(part):
@@ -323,13 +342,11 @@
     def _should_claim(self, part: int) -> bool:
         if not self._needs_keeper(part, 0.0):
             return False
-        rank_of_host = self._candidate_rank(part)
-        return rank_of_host is not None and self._needs_keeper(
-            part, rank_of_host * CANDIDATE_DELAY
-        )
+        rank = self._candidate_rank(part)
+        return rank is not None and self._needs_keeper(part, rank * CANDIDATE_DELAY)
 
     def _is_unsettled(self, part: int) -> bool:
-        """Tell whether a part's row says what is not true any more."""
+        """Return whether the stage in the row of a kept part is out of date."""
         if (
             part in self._pending_writes
             or not self.is_sole_keeper(part)
@@ -338,58 +355,61 @@
             return False
         stage = self._stage(self._rows[part].entry)
         if stage is Stage.PREFILLED:
-            counts_for = GRANT_VALIDITY + self.tables.rate_bounds.window
-            return self.now >= self._kept[part].sole_from + counts_for
+            # Until then, operations of the initial level may count in a window.
+            counted_for = GRANT_VALIDITY + self.tables.rate_bounds.window
+            return self.now >= self._kept[part].sole_from + counted_for
         return stage is Stage.TAKING_OVER
 
     def candidates(self, part: int) -> list[str]:
-        """Return the hosts that may keep a part, whoever is first to do so first."""
+        """Return the hosts that may replace a part's keeper, in order of preference."""
         identity = self._node.identity
         regions = sorted({domain.region for domain in identity.domains})
-        home = regions[part % len(regions)] if regions else identity.region
+        home_region = regions[part % len(regions)] if regions else identity.region
         row = self._rows.get(part)
         keeper = "" if row is None else row.entry.keeper
 
         def rank(host: HostRow) -> tuple[bool, float, int]:
-            is_away = identity.region_of(host.domain) != home
+            is_away = identity.region_of(host.domain) != home_region
             return (is_away, -host.capacity, _weight(part, host))
 
         hosts = sorted(self.tables.hosts.values(), key=rank)
         return [host.name for host in hosts if host.name != keeper]
 
     def _candidate_rank(self, part: int) -> int | None:
+        """Return this host's place among the candidates; None if it is none of them."""
         names = self.candidates(part)
         name = self._node.identity.name
         return names.index(name) if name in names else None
 
     def is_candidate(self, part: int) -> bool:
-        """Tell whether this host is among the first to replace a part's keeper."""
-        rank_of_host = self._candidate_rank(part)
-        return rank_of_host is not None and rank_of_host < PROBING_CANDIDATES
+        """Return whether this host is among the candidates that probe a keeper."""
+        rank = self._candidate_rank(part)
+        return rank is not None and rank < PROBING_CANDIDATES
 
     def _needs_keeper(self, part: int, wait: float) -> bool:
-        """Tell whether a part needs another keeper, for longer than `wait` s."""
+        """Return whether a part has needed a keeper for at least `wait` seconds."""
         if part in self._pending_writes or part in self._kept or self._is_stopping:
             return False
         row = self._rows.get(part)
         if row is None or row.entry.is_released:
-            # A part that nobody keeps needs no time to tell that its keeper is silent.
+            # No failure timeout: a part without a keeper has no failure to detect.
             since = self._vacant_since.setdefault(part, self.now)
             return self.now >= since + wait
         self._vacant_since.pop(part, None)
         keeper = row.entry.keeper
         if keeper not in self.tables.hosts:
-            # It left without leaving the part.
+            # The keeper left the list of hosts without releasing the part.
             self._failing_since.setdefault(keeper, self.now)
         since = self._failing_since.get(keeper)
         if since is None:
             return False
         last_answer_at = max(self._answered_at.values(), default=float("-inf"))
         is_isolated = last_answer_at < self.now - FAILURE_TIMEOUT
-        timeout_least = ISOLATED_FAILURE_TIMEOUT if is_isolated else FAILURE_TIMEOUT
-        return self.now >= since + timeout_least + wait
+        timeout = ISOLATED_FAILURE_TIMEOUT if is_isolated else FAILURE_TIMEOUT
+        return self.now >= since + timeout + wait
 
     def _claim(self, part: int) -> None:
+        """Write this host's name to a part's row, then begin to keep the part."""
         row = self._rows.get(part)
         before = PartEntry("") if row is None else row.entry
         stage = Stage.TAKING_OVER
@@ -400,19 +420,20 @@
             and self.tables.first_start
             and not self._store.has_been_restored
         ):
-            # Where the whole fleet starts, nobody can have kept the part before.
+            # While the whole fleet starts for the first time, no host can have kept the
+            # part before.
             stage = Stage.SETTLED
         is_prefilled = stage is Stage.PREFILLED and before.stage is Stage.SETTLED
-        asked_at = self.now
+        sent_at = self.now
 
         def on_reply(reply: StoreReply) -> None:
             if reply.status is not StoreStatus.DONE:
-                # Whether or not it was done, the row says who keeps it.
+                # The write may have been done all the same: the row names the keeper.
                 self._confirm_rows()
                 return
             wait = CONFIRMATION_TIMEOUT if stage is Stage.TAKING_OVER else 0.0
             self._kept[part] = _KeptPart(
-                self.now, self.now + wait, asked_at, is_prefilled
+                self.now, self.now + wait, sent_at, is_prefilled
             )
             self._node.log("info", "limits_part_taken", part=part, before=before.keeper)
             self._node.publish(KeepersChanged())
@@ -421,52 +442,59 @@
         self._write(part, PartEntry(name, stage, self._store.era), on_reply)
 
     def _settle(self, part: int) -> None:
-        """Have a part's row say that this host has it alone: it may start again."""
+        """Mark a part's row as settled; a restarted keeper may prefill its buckets."""
         entry = PartEntry(self._node.identity.name, era=self._store.era)
         self._write(part, entry, lambda reply: None)
 
     def release_parts(self) -> None:
-        """Leave all parts to others; nothing is granted from them any more."""
+        """Stop granting, and release the parts that this host is the sole keeper of.
+
+        The rows of other parts stay as they are: another host may still grant from
+        them, and a successor has to wait for it.
+        """
         self._is_stopping = True
-        left = [part for part in self._kept if self.is_sole_keeper(part)]
+        released = [part for part in self._kept if self.is_sole_keeper(part)]
         self._kept.clear()
-        for part in left:
-            started = self._rows[part].entry.stage is Stage.PREFILLED
-            stage = Stage.PREFILLED if started else Stage.SETTLED
+        for part in released:
+            is_prefilled = self._rows[part].entry.stage is Stage.PREFILLED
+            stage = Stage.PREFILLED if is_prefilled else Stage.SETTLED
             entry = PartEntry(RELEASED, stage, self._store.era)
             self._write(part, entry, self._on_released)
 
     def _on_released(self, reply: StoreReply) -> None:
         if reply.status is not StoreStatus.DONE:
-            # Another host takes the part once this one is silent.
+            # Another host claims the part once this host has not answered for the
+            # failure timeout.
             self._node.log("warning", "limits_part_not_left", why=reply.message)
 
     def _confirm_rows(self) -> None:
-        if self._confirming:
+        """Read all rows to confirm that they still name this host for kept parts."""
+        if self._is_confirming:
             return
-        self._confirming = True
-        asked_at = self.now
+        self._is_confirming = True
+        sent_at = self.now
 
         def on_reply(reply: StoreReply) -> None:
-            self._confirming = False
+            self._is_confirming = False
             if reply.status is not StoreStatus.DONE:
                 return
             self._on_rows(reply.rows, complete=True)
             for part, kept in self._kept.items():
-                self._confirm(part, kept, asked_at)
+                self._confirm(part, kept, sent_at)
 
         self._store.call(ListRows(Table.LIMITS), on_reply)
 
-    def _confirm(self, part: int, kept: _KeptPart, asked_at: float) -> None:
-        """Note that a part's row was found to name this host."""
-        lapsed = (
+    def _confirm(self, part: int, kept: _KeptPart, sent_at: float) -> None:
+        """Record that a part's row, asked for at `sent_at`, names this host."""
+        has_lapsed = (
             kept.confirmed_at is not None
-            and asked_at >= kept.confirmed_at + CONFIRMATION_TIMEOUT
+            and sent_at >= kept.confirmed_at + CONFIRMATION_TIMEOUT
         )
-        if lapsed and self._rows[part].entry.era != self._store.era:
-            # Another host may have kept it until the store came back from a copy.
+        if has_lapsed and self._rows[part].entry.era != self._store.era:
+            # Another host may have kept the part until the store was restored from a
+            # copy.
             kept.sole_from = self.now + CONFIRMATION_TIMEOUT
-        kept.confirmed_at = max(asked_at, kept.confirmed_at or asked_at)
+        kept.confirmed_at = max(sent_at, kept.confirmed_at or sent_at)
 
 
 def _weight(part: int, host: HostRow) -> int:
--- a/mallowpass/core/proxy/ratelimits/parts.py
+++ b/mallowpass/core/proxy/ratelimits/parts.py
@@ -8,7 +8,7 @@
 from mallowpass.core.proxy.storage import RowKey, Table
 from mallowpass.core.records import record
 
-__all__ = ["RELEASED", "PartEntry", "GrantRight", "Stage", "key_of", "part_of"]
+__all__ = ["RELEASED", "GrantRight", "PartEntry", "Stage", "key_of", "part_of"]
 
 RELEASED = "-"  # in place of the keeper's name: the last keeper released the part
 
@@ -16,8 +16,8 @@
 class Stage(Enum):
     """Describe what the keeper of a part, or its successor, must assume."""
 
-    SETTLED = ""  # no other host grants, and buckets may begin prefilled again
-    TAKING_OVER = "following"  # a previous keeper may still grant
+    SETTLED = ""  # no other host has a full right; buckets may begin prefilled
+    TAKING_OVER = "following"  # a previous keeper may still have a full right
     PREFILLED = "started"  # buckets began prefilled within the last window
 
 
@@ -53,7 +53,7 @@
 
 @record
 class GrantRight:
-    """A host's right to grant from a part, held since `since`.
+    """A host's right to grant from a part; `since` is when it begins.
 
     A full right grants the part's share of the limit. Any other right grants only from
     a spare bucket, which the bounds allow beyond the limit. `is_prefilled` means that
