--- a/mallowpass/core/proxy/ratelimits/__init__.py
+++ b/mallowpass/core/proxy/ratelimits/__init__.py
@@ -1,15 +1,16 @@
-"""Rate limits of customers over the whole fleet.
+"""Rate limits of customers over all hosts.
 
-A limit is divided into parts, as in escrow locking. Each part has one keeper among the
-hosts, which grants operations from a token bucket; what is granted holds for a short
-time. So the sum keeps to the limit whoever is cut off, frozen or
-started again, and no host has to know what others run.
+A limit is divided into parts, as in escrow locking. Each part has one host as its
+keeper. The keeper grants operations to all hosts from a token bucket per customer, and
+a grant expires after a short time. So all hosts together keep to the limit, also while
+some are cut off, frozen or restarting, and no host needs to know how many operations
+the others run.
 
-| module | what it decides |
+| module | responsibility |
 |---|---|
-| `buckets` | how many operations of a customer one part grants |
-| `parts` | what the store's rows say of them |
+| `buckets` | how many operations of a customer one part may grant |
+| `parts` | the store's rows of the parts |
 | `keepers` | which host keeps a part, and whether it may still grant from it |
-| `granting` | what a keeper answers |
-| `allowances` | which of this host's operations may begin, and whom it asks |
+| `granting` | how a keeper answers requests for grants |
+| `allowances` | which operations may begin at this host, and which keepers it asks |
 """
--- a/mallowpass/core/proxy/ratelimits/allowances.py
+++ b/mallowpass/core/proxy/ratelimits/allowances.py
@@ -1,8 +1,8 @@
-"""Which operations of customers with a limit this host may begin.
+"""Grants that this host acquires for operations of customers with a limit.
 
-Keepers are asked, the nearest first, for as many as wait, and some ahead for those that
-will come in a moment. A customer that no keeper has room for is refused at once, and
-told when to come back.
+Keepers are asked for as many operations as wait, nearest keeper first, and for some
+ahead of need. If no keeper has tokens left for a customer, its operations are refused
+at once, with the delay after which its callers may try again.
 """
 
 from __future__ import annotations
@@ -24,33 +24,37 @@
 
 __all__ = ["Allowances"]
 
-# How long one keeper has for its answer, in seconds: a round trip between regions takes
-# a sixth.
+# How long one keeper has to answer a request, in seconds: a round trip between regions
+# takes a sixth of it.
 REQUEST_TIMEOUT = 0.15
-# How long until keepers are asked again of which none answered, in seconds.
+# Delay before keepers are asked again after none of them answered, in seconds.
 RETRY_DELAY = 0.1
-# How long an operation waits for keepers at the most, in seconds.
+# How long an operation waits for grants at most, in seconds.
 WAIT_TIMEOUT = 0.45
-# Operations that are asked for ahead: as many as were begun of late, and no more.
+# Operations requested ahead of need: as many as began within the last AHEAD_WINDOW
+# seconds, and at most AHEAD_MAX.
 AHEAD_MAX = 8
-AHEAD_WINDOW = 1.0  # seconds
-PROBE_INTERVAL = 1.0  # seconds between questions whether a keeper answers
-# How long a keeper that has no room is not asked again, in seconds: a limit that is
-# raised meanwhile helps.
+AHEAD_WINDOW = 1.0
+PROBE_INTERVAL = 1.0  # seconds between probes of a keeper
+# Longest time for which a keeper without tokens is not asked again, in seconds: short,
+# so that a raised limit takes effect soon.
 EMPTY_BACKOFF_MAX = 0.5
-# Customers that metrics name, the largest by their limits, and what they call others.
-LABELLED_MAX = 20
+# Number of customers that have a metric label of their own, those with the highest
+# rates, and the label of all others.
+LABELLED_CUSTOMERS_MAX = 20
 OTHER_CUSTOMERS = "other"
-# When to come back if no keeper answers, in seconds: they are replaced meanwhile.
-NO_KEEPER_RETRY_DELAY = 1.0
+# When a caller may try again if no keeper answers, in seconds: failed keepers are being
+# replaced meanwhile.
+NO_KEEPER_RETRY_AFTER = 1.0
 
-# Called with until when an operation may begin; None: it may not, and why not.
+# Called with the time until which an operation may begin, or with None and the reason
+# why it may not.
 Handler = Callable[[float | None, str], None]
 
 
 @dataclass(slots=True, eq=False)
 class _Waiter:
-    """Hold an operation that waits for a grant."""
+    """An operation that waits for a grant."""
 
     handler: Handler
     timer: Timer | None = None
@@ -58,42 +62,44 @@
 
 @dataclass(slots=True)
 class _Account:
-    """Hold what this host may begin of one customer, and who waits for it."""
+    """The grants and the waiting operations of one customer at this host."""
 
     name: str
-    granted: deque[tuple[float, int]] = field(default_factory=deque)  # until when
+    # When each grant expires, and how many operations it allows, in order of use.
+    grants: deque[tuple[float, int]] = field(default_factory=deque)
     waiting: deque[_Waiter] = field(default_factory=deque)
-    requested: int = 0  # operations that keepers were asked for and have not answered
+    requested: int = 0  # operations in requests that are not answered yet
+    # When the last operations began.
     begun_at: deque[float] = field(default_factory=lambda: deque(maxlen=AHEAD_MAX))
-    # By part, until when its keeper is not asked, and when it will have room.
+    # By part: until when its keeper is not asked, and when it will have tokens again.
     empty_until: dict[int, float] = field(default_factory=dict)
     available_at: dict[int, float] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class _GrantRequest:
-    """Hold one question to a keeper."""
+    """A request to a keeper for operations of one customer."""
 
-    account: _Account | None  # None: whether it answers
+    account: _Account | None  # None: a probe, which only asks for an answer
     part: int
     host: str
     needed: int
-    asked_at: float
+    sent_at: float
 
 
 class Allowances(ProxySystem):
-    """Let operations begin within their customers' limits."""
+    """Acquire grants for operations, and refuse operations beyond a limit."""
 
     __slots__ = ("_accounts", "_granting", "_keepers", "_labelled", "_requests")
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
         self._accounts: dict[str, _Account] = {}
-        self._labelled: set[str] = set()  # customers that metrics name
+        self._labelled: set[str] = set()  # customers with a metric label of their own
         self._requests: dict[int, _GrantRequest] = {}
 
     def start(self) -> None:
-        """Subscribe to keepers' answers."""
+        """Subscribe to keepers' answers, and begin to probe keepers."""
         self._granting = self._node.system(Granting)
         self._keepers = self._node.system(Keepers)
         self._node.subscribe(AllowanceAnswered, self._on_answered)
@@ -104,7 +110,9 @@
     def _on_configuration(self, signal: ConfigurationAccepted) -> None:
         customers = signal.configuration.customers
         by_rate = sorted(customers.values(), key=lambda c: (-c.rate, c.name))
-        self._labelled = {customer.name for customer in by_rate[:LABELLED_MAX]}
+        self._labelled = {
+            customer.name for customer in by_rate[:LABELLED_CUSTOMERS_MAX]
+        }
         for name in [name for name in self._accounts if name not in customers]:
             if not self._accounts[name].waiting:
                 del self._accounts[name]
@@ -112,7 +120,7 @@
     # -- Operations ----------------------------------------------------------
 
     def acquire(self, customer: str | None, handler: Handler) -> None:
-        """Have a handler called once an operation may begin, or may not."""
+        """Call a handler once an operation is granted or refused, maybe at once."""
         if not self._is_limited(customer):
             handler(math.inf, "")
             return
@@ -121,17 +129,17 @@
         if until is not None:
             handler(until, "")
             return
-        waiting = _Waiter(handler)
-        waiting.timer = self.timers.after(
-            WAIT_TIMEOUT, self._on_wait_timeout, account, waiting
+        waiter = _Waiter(handler)
+        waiter.timer = self.timers.after(
+            WAIT_TIMEOUT, self._on_wait_timeout, account, waiter
         )
-        account.waiting.append(waiting)
+        account.waiting.append(waiter)
         self._request_grants(account)
 
     def return_unused(self, customer: str | None, until: float) -> None:
-        """Take back what an operation was granted that was not sent after all."""
+        """Return the grant of an operation that did not begin, for the next one."""
         if self._is_limited(customer) and until > self.now:
-            self._account(customer).granted.appendleft((until, 1))
+            self._account(customer).grants.appendleft((until, 1))
 
     def _is_limited(self, customer: str | None) -> bool:
         known = self.tables.configuration.customers.get(customer)
@@ -144,35 +152,38 @@
         return account
 
     def _use_grant(self, account: _Account) -> float | None:
-        """Use one operation of what was granted; return until when it may begin."""
-        while account.granted and account.granted[0][0] <= self.now:
-            account.granted.popleft()
-        if not account.granted:
+        """Use up one granted operation, and return the time until which it may begin.
+
+        Return None if no unexpired grant is left.
+        """
+        while account.grants and account.grants[0][0] <= self.now:
+            account.grants.popleft()
+        if not account.grants:
             return None
-        until, operations = account.granted.popleft()
+        until, operations = account.grants.popleft()
         if operations > 1:
-            account.granted.appendleft((until, operations - 1))
+            account.grants.appendleft((until, operations - 1))
         account.begun_at.append(self.now)
         return until
 
-    def _on_wait_timeout(self, account: _Account, waiting: _Waiter) -> None:
-        if waiting in account.waiting:
-            account.waiting.remove(waiting)
-            self._refuse(waiting, account, NO_KEEPER_RETRY_DELAY, "no answer in time")
+    def _on_wait_timeout(self, account: _Account, waiter: _Waiter) -> None:
+        if waiter in account.waiting:
+            account.waiting.remove(waiter)
+            self._refuse(waiter, account, NO_KEEPER_RETRY_AFTER, "no answer in time")
 
     def _refuse(
-        self, waiting: _Waiter, account: _Account, pause: float, why: str
+        self, waiter: _Waiter, account: _Account, pause: float, why: str
     ) -> None:
-        waiting.timer.cancel()
+        waiter.timer.cancel()
         label = account.name if account.name in self._labelled else OTHER_CUSTOMERS
         self._node.count("operations_limited", customer=label, why=why)
-        text = f"{account.name} is at its limit ({why}); come back in {pause:.1f} s"
-        waiting.handler(None, text)
+        text = f"{account.name} is at its limit ({why}); try again in {pause:.1f} s"
+        waiter.handler(None, text)
 
-    # -- Keepers -------------------------------------------------------------
+    # -- Requests to keepers -------------------------------------------------
 
     def _request_grants(self, account: _Account) -> None:
-        """Ask the nearest keeper that may have room for what waits."""
+        """Ask the nearest keeper that may have tokens for the waiting operations."""
         missing = len(account.waiting) - account.requested
         if missing <= 0 or not self._keepers.are_known:
             return
@@ -188,7 +199,7 @@
         if not usable and self._keepers.may_recover_soon:
             self.timers.after(RETRY_DELAY, self._request_grants, account)
             return
-        pause, why = NO_KEEPER_RETRY_DELAY, "no keeper answers"
+        pause, why = NO_KEEPER_RETRY_AFTER, "no keeper answers"
         if usable:
             available_at = min(account.available_at[part] for part, _ in usable)
             pause, why = max(0.0, available_at - self.now), "all parts are used up"
@@ -203,9 +214,9 @@
         if account is not None:
             account.requested += request.needed
         if host.name == self._node.identity.name:
-            granted = self._granting.grant(request.part, name, request.needed, ahead)
-            given = None if granted is None else granted.operations
-            pause = 0.0 if granted is None else granted.pause
+            grant = self._granting.grant(request.part, name, request.needed, ahead)
+            given = None if grant is None else grant.operations
+            pause = 0.0 if grant is None else grant.pause
             self._on_answered(AllowanceAnswered(number, given, pause))
             return
         self._node.count("allowances_asked")
@@ -219,6 +230,7 @@
         )
 
     def _on_answered(self, event: AllowanceAnswered) -> None:
+        """Handle a keeper's answer, its timeout, or this host's own grant."""
         request = self._requests.pop(event.call, None)
         if request is None:
             return
@@ -233,19 +245,19 @@
         if event.operations is not None:
             self._store_answer(account, request, event)
         while account.waiting and (until := self._use_grant(account)) is not None:
-            waiting = account.waiting.popleft()
-            waiting.timer.cancel()
-            waiting.handler(until, "")
+            waiter = account.waiting.popleft()
+            waiter.timer.cancel()
+            waiter.handler(until, "")
         self._request_grants(account)
 
     def _store_answer(
         self, account: _Account, request: _GrantRequest, event: AllowanceAnswered
     ) -> None:
+        """Store the grant of an answer, and when its keeper will have more tokens."""
         if event.operations:
-            # Counted from the question, it lapses here before it does at the keeper.
-            account.granted.append(
-                (request.asked_at + GRANT_VALIDITY, event.operations)
-            )
+            # Counted from when the request was sent, so that the grant expires here no
+            # later than GRANT_VALIDITY after the keeper issued it.
+            account.grants.append((request.sent_at + GRANT_VALIDITY, event.operations))
         if event.operations < request.needed:
             pause = min(event.pause, EMPTY_BACKOFF_MAX)
             account.empty_until[request.part] = self.now + pause
@@ -256,7 +268,7 @@
             self._request_grants(account)
 
     def _probe(self) -> None:
-        """Ask keepers that this host would replace whether they answer."""
+        """Probe the keepers that this host is a candidate to replace."""
         for part, host in self._keepers.nearest_keepers():
             is_own = host.name == self._node.identity.name
             if not is_own and self._keepers.is_candidate(part):
--- a/tests/core/proxy/ratelimits/test_limits.py
+++ b/tests/core/proxy/ratelimits/test_limits.py
@@ -1,4 +1,4 @@
-"""Rate limits over the fleet, whoever is cut off, ends or starts again."""
+"""Rate limits of customers over all hosts, also while hosts fail or restart."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from mallowpass.standins.proxied.virtual.world import ProxyWorld, customer, identified
 
 RATE, BURST = 20.0, 20.0
-FLOOD = 400.0  # operations a second, of a customer that sends many times its limit
+FLOOD = 400.0  # operations per second, many times the limit
 ACME = customer("acme", "key-a", rate=RATE, burst=BURST)
 SMALL = customer("berth", "key-b", rate=5.0, burst=5.0)
 HOSTS = 12
-SHALLOW = 250  # calls within each other: many more than one statement takes
+RECURSION_LIMIT = 250  # nested calls, many more than one statement takes
 
 
 def _world(hosts: int = HOSTS, **options) -> ProxyWorld:
     world = ProxyWorld(hosts=hosts, slots=50, max_connections=200, **options)
     world.configure(identified(ACME, SMALL))
-    world.run(25.0)  # until new keepers may grant all of their parts
+    world.run(25.0)  # until new keepers have full rights
     return world
 
 
@@ -38,7 +38,7 @@
 
 
 class _Load:
-    """Call at a rate, each time by another host, and keep what was answered."""
+    """Send reads at a rate, each to a random host, and record the answers."""
 
     def __init__(self, world: ProxyWorld, key: str, rate: float, seed: int = 1) -> None:
         self._world = world
@@ -69,7 +69,7 @@
 
 
 def _keepers(world: ProxyWorld) -> dict[int, int]:
-    """Return which host keeps each part, by its index."""
+    """Return the index of the sole keeper of each part."""
     return {
         part: index
         for index, host in enumerate(world.hosts)
@@ -78,7 +78,7 @@
     }
 
 
-def test_three_hosts_keep_the_parts(world):
+def test_parts_are_kept_in_different_failure_domains(world):
     assert sorted(_keepers(world)) == list(range(PART_COUNT))
     assert len({world.hosts[i].domain for i in _keepers(world).values()}) == PART_COUNT
 
@@ -90,14 +90,14 @@
     assert load.count(Code.DONE) > 0.9 * 15.0 * 0.9 * RATE
 
 
-def test_whole_limit_of_a_small_customer_is_for_one_host(world):
-    """Guard against refusing a customer whose callers all come to one host."""
+def test_one_host_may_use_the_whole_limit_of_a_small_customer(world):
+    """Guard against refusals if all callers of a customer connect to one host."""
     for _ in range(15):
         assert world.caller(0, "own", "key-b").run(Read("a")).code is Code.DONE
         world.run(0.2)
 
 
-def test_customer_that_floods_gets_its_limit_and_no_more(world):
+def test_flood_gets_the_limit_and_no_more(world):
     load = _Load(world, "key-a", FLOOD)
     world.run(15.0)
     assert world.judge.breaches == []
@@ -105,7 +105,7 @@
     assert load.count(Code.BUSY) > 10 * load.count(Code.DONE)
 
 
-def test_refusal_is_at_once_and_tells_when_to_come_back(world):
+def test_refusal_is_immediate_and_names_the_retry_delay(world):
     load = _Load(world, "key-a", FLOOD)
     world.run(3.0)
     load.stopped = True
@@ -119,14 +119,14 @@
     assert world.caller(0, "own", "key-a").run(Write("a 1")).code is Code.DONE
 
 
-def test_others_are_served_beside_a_flood(world):
+def test_flood_does_not_affect_other_customers(world):
     _Load(world, "key-a", FLOOD)
     other = _Load(world, "key-b", 4.0)
     world.run(10.0)
     assert other.count(Code.BUSY) == 0
 
 
-def test_transaction_counts_once(world):
+def test_transaction_counts_as_one_operation(world):
     before = world.judge.runs["acme"]
     caller = world.caller(0, "own", "key-a")
     for statement in (Begin(), Read("a"), Read("b"), Write("a 1")):
@@ -134,7 +134,7 @@
     assert world.judge.runs["acme"] == before + 1
 
 
-def test_limit_that_is_lowered_binds_and_one_that_is_raised_helps(world):
+def test_lowered_and_raised_limits_take_effect(world):
     load = _Load(world, "key-a", FLOOD)
     world.run(5.0)
     lower = customer("acme", "key-a", rate=4.0, burst=4.0)
@@ -151,27 +151,31 @@
     assert world.judge.breaches == []
 
 
-def test_statements_sent_ahead_beyond_the_limit_are_all_refused(world):
-    """Guard against refusals that answer each other within one call, without an end."""
+def test_pipelined_statements_beyond_the_limit_are_all_refused(world):
+    """Guard against unbounded recursion.
+
+    A refusal starts the next statement of its session, which is refused within the same
+    call.
+    """
     none = customer("acme", "key-a", rate=0.0, burst=0.0)
     world.configure(identified(none, SMALL, version=3))
     world.run(3.0)
     caller = world.caller(0, "own", "key-a")
     for _ in range(60):
         caller.send(Read("a"))
-    deepest = sys.getrecursionlimit()
-    sys.setrecursionlimit(SHALLOW)
+    default_limit = sys.getrecursionlimit()
+    sys.setrecursionlimit(RECURSION_LIMIT)
     try:
         world.run(2.0)
     finally:
-        sys.setrecursionlimit(deepest)
+        sys.setrecursionlimit(default_limit)
     assert [answer.code for answer in caller.answers] == 60 * [Code.BUSY]
 
 
 # -- Failures ----------------------------------------------------------------
 
 
-def test_keeper_that_is_killed_costs_no_more_than_its_part(world):
+def test_killed_keeper_affects_only_its_part(world):
     load = _Load(world, "key-a", 0.5 * RATE)
     part, index = next(iter(_keepers(world).items()))
     world.kill(index)
@@ -181,8 +185,8 @@
     assert world.judge.breaches == []
 
 
-def test_flood_while_keepers_start_again_over_and_over(world):
-    """Guard against a keeper that grants anew what it granted before it was killed."""
+def test_flood_while_keepers_restart_repeatedly(world):
+    """Guard against a restarted keeper that grants the same tokens twice."""
     load = _Load(world, "key-a", FLOOD)
     for index in itertools.chain(*[_keepers(world).values()] * 2):
         world.kill(index)
@@ -202,8 +206,8 @@
     assert load.count(Code.DONE) > 0
 
 
-def test_callers_of_a_fleet_that_lost_power_are_served_at_once(world):
-    """Guard against empty buckets at the moment when all callers come back."""
+def test_callers_are_served_at_once_after_a_power_loss(world):
+    """Guard against empty buckets when all callers reconnect at the same time."""
     world.lose_power(1.0, 1.0, lambda host: None)
     world.run(0.5)
     for index in range(9):
@@ -211,7 +215,8 @@
         assert answer.code is Code.DONE
 
 
-def test_keeper_that_starts_again_twice_begins_empty_the_second_time(world):
+def test_buckets_are_not_prefilled_again_within_a_window(world):
+    """Guard against a prefill by each of several restarts in quick succession."""
     load = _Load(world, "key-a", FLOOD)
     for _ in range(6):
         for index in set(_keepers(world).values()):
@@ -222,8 +227,8 @@
     assert load.count(Code.DONE) > 0
 
 
-def test_keeper_that_is_cut_from_the_store_ends_before_its_successor_begins(world):
-    """Guard against two that believe to keep one part, and grant it twice."""
+def test_keeper_cut_off_from_the_store_stops_before_its_successor_begins(world):
+    """Guard against two hosts that both assume to keep a part, and grant it twice."""
     load = _Load(world, "key-a", FLOOD)
     part, index = next(iter(_keepers(world).items()))
     candidates = world.hosts[index].node.system(Keepers).candidates(part)
@@ -235,7 +240,7 @@
     assert load.count(Code.DONE) >= 0.6 * 40.0 * RATE
 
 
-def test_keeper_that_freezes_grants_nothing_by_an_old_right(world):
+def test_frozen_keeper_grants_nothing_by_an_expired_right(world):
     load = _Load(world, "key-a", FLOOD)
     part, index = next(iter(_keepers(world).items()))
     host = world.hosts[index]
@@ -248,7 +253,7 @@
     assert load.count(Code.DONE) > 0
 
 
-def test_stopping_keeper_leaves_its_part_with_what_it_granted(world):
+def test_stopping_keeper_releases_its_part(world):
     """Guard against a part that is granted twice, or not at all, at each restart."""
     load = _Load(world, "key-a", FLOOD)
     world.run(3.0)
@@ -262,7 +267,7 @@
     assert world.judge.breaches == []
 
 
-def test_without_the_store_keepers_go_on_for_a_while(world):
+def test_short_outage_of_the_store_does_not_interrupt_keepers(world):
     load = _Load(world, "key-a", 0.5 * RATE)
     for index in range(HOSTS):
         world.cut(index, "store")
@@ -283,7 +288,7 @@
     assert world.timers.now - asked_at < 0.05
 
 
-def test_unreadable_part_leaves_its_keeper(world):
+def test_unreadable_row_does_not_change_the_keeper(world):
     key = RowKey(Table.LIMITS, "", "0")
     keeper = _keepers(world)[0]
     world.store.put(key, "host-1 and host-2")
@@ -291,8 +296,8 @@
     assert _keepers(world)[0] == keeper
 
 
-def test_keeper_goes_by_the_newest_row_that_it_knows(world):
-    """Guard against a relay that tells, late, who kept the part before."""
+def test_keeper_ignores_older_rows(world):
+    """Guard against a relay that sends, late, the row of the previous keeper."""
     part, index = next(iter(_keepers(world).items()))
     keepers = world.hosts[index].node.system(Keepers)
     older = Row(RowKey(Table.LIMITS, "", str(part)), 1, "host-of-before 1")
@@ -309,11 +314,11 @@
         PartEntry("-"),
     ],
 )
-def test_entry_is_read_as_it_was_written(entry):
+def test_entry_is_decoded_as_it_was_encoded(entry):
     assert PartEntry.decode(entry.encode()) == entry
 
 
-def test_unlimited_customers_ask_nobody():
+def test_unlimited_customer_sends_no_requests_to_keepers():
     world = ProxyWorld(hosts=3)
     world.configure(identified(customer("acme", "key-a")))
     world.run(2.0)
@@ -322,5 +327,5 @@
     assert not world.hosts[0].node.system(Allowances)._requests
 
 
-def test_judge_allows_the_limit_with_its_bounds():
+def test_judge_allows_the_limit_and_its_bounds():
     assert allowance(20.0, 20.0) == pytest.approx(152.0)
