--- a/mallowpass/core/proxy/ratelimits/buckets.py
+++ b/mallowpass/core/proxy/ratelimits/buckets.py
@@ -7,8 +7,8 @@
 
 The limit is promised for every window of `RateBounds.window` seconds. An operation may
 begin up to `GRANT_VALIDITY` after its grant. So the operations of one window are those
-granted during the window or in the `GRANT_VALIDITY` before it, and the rates and bursts
-of all buckets must keep to:
+granted during the window or in the `GRANT_VALIDITY` before it. The rates and bursts of
+all buckets together, on the left, must keep to the limit and its bounds, on the right:
 
     rate * (window + GRANT_VALIDITY) + burst
         <= (rate * window + burst) * (1 + overage) + slack
@@ -29,19 +29,20 @@
 from mallowpass.core.records import record
 
 __all__ = [
-    "PART_COUNT",
     "GRANT_VALIDITY",
+    "PART_COUNT",
     "BucketSize",
     "TokenBucket",
     "full_size",
-    "spare_size",
     "initial_level",
+    "spare_size",
 ]
 
 # Number of parts of each limit. While one part has no keeper, hosts use the other two,
 # so a customer that uses less than two thirds of its limit is not affected.
 PART_COUNT = 3
-# How long a host may use a grant, in seconds. Operations not begun by then are lost.
+# How long a host may use a grant, in seconds. Operations that do
+# not begin within that time are lost.
 GRANT_VALIDITY = 0.5
 # Least burst of one part, in operations. A burst that would give each part less is not
 # divided: the whole limit goes to one part.
@@ -112,7 +113,10 @@
 
 
 def _headroom(customer: Customer, bounds: RateBounds) -> float:
-    """Return how many operations the bounds allow beyond the limit in one window."""
+    """Return how many operations per window the bounds allow beyond the limit.
+
+    Operations that were granted before the window and may begin in it are subtracted.
+    """
     limit = customer.rate * bounds.window + customer.burst
     late_operations = customer.rate * GRANT_VALIDITY
     return max(0.0, limit * bounds.overage + bounds.slack - late_operations)
--- a/mallowpass/core/proxy/ratelimits/keepers.py
+++ b/mallowpass/core/proxy/ratelimits/keepers.py
@@ -3,9 +3,9 @@
 A row of the store names a part's keeper. A new keeper writes its name there, and waits
 until its predecessor's full right has expired: a keeper confirms periodically that the
 row names it, and a keeper that could not confirm for `CONFIRMATION_TIMEOUT` grants only
-from a spare bucket. So two hosts that both assume to keep a part never both grant all
-of it, and no row changes while nothing fails. A keeper that stops releases its part, so
-that another host takes the part at once.
+from a spare bucket. So two hosts that both act as the keeper of a part never both grant
+all of it, and no row changes while nothing fails. A keeper that stops releases its
+part, so that another host claims the part at once.
 """
 
 from __future__ import annotations
@@ -78,11 +78,11 @@
 class _KeptPart:
     """A part that this host keeps."""
 
-    since: float
+    since: float  # when this host began to keep it
     sole_from: float  # from this time on, no other host has a full right
     # When the last read of the row that named this host was sent; None: none yet.
     confirmed_at: float | None = None
-    is_prefilled: bool = False
+    is_prefilled: bool = False  # buckets begin at their initial level
 
 
 class Keepers(ProxySystem):
--- a/tests/core/proxy/ratelimits/test_limits.py
+++ b/tests/core/proxy/ratelimits/test_limits.py
@@ -43,7 +43,7 @@
     def __init__(self, world: ProxyWorld, key: str, rate: float, seed: int = 1) -> None:
         self._world = world
         self._key = key
-        self._gap = 1.0 / rate
+        self._interval = 1.0 / rate
         self._random = random.Random(seed)
         self._callers = []
         self.stopped = False
@@ -58,7 +58,7 @@
             if caller.refusal is None:
                 caller.send(Read("a"))
                 self._callers.append(caller)
-        self._world.timers.after(self._gap, self._send)
+        self._world.timers.after(self._interval, self._send)
 
     @property
     def answers(self):
@@ -176,6 +176,7 @@
 
 
 def test_killed_keeper_affects_only_its_part(world):
+    """Guard against refusals below the limit after one keeper is killed."""
     load = _Load(world, "key-a", 0.5 * RATE)
     part, index = next(iter(_keepers(world).items()))
     world.kill(index)
@@ -198,6 +199,7 @@
 
 
 def test_flood_while_all_hosts_lose_power(world):
+    """Guard against keepers that all grant the same tokens again after a restart."""
     load = _Load(world, "key-a", FLOOD)
     world.run(5.0)
     world.lose_power(1.0, 1.0, lambda host: None)
@@ -241,6 +243,7 @@
 
 
 def test_frozen_keeper_grants_nothing_by_an_expired_right(world):
+    """Guard against a keeper that thaws after a successor has taken over its part."""
     load = _Load(world, "key-a", FLOOD)
     part, index = next(iter(_keepers(world).items()))
     host = world.hosts[index]
@@ -268,6 +271,7 @@
 
 
 def test_short_outage_of_the_store_does_not_interrupt_keepers(world):
+    """Guard against refusals while no host reaches the store."""
     load = _Load(world, "key-a", 0.5 * RATE)
     for index in range(HOSTS):
         world.cut(index, "store")
@@ -276,6 +280,7 @@
 
 
 def test_host_that_reaches_no_keeper_refuses_at_once(world):
+    """Guard against statements that wait although no keeper can answer in time."""
     index = next(i for i in range(HOSTS) if i not in _keepers(world).values())
     names = {world.hosts[k].name for k in _keepers(world).values()}
     world.cut(index, *names)
@@ -289,6 +294,7 @@
 
 
 def test_unreadable_row_does_not_change_the_keeper(world):
+    """Guard against a part without a keeper after its row is overwritten."""
     key = RowKey(Table.LIMITS, "", "0")
     keeper = _keepers(world)[0]
     world.store.put(key, "host-1 and host-2")
