--- a/mallowpass/core/proxy/requests.py
+++ b/mallowpass/core/proxy/requests.py
@@ -165,7 +165,7 @@
         def on_granted(until: float | None, why: str) -> None:
             if request.finished:
                 if until is not None:
-                    self._allowances.give_back(request.customer, until)
+                    self._allowances.return_unused(request.customer, until)
             elif until is None:
                 self._answers.refuse(request, Code.BUSY, why)
             else:
@@ -173,7 +173,7 @@
                 self._enqueue(request)
 
         request.detail = "waits for its customer's rate limit"
-        self._allowances.begin(request.customer, on_granted)
+        self._allowances.acquire(request.customer, on_granted)
 
     def abandon_session(self, session: SessionRow) -> None:
         """Abandon the statement of a closed session; if it was sent, it runs on."""
