--- a/mallowpass/core/proxy/ratelimits/allowances.py
+++ b/mallowpass/core/proxy/ratelimits/allowances.py
@@ -207,7 +207,7 @@
             self._refuse(account.waiting.pop(), account, pause, why)
 
     def _send_request(self, request: _GrantRequest, host: HostRow, ahead: int) -> None:
-        number = self._node.number()
+        number = self._node.next_number()
         self._requests[number] = request
         account = request.account
         name = "" if account is None else account.name
--- a/mallowpass/core/proxy/store.py
+++ b/mallowpass/core/proxy/store.py
@@ -182,7 +182,7 @@
         self, request: StoreCall, handler: ReplyHandler, timeout: float = CALL_TIMEOUT
     ) -> None:
         """Call the store; if no reply comes, the handler gets REFUSED or UNKNOWN."""
-        number = self._node.number()
+        number = self._node.next_number()
         self._calls[number] = (handler, self._era)
         self._node.emit(CallStore(number, request, timeout))
         self._node.count("store_calls", kind=type(request).__name__)
@@ -191,7 +191,7 @@
         self, relay: HostRow, request: WatchRows, handler: ReplyHandler, timeout: float
     ) -> None:
         """Request changes of a table from another host that follows the store."""
-        number = self._node.number()
+        number = self._node.next_number()
         self._calls[number] = (handler, self._era)
         self._relay_calls.add(number)
         self._node.emit(CallStore(number, request, timeout, relay.address))
