--- a/mallowpass/core/systems/admission.py
+++ b/mallowpass/core/systems/admission.py
@@ -61,18 +61,18 @@
             return 0.0
         waits = (
             0.0 if pool is None else self.predicted_pool_wait(pool, class_name)
-            for pool in map(self._pooling.known_pool, database.endpoints)
+            for pool in map(self._pooling.find_pool, database.endpoints)
         )
         return min(waits, default=0.0)
 
     def predicted_pool_wait(self, pool: EndpointPool, class_name: str) -> float:
         """Return how long a new request of a class would wait, in seconds."""
-        ahead = pool.queue.ahead(class_name)
-        room = self._pooling.opener.room(pool)
+        ahead = pool.queue.requests_ahead(class_name)
+        room = self._pooling.opener.openable_count(pool)
         if ahead < self._free(pool, room) or not (ahead or pool.connections):
             return 0.0
         servers = min(len(pool.connections) + room, pool.statement_limit)
-        return (ahead + 1) * pool.hold / max(1, servers)
+        return (ahead + 1) * pool.average_hold_time / max(1, servers)
 
     @staticmethod
     def _free(pool: EndpointPool, room: int) -> int:
@@ -83,7 +83,7 @@
         """
         idle = len(pool.idle) + len(pool.idle_borrowed)
         free = idle + len(pool.opening) + room
-        return min(free, pool.statement_limit - pool.active)
+        return min(free, pool.statement_limit - pool.active_count)
 
     def _refuse_full(self, request: RequestRow) -> Refusal | None:
         database = self.tables.databases.get(request.database)
@@ -92,7 +92,7 @@
         row = self.tables.services.get(database.service)
         service = row.service if row is not None else None
         limit = service.queue_length if service is not None else DEFAULT_QUEUE_LENGTH
-        if self._pooling.waiting_for_service(database.service) < limit:
+        if self._pooling.queued_count_of_service(database.service) < limit:
             return None
         # Half the queue has to be served before a place is likely to be free.
         wait = self.predicted_wait(request.database, request.request_class) / 2
--- a/mallowpass/core/systems/closing.py
+++ b/mallowpass/core/systems/closing.py
@@ -8,10 +8,10 @@
 from mallowpass.core.systems.poolpart import PoolPart
 from mallowpass.core.tables import ConnectionRow
 
-__all__ = ["Closing"]
+__all__ = ["Closer"]
 
 
-class Closing(PoolPart):
+class Closer(PoolPart):
     """Take connections out of use, whoever had them."""
 
     __slots__ = ()
@@ -26,7 +26,9 @@
         self._tell_lost(pool, connection, event.message)
         self._pooling.granting.dispatch(pool)
 
-    def lose(self, pool: EndpointPool, connection: ConnectionRow, why: str) -> None:
+    def close_and_notify(
+        self, pool: EndpointPool, connection: ConnectionRow, why: str
+    ) -> None:
         """Close a connection and tell who used it."""
         self._node.count("connections_lost", reason=why)
         self._node.emit(CloseConnection(connection.number))
@@ -36,14 +38,14 @@
         self, pool: EndpointPool, connection: ConnectionRow, why: str
     ) -> None:
         number, transaction = connection.request, connection.transaction
-        self.forget(pool, connection)
+        self.remove(pool, connection)
         request = self.tables.requests.get(number)
         if request is not None:
             self._pooling.requests.on_connection_lost(request, connection, why)
         elif transaction:
             self._pooling.transactions.on_connection_lost(connection, why)
 
-    def lose_unsent(
+    def on_unsent(
         self, pool: EndpointPool, connection: ConnectionRow, known: bool
     ) -> None:
         """Tell of a call that was not sent; `known`: its connection was there then."""
@@ -54,39 +56,39 @@
         self._tell_lost(pool, connection, "expired, call not sent")
         self._pooling.granting.dispatch(pool)
 
-    def expire(self, pool: EndpointPool, connection: ConnectionRow) -> None:
+    def close_expired(self, pool: EndpointPool, connection: ConnectionRow) -> None:
         """Close a connection that the endpoint has closed by now.
 
         It may be a transaction's, between two of its calls: that is over then too.
         """
-        self.lose(pool, connection, "expired")
+        self.close_and_notify(pool, connection, "expired")
 
     def close(self, pool: EndpointPool, connection: ConnectionRow) -> None:
         """Close a connection that nobody uses."""
         if connection.number not in self._connections:
             return
         self._node.emit(CloseConnection(connection.number))
-        self.forget(pool, connection)
+        self.remove(pool, connection)
 
-    def forget(self, pool: EndpointPool, connection: ConnectionRow) -> None:
+    def remove(self, pool: EndpointPool, connection: ConnectionRow) -> None:
         """Take a connection out of all tables."""
         number = connection.number
         if self._connections.pop(number, None) is None:
             return
-        if pool.is_counted(connection):
-            pool.active -= 1
+        if pool.is_active(connection):
+            pool.active_count -= 1
         pool.connections.pop(number, None)
         pool.idle.pop(number, None)
         pool.idle_borrowed.pop(number, None)
         pool.pinned.pop(number, None)
-        pool.deferred.pop(number, None)
-        pool.answering.remove(number)
+        pool.deferred_calls.pop(number, None)
+        pool.in_flight.remove(number)
         self._pooling.proving.forget(pool, number)
-        pool.checking.remove(number)
+        pool.internal_in_flight.remove(number)
         pool.opening.remove(number)
-        pool.internal.pop(number, None)
+        pool.internal_calls.pop(number, None)
         if not connection.loan:
-            pool.settling.append((self.now, connection.expires_at + LIFE_MARGIN))
+            pool.closing_slots.append((self.now, connection.expires_at + LIFE_MARGIN))
             return
         loan = pool.borrowed.get(connection.loan)
         if loan is not None:
--- a/mallowpass/core/systems/connections.py
+++ b/mallowpass/core/systems/connections.py
@@ -7,7 +7,7 @@
 
 from mallowpass.core.calls import EndpointCall
 from mallowpass.core.systems.concurrency import ConcurrencyLimit
-from mallowpass.core.systems.waitqueue import Tally, WaitQueue
+from mallowpass.core.systems.waitqueue import QueueCounter, WaitQueue
 from mallowpass.core.tables import (
     ConnectionRow,
     ConnectionState,
@@ -16,7 +16,7 @@
 )
 from mallowpass.core.timers import TimerService
 
-__all__ = ["EndpointPool", "LoanPlaces", "Proof", "Watchdog"]
+__all__ = ["EndpointPool", "BorrowedLoan", "BusyKeepAlive", "TimeoutTracker"]
 
 PAUSE = 0.5  # a timer that runs so many seconds late proves that the host stood still
 HOLD_SMOOTHING = 0.1
@@ -26,7 +26,7 @@
 SETTLE = 0.5
 
 
-class Watchdog:
+class TimeoutTracker:
     """Tell which of many things took longer than one common time.
 
     All wait equally long, so they fall due in the order they were added, and one
@@ -60,7 +60,7 @@
         """Stop watching; return since when it was watched, None if it was not."""
         return self.entries.pop(number, None)
 
-    def renew(self, number: int) -> None:
+    def restart(self, number: int) -> None:
         """Watch a number anew from now."""
         self.entries.pop(number, None)
         self.add(number)
@@ -95,7 +95,7 @@
             self.entries[number] = self._timers.now
 
 
-class LoanPlaces:
+class BorrowedLoan:
     """Hold the connections that another host lends at one endpoint."""
 
     __slots__ = (
@@ -119,7 +119,7 @@
 
 
 @dataclass(slots=True)
-class Proof:
+class BusyKeepAlive:
     """Hold the newest keep-alive beside a call; one not asked for has sequence 0."""
 
     sequence: int = 0
@@ -127,7 +127,7 @@
     answered: bool = False
 
     @property
-    def outstanding(self) -> bool:
+    def is_outstanding(self) -> bool:
         """Tell whether it was asked for and is not answered."""
         return self.sequence != 0 and not self.answered
 
@@ -136,87 +136,97 @@
     """Hold one endpoint's connections at this host, its queue and its limits."""
 
     __slots__ = (
-        "active",
-        "answering",
-        "backoff",
+        "active_count",
+        "in_flight",
+        "backoff_exponent",
         "borrowed",
         "check_timer",
-        "checking",
+        "internal_in_flight",
         "concurrency",
-        "concurrent_share",
+        "statement_share",
         "connections",
         "database",
-        "deferred",
+        "deferred_calls",
         "endpoint",
-        "ghosts",
-        "hold",
+        "silent_slots",
+        "average_hold_time",
         "idle",
         "idle_borrowed",
-        "idle_low",
-        "internal",
-        "late",
-        "lent",
-        "lendable",
+        "min_idle",
+        "internal_calls",
+        "overdue",
+        "lent_count",
+        "lendable_share",
         "open_limit",
         "opening",
-        "own",
-        "patient",
-        "peak",
-        "peak_before",
+        "own_share",
+        "patient_classes",
+        "peak_in_use",
+        "previous_peak_in_use",
         "pinned",
-        "proofs",
-        "pumping",
+        "busy_keep_alives",
+        "is_dispatching",
         "queue",
         "retry_at",
         "retry_timer",
-        "settling",
-        "withheld",
+        "closing_slots",
+        "withheld_count",
     )
 
     def __init__(
-        self, endpoint: EndpointRow, database: DatabaseRow, tally: Tally
+        self, endpoint: EndpointRow, database: DatabaseRow, tally: QueueCounter
     ) -> None:
         self.endpoint = endpoint
         self.database = database
         # How many connections are this host's.
-        self.own = 0  # static share
-        self.lent = 0  # of it, lent to others
-        self.withheld = 0  # of it, not used before old loans are surely over
+        self.own_share = 0  # static share
+        self.lent_count = 0  # of it, lent to others
+        self.withheld_count = 0  # of it, not used before old loans are surely over
         self.open_limit: int | None = None  # while the endpoint says: too many
-        self.borrowed: dict[str, LoanPlaces] = {}
-        self.ghosts: list[float] = []  # places of silent ones, until when
-        self.settling: list[tuple[float, float]] = []  # closed ones: when, until when
-        self.lendable = 0  # of the static share, at most lent at one time
+        self.borrowed: dict[str, BorrowedLoan] = {}
+        self.silent_slots: list[float] = []  # places of silent ones, until when
+        self.closing_slots: list[
+            tuple[float, float]
+        ] = []  # closed ones: when, until when
+        self.lendable_share = 0  # of the static share, at most lent at one time
         # The connections.
         self.connections: dict[int, ConnectionRow] = {}
         self.idle: dict[int, ConnectionRow] = {}  # least recently used first
         self.idle_borrowed: dict[int, ConnectionRow] = {}
         self.pinned: dict[int, ConnectionRow] = {}  # without a statement, oldest first
-        self.idle_low = 0  # fewest idle ones lately
-        self.peak = 0  # most in use at once, in this period and in the one before
-        self.peak_before = 0
-        self.active = 0  # connections with a request's statement
-        self.internal: dict[int, str] = {}  # in flight, and no request waits for it
+        self.min_idle = 0  # fewest idle ones lately
+        self.peak_in_use = (
+            0  # most in use at once, in this period and in the one before
+        )
+        self.previous_peak_in_use = 0
+        self.active_count = 0  # connections with a request's statement
+        self.internal_calls: dict[
+            int, str
+        ] = {}  # in flight, and no request waits for it
         # Calls held until the one in flight is answered: its sequence, then their own.
-        self.deferred: dict[int, tuple[int, int, EndpointCall]] = {}
+        self.deferred_calls: dict[int, tuple[int, int, EndpointCall]] = {}
         # Keep-alives beside a call in flight, by connection.
-        self.proofs: dict[int, Proof] = {}
-        self.answering: Watchdog  # calls in flight
-        self.late: Watchdog  # of them, those unanswered for half of the silence
-        self.checking: Watchdog
-        self.opening: Watchdog
+        self.busy_keep_alives: dict[int, BusyKeepAlive] = {}
+        self.in_flight: TimeoutTracker  # calls in flight
+        self.overdue: (
+            TimeoutTracker  # of them, those unanswered for half of the silence
+        )
+        self.internal_in_flight: TimeoutTracker
+        self.opening: TimeoutTracker
         # Work.
         self.queue = WaitQueue({}, tally)
-        self.patient: frozenset[str] = frozenset()
-        self.concurrent_share = 0  # 0: no limit
+        self.patient_classes: frozenset[str] = frozenset()
+        self.statement_share = 0  # 0: no limit
         self.concurrency = ConcurrencyLimit()
-        self.hold = 0.0  # moving average of how long a request keeps a connection
+        self.average_hold_time = (
+            0.0  # moving average of how long a request keeps a connection
+        )
         # Timers and pauses.
         self.check_timer = None
         self.retry_timer = None
         self.retry_at = float("-inf")
-        self.backoff = 0
-        self.pumping = False
+        self.backoff_exponent = 0
+        self.is_dispatching = False
 
     @property
     def address(self) -> str:
@@ -224,18 +234,18 @@
         return self.endpoint.member.address
 
     @property
-    def usable(self) -> int:
+    def usable_share(self) -> int:
         """Return how many connections of its own share this host may have now."""
-        usable = self.own - self.lent - self.withheld
+        usable_share = self.own_share - self.lent_count - self.withheld_count
         if self.open_limit is not None:
-            usable = min(usable, self.open_limit)
-        return max(0, usable)
+            usable_share = min(usable_share, self.open_limit)
+        return max(0, usable_share)
 
     @property
     def share(self) -> int:
         """Return how many connections this host may have, with borrowed ones."""
         borrowed = sum(loan.connections for loan in self.borrowed.values())
-        return self.usable + borrowed
+        return self.usable_share + borrowed
 
     @property
     def own_count(self) -> int:
@@ -249,30 +259,34 @@
     def statement_limit(self) -> int:
         """Return how many statements may run at once."""
         limit = self.concurrency.limit
-        if self.concurrent_share:
-            return min(limit, self.concurrent_share)
+        if self.statement_share:
+            return min(limit, self.statement_share)
         return limit
 
-    def is_counted(self, connection: ConnectionRow) -> bool:
-        """Tell whether a request's statement on this connection is in `active`."""
+    def is_active(self, connection: ConnectionRow) -> bool:
+        """Tell whether a request's statement occupies the connection."""
         number = connection.number
         if connection.state is not ConnectionState.BUSY:
             return False
-        return number not in self.internal or number in self.deferred
+        return number not in self.internal_calls or number in self.deferred_calls
 
-    def learn_hold(self, seconds: float) -> None:
+    def record_hold_time(self, seconds: float) -> None:
         """Learn how long a request kept its connection."""
-        if self.hold:
-            self.hold += HOLD_SMOOTHING * (seconds - self.hold)
+        if self.average_hold_time:
+            self.average_hold_time += HOLD_SMOOTHING * (
+                seconds - self.average_hold_time
+            )
         else:
-            self.hold = seconds
+            self.average_hold_time = seconds
 
-    def drop_past(self, now: float) -> None:
+    def drop_expired_slots(self, now: float) -> None:
         """Forget places that are surely free again."""
-        if self.ghosts:
-            self.ghosts = [until for until in self.ghosts if until > now]
-        if self.settling:
+        if self.silent_slots:
+            self.silent_slots = [until for until in self.silent_slots if until > now]
+        if self.closing_slots:
             heard = self.endpoint.last_reply_at - SETTLE
-            self.settling = [
-                place for place in self.settling if place[0] > heard and place[1] > now
+            self.closing_slots = [
+                place
+                for place in self.closing_slots
+                if place[0] > heard and place[1] > now
             ]
--- a/mallowpass/core/systems/draining.py
+++ b/mallowpass/core/systems/draining.py
@@ -124,7 +124,7 @@
             return
         streams = {row.stream for row in self.tables.transactions.values()}
         for stream in sorted(streams):
-            self._transactions.roll_back_all(stream)
+            self._transactions.roll_back_session(stream)
         self._node.record_decision(
             "drain",
             self._node.identity.name,
--- a/mallowpass/core/systems/leaving.py
+++ b/mallowpass/core/systems/endpointnotices.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from mallowpass.core.systems.membership import Membership
 
-__all__ = ["EndpointNews"]
+__all__ = ["EndpointNotices"]
 
 TELL_DELAY = 0.3  # seconds, at most
 FRESH_REPORT = 1.0  # seconds for which an own report goes before a peer's notice
@@ -32,7 +32,7 @@
 _NoticeKey = tuple[str, int, int]
 
 
-class EndpointNews:
+class EndpointNotices:
     """Keep EndpointRow.is_leaving true, and tell peers."""
 
     __slots__ = ("_membership", "_node", "_number", "_seen", "_telling", "_told")
@@ -52,7 +52,7 @@
         self._node.subscribe(DatabaseChanged, self._on_rows)
         self._membership.on_message(EndpointNotice, self._on_notice)
 
-    def greet(self, host: str) -> None:
+    def sync_peer(self, host: str) -> None:
         """Tell a host that has just linked up what it may have missed."""
         for address, leaving in self._told.items():
             if leaving:
--- a/mallowpass/core/systems/granting.py
+++ b/mallowpass/core/systems/granting.py
@@ -34,21 +34,21 @@
         """Grant what can be granted and open what is needed."""
         # A grant may end at once in a release, which comes back here: without this
         # mark, a long queue would be a deep recursion.
-        if pool.pumping:
+        if pool.is_dispatching:
             return
-        pool.pumping = True
+        pool.is_dispatching = True
         try:
             while pool.queue and self._grant_next(pool):
                 pass
         finally:
-            pool.pumping = False
+            pool.is_dispatching = False
         if pool.queue:
-            self._pooling.opener.open_more(pool)
+            self._pooling.opener.open_for_queue(pool)
 
     def _grant_next(self, pool: EndpointPool) -> bool:
-        if pool.active >= pool.statement_limit:
+        if pool.active_count >= pool.statement_limit:
             return False
-        connection = self._pooling.take(pool)
+        connection = self._pooling.take_idle(pool)
         if connection is None:
             return False
         request = self._next_request(pool, connection)
@@ -72,16 +72,16 @@
 
     def _classes_to_pass(self, pool: EndpointPool, borrowed: bool) -> frozenset[str]:
         """Return the classes that this connection is not for."""
-        patient = pool.patient
+        patient = pool.patient_classes
         if not patient:
             return patient
-        if borrowed and pool.usable:
+        if borrowed and pool.usable_share:
             return patient
         # While others wait, weights decide and patient classes get their floor. When
         # none waits, the last free connection stays free for one to come: it would
         # else wait for a whole slow statement.
         last = not pool.idle and not pool.idle_borrowed
-        if last and pool.active and not pool.queue.waits_outside(patient):
+        if last and pool.active_count and not pool.queue.has_waiting_outside(patient):
             return patient
         return frozenset()
 
@@ -90,7 +90,7 @@
         request = self.tables.requests.get(connection.request)
         if request is not None:
             seconds = self.now - connection.last_used_at
-            pool.queue.learn_cost(request.request_class, seconds)
+            pool.queue.record_cost(request.request_class, seconds)
 
     def refuse(
         self, request: RequestRow, code: ErrorCode, why: str, retry_after: float = 0.0
@@ -104,7 +104,7 @@
         self, pool: EndpointPool, code: ErrorCode, why: str, retry_after: float
     ) -> None:
         """Give back all that wait."""
-        for request in pool.queue.drain():
+        for request in pool.queue.take_all():
             self.refuse(request, code, why, retry_after)
 
     def refuse_by_access(
--- a/mallowpass/core/systems/groupfailover.py
+++ b/mallowpass/core/systems/groupfailover.py
@@ -11,8 +11,8 @@
 from mallowpass.core.systems.isolation import Isolation
 from mallowpass.core.systems.liveness import Liveness
 from mallowpass.core.systems.promotion import Promotion, PromotionResult
+from mallowpass.core.systems.promotionturn import PromotionTurn
 from mallowpass.core.systems.suspicion import Confirmation, Finding, Verdict
-from mallowpass.core.systems.turns import Turn
 from mallowpass.core.systems.watching import silence_margin
 from mallowpass.core.tables import DatabaseRow, EndpointRow, GroupState
 from mallowpass.core.timers import Timer
@@ -66,7 +66,7 @@
         self._followers = Followers(node, liveness, row, self._renew)
         self._hand_over = HandOver(node, liveness, row, self._begin_hand_over)
         self._isolation = Isolation(node, liveness, row)
-        self._turn = Turn(node, liveness, row)
+        self._turn = PromotionTurn(node, liveness, row)
         self._created_at = node.timers.now
         self._suspect = ""  # the newest primary's address, also when it is lost
         self._check_timer: Timer | None = None
@@ -142,7 +142,7 @@
         self._deaf = frozenset()
         self._doubted = False
         self._highest_term = max(self._highest_term, row.term)
-        self._turn.forget()
+        self._turn.reset()
         self._hand_over.review()
         promotion = self.promotion
         if promotion is not None and row.term >= promotion.term:
@@ -325,7 +325,7 @@
         if self.row.definition.manual_promotion:
             self._check_in(self._jitter(SLOW_RETRY))
             return
-        left = self._turn.left()
+        left = self._turn.seconds_left()
         if left > 0:
             # Evidence from before the wait is old then: the members are asked again.
             self._check_in(left)
@@ -334,7 +334,7 @@
 
     def _leave_turn(self) -> None:
         """Let the proposer of a higher term finish before trying a higher one still."""
-        delay = self._turn.leave()
+        delay = self._turn.seconds_to_yield()
         if delay > 0:
             self._check_in(delay)
         else:
@@ -379,7 +379,9 @@
         )
         if result.ok:
             self._announce(row, result)
-        self._check_in(self._overdue_in() if row.primary else self._turn.fail())
+        self._check_in(
+            self._overdue_in() if row.primary else self._turn.next_retry_delay()
+        )
         if callback is not None:
             term = result.term if result.ok else 0
             callback(result.ok and result.as_ordered, term, result.why)
--- a/mallowpass/core/systems/heldwaits.py
+++ b/mallowpass/core/systems/heldwaits.py
@@ -5,9 +5,9 @@
 from mallowpass.core.calls import LogPosition
 from mallowpass.core.node import Node
 from mallowpass.core.signals import MajorityPositionStalled
-from mallowpass.core.systems.awaiting import PlaceAwaits
 from mallowpass.core.systems.controlstreams import ControlStreams
 from mallowpass.core.systems.groupview import GroupView, HeldWaiter
+from mallowpass.core.systems.positionawaits import PositionAwaits
 
 __all__ = ["HeldWaits"]
 
@@ -20,12 +20,12 @@
     def __init__(self, node: Node, control: ControlStreams, view: GroupView) -> None:
         self._node = node
         self._view = view
-        self._awaits = PlaceAwaits(node, control, view)
+        self._awaits = PositionAwaits(node, control, view)
 
     @property
     def awaits_places(self) -> bool:
         """Tell whether members should be asked for places, not watched."""
-        return self._awaits.are_as_fast
+        return self._awaits.is_as_fast_as_watching
 
     @property
     def is_stalled(self) -> bool:
@@ -42,7 +42,7 @@
         view.resolve_waiters()
         self._expect_progress()
         if view.awaits_places:
-            self._awaits.want(view.awaited)
+            self._awaits.request(view.awaited)
 
     def stop(self) -> None:
         """Ask nothing more; all waits end without a majority."""
--- a/mallowpass/core/systems/keepalive.py
+++ b/mallowpass/core/systems/keepalive.py
@@ -34,7 +34,7 @@
 
     # -- Idle and pinned connections -------------------------------------------
 
-    def arm(self, pool: EndpointPool) -> None:
+    def schedule_check(self, pool: EndpointPool) -> None:
         """Look at the pool's connections in a while."""
         if pool.check_timer is None:
             pool.check_timer = self.timers.after(
@@ -51,31 +51,31 @@
                 self._check(pool, connection)
         self.check_pinned(pool)
         if pool.connections:
-            self.arm(pool)
+            self.schedule_check(pool)
 
     def check_pinned(self, pool: EndpointPool) -> None:
         """Prolong the life of connections whose transaction is between statements."""
         for connection in list(pool.pinned.values()):
-            life = self._pooling.loans.life(connection.loan)
+            life = self._pooling.loans.usable_time(connection.loan)
             called_at = connection.expires_at - life
             due = called_at + life / CHECKS_PER_LIFE <= self.now
-            if due and connection.number not in pool.checking:
+            if due and connection.number not in pool.internal_in_flight:
                 self._check(pool, connection)
 
-    def tend_borrowed(self, pool: EndpointPool) -> None:
+    def maintain_borrowed(self, pool: EndpointPool) -> None:
         """Close borrowed connections that stood idle; keep the pinned ones alive."""
         for connection in list(pool.idle_borrowed.values()):
             if connection.expires_at <= self.now:
-                self._pooling.closing.close(pool, connection)
+                self._pooling.closer.close(pool, connection)
         self.check_pinned(pool)
 
-    def close_unused(self) -> None:
+    def close_surplus_idle(self) -> None:
         """Close what stood idle for a whole period, but for a few."""
         for pool in list(self._pooling.by_address.values()):
-            if pool.idle_low > WARM_MIN:
-                surplus = min(pool.idle_low, len(pool.idle)) - WARM_MIN
-                self._pooling.make_room(pool, surplus)
-            pool.idle_low = len(pool.idle)
+            if pool.min_idle > WARM_MIN:
+                surplus = min(pool.min_idle, len(pool.idle)) - WARM_MIN
+                self._pooling.close_idle(pool, surplus)
+            pool.min_idle = len(pool.idle)
 
     def _check(self, pool: EndpointPool, connection: ConnectionRow) -> None:
         self.send_internal(pool, connection, KeepAliveCall(), _CHECK)
@@ -91,19 +91,19 @@
         Given to the next request at once, its first answer would be the old one's.
         """
         number = connection.number
-        if pool.is_counted(connection):
-            pool.active -= 1
+        if pool.is_active(connection):
+            pool.active_count -= 1
         pool.pinned.pop(number, None)
-        pool.deferred.pop(number, None)
+        pool.deferred_calls.pop(number, None)
         connection.state = _BUSY
         connection.request = 0
         connection.transaction = ""
-        if pool.internal.get(number) != _RESET:
-            pool.internal[number] = _ABANDONED
-        proof = pool.proofs.get(number)
-        if proof is not None and proof.outstanding:
+        if pool.internal_calls.get(number) != _RESET:
+            pool.internal_calls[number] = _ABANDONED
+        proof = pool.busy_keep_alives.get(number)
+        if proof is not None and proof.is_outstanding:
             # Judged like an idle one: while it takes up a place of few, requests wait.
-            pool.checking.add(number)
+            pool.internal_in_flight.add(number)
         if pool.queue:
             self._pooling.granting.dispatch(pool)
 
@@ -118,15 +118,15 @@
         number = connection.number
         now = self.now
         # Marked first: a connection closed right here is not a request's any more.
-        pool.internal[number] = purpose
+        pool.internal_calls[number] = purpose
         if connection.expires_at <= now:
-            self._pooling.closing.expire(pool, connection)
+            self._pooling.closer.close_expired(pool, connection)
             return
         connection.expires_at = self._pooling.expiry(pool, connection, now)
         connection.sequence += 1
         if not connection.transaction:
             connection.state = _BUSY
-        pool.checking.add(number)
+        pool.internal_in_flight.add(number)
         self._node.emit(SendEndpoint(number, connection.sequence, call))
 
     def reset(self, pool: EndpointPool, connection: ConnectionRow) -> None:
@@ -138,25 +138,25 @@
     ) -> None:
         """Go on with a connection once it has answered what it owed."""
         number = connection.number
-        deferred = pool.deferred.get(number)
+        deferred = pool.deferred_calls.get(number)
         expected = connection.sequence if deferred is None else deferred[0]
         if reply.sequence != expected:
-            self._pooling.drop("wrong-sequence")
+            self._pooling.count_dropped_reply("wrong-sequence")
             return
-        purpose = pool.internal.get(number, _ABANDONED)
+        purpose = pool.internal_calls.get(number, _ABANDONED)
         if purpose == _ABANDONED:
-            self._pooling.drop("abandoned")
+            self._pooling.count_dropped_reply("abandoned")
             if not reply.last:
-                if number in pool.answering:
-                    pool.answering.renew(number)
-                    pool.late.remove(number)
+                if number in pool.in_flight:
+                    pool.in_flight.restart(number)
+                    pool.overdue.remove(number)
                 return
-        pool.internal.pop(number, None)
-        pool.answering.remove(number)
+        pool.internal_calls.pop(number, None)
+        pool.in_flight.remove(number)
         self._pooling.proving.forget(pool, number)
-        pool.checking.remove(number)
+        pool.internal_in_flight.remove(number)
         if deferred is not None:
-            del pool.deferred[number]
+            del pool.deferred_calls[number]
             self._pooling.transmit(pool, connection, *deferred[1:])
         elif connection.transaction:
             pool.pinned.pop(number, None)
@@ -164,7 +164,7 @@
         elif purpose == _ABANDONED:
             self.reset(pool, connection)
         elif reply.code is not EndpointCode.OK:
-            self._pooling.closing.close(pool, connection)
+            self._pooling.closer.close(pool, connection)
             self._pooling.granting.dispatch(pool)
         else:
             connection.last_used_at = self.now
@@ -173,7 +173,7 @@
 
     # -- Silence ---------------------------------------------------------------
 
-    def went_silent(self, pool: EndpointPool, number: int) -> None:
+    def close_silent(self, pool: EndpointPool, number: int) -> None:
         """Close a connection that owes an answer for too long."""
         connection = self._connections.get(number)
         if connection is None:
@@ -185,12 +185,12 @@
         )
         node.log("warning", "connection_silent", address=pool.address, number=number)
         if not connection.loan:
-            pool.ghosts.append(connection.expires_at + LIFE_MARGIN)
-        self._pooling.closing.lose(pool, connection, "silent")
-        self.check_older(pool, silent_since)
+            pool.silent_slots.append(connection.expires_at + LIFE_MARGIN)
+        self._pooling.closer.close_and_notify(pool, connection, "silent")
+        self.check_older_idle(pool, silent_since)
         self._pooling.granting.dispatch(pool)
 
-    def check_unanswered(self, pool: EndpointPool, number: int) -> None:
+    def on_check_timeout(self, pool: EndpointPool, number: int) -> None:
         """Close a connection whose endpoint answers elsewhere, wait on otherwise.
 
         An endpoint that stands still, or is cut off, answers nowhere. Its connections
@@ -203,11 +203,11 @@
         since = self.now - CHECK_TIMEOUT
         stalled = float("-inf") < heard_at < since
         if stalled and self.now < connection.expires_at:
-            pool.checking.add(number)
+            pool.internal_in_flight.add(number)
         else:
-            self.went_silent(pool, number)
+            self.close_silent(pool, number)
 
-    def check_older(self, pool: EndpointPool, since: float) -> None:
+    def check_older_idle(self, pool: EndpointPool, since: float) -> None:
         """Have idle connections prove themselves that last did so before `since`.
 
         Whatever made one connection silent has likely hit those of the same age; each
--- a/mallowpass/core/systems/loans.py
+++ b/mallowpass/core/systems/loans.py
@@ -18,7 +18,7 @@
 from mallowpass.core.peering import LoanAnswer, LoanCall, LoanReturn
 from mallowpass.core.systems import membership as membership_module
 from mallowpass.core.systems import pooling as pooling_module
-from mallowpass.core.systems.connections import LIFE_MARGIN, EndpointPool, LoanPlaces
+from mallowpass.core.systems.connections import LIFE_MARGIN, BorrowedLoan, EndpointPool
 from mallowpass.core.tables import HostRow
 from mallowpass.core.timers import Timer
 
@@ -117,20 +117,20 @@
 
     # -- For pooling ---------------------------------------------------------
 
-    def times(self, loan: str) -> tuple[float, float]:
+    def connection_timing(self, loan: str) -> tuple[float, float]:
         """Return time to live and timeout of a connection opened under a loan."""
         tuning = self._node.tuning
         if not loan:
             return tuning.connection_time_to_live, tuning.connect_timeout
         return self._life, min(tuning.connect_timeout, self._life)
 
-    def life(self, loan: str) -> float:
+    def usable_time(self, loan: str) -> float:
         """Return for how long a connection may be used after a call on it."""
         if loan:
             return self._life * LIFE_USED
         return self._node.tuning.connection_time_to_live - LIFE_MARGIN
 
-    def expiry(self, loan: LoanPlaces | None, sent_at: float) -> float:
+    def expiry(self, loan: BorrowedLoan | None, sent_at: float) -> float:
         """Return until when a loan's connection may be used after a call on it."""
         if loan is None:
             return sent_at
@@ -139,18 +139,18 @@
     def withhold(self, pool: EndpointPool, places: int) -> None:
         """Keep places unused that an earlier life of this host may have lent."""
         if self.now < self._fresh_until:
-            pool.withheld = places
+            pool.withheld_count = places
             self._withheld[pool.address] = pool
 
     def _end_withholding(self) -> None:
         for pool in self._withheld.values():
-            pool.withheld = 0
-            self._pooling.pump(pool)
+            pool.withheld_count = 0
+            self._pooling.dispatch(pool)
         self._withheld.clear()
 
     # -- Borrowing -----------------------------------------------------------
 
-    def want(self, pool: EndpointPool) -> None:
+    def request_loan(self, pool: EndpointPool) -> None:
         """Ask another host for connections; the own share is in use."""
         # Without a time to live, a borrower that stands still would keep the
         # connections while the lender opens its own again.
@@ -184,7 +184,7 @@
     def _ask_again(self, pool: EndpointPool, asking: _Asking) -> None:
         asking.timer = None
         if pool.queue:
-            self._pooling.pump(pool)
+            self._pooling.dispatch(pool)
 
     def _choose_lender(self, asking: _Asking) -> HostRow | None:
         """Choose a host of this failure domain, or else any, not refused lately."""
@@ -248,14 +248,14 @@
 
     def _on_answer(self, host: str, answer: LoanAnswer) -> None:
         call = self._calls.pop(answer.call, None)
-        pool = self._pooling.known_pool(answer.address)
+        pool = self._pooling.find_pool(answer.address)
         if call is None or call.loan != answer.loan or pool is None:
             self._drop_answer(host, answer)
             return
         self._settle_call(call)
         if answer.connections <= 0:
             self._refused_by(call)
-            self._pooling.pump(pool)
+            self._pooling.dispatch(pool)
             return
         ends_at = call.sent_at + min(answer.seconds, self._loan_seconds)
         if call.renewal:
@@ -271,7 +271,7 @@
     def _begin(
         self, pool: EndpointPool, host: str, answer: LoanAnswer, ends_at: float
     ) -> None:
-        loan = LoanPlaces(answer.loan, answer.connections)
+        loan = BorrowedLoan(answer.loan, answer.connections)
         self._set_times(loan, ends_at)
         if self.now >= loan.open_until or not pool.queue:
             self._membership.reach(host, LoanReturn(answer.loan, answer.address))
@@ -283,30 +283,30 @@
             "loan", pool.address, f"{loan.connections} borrowed from {host}"
         )
         self.timers.after(TICK, self._tend, pool, loan)
-        self._pooling.pump(pool)
+        self._pooling.dispatch(pool)
 
     def _prolong(self, pool: EndpointPool, name: str, ends_at: float) -> None:
         loan = pool.borrowed.get(name)
         if loan is not None and ends_at > loan.ends_at:
             self._set_times(loan, ends_at)
 
-    def _set_times(self, loan: LoanPlaces, ends_at: float) -> None:
+    def _set_times(self, loan: BorrowedLoan, ends_at: float) -> None:
         loan.ends_at = ends_at
         loan.close_at = ends_at - self._life
-        loan.open_until = loan.close_at - self.times(loan.loan)[1]
+        loan.open_until = loan.close_at - self.connection_timing(loan.loan)[1]
         loan.renew_at = ends_at - self._loan_seconds * (1 - RENEWAL_PART)
 
-    def _tend(self, pool: EndpointPool, loan: LoanPlaces) -> None:
+    def _tend(self, pool: EndpointPool, loan: BorrowedLoan) -> None:
         """Prolong a loan that is in use, give back one that isn't, end one in time."""
         if loan.loan not in self._lenders:
             return  # given back since the last look, as a drain does
         now = self.now
-        self._pooling.tend_borrowed(pool)
+        self._pooling.maintain_borrowed(pool)
         unused = not loan.numbers and not pool.queue
         if now >= loan.close_at:
             for number in list(loan.numbers):
                 force = now >= loan.ends_at
-                self._pooling.close_under_loan(pool, number, force=force)
+                self._pooling.close_borrowed(pool, number, force=force)
         if unused or (now >= loan.close_at and not loan.numbers):
             self._return(loan.loan)
             return
@@ -315,12 +315,12 @@
             self._renew(pool, loan)
         self.timers.at(self._next_look(loan), self._tend, pool, loan)
 
-    def _next_look(self, loan: LoanPlaces) -> float:
+    def _next_look(self, loan: BorrowedLoan) -> float:
         now = self.now
         moments = (loan.close_at, loan.ends_at)
         return min([now + TICK, *(moment for moment in moments if moment > now)])
 
-    def _renew(self, pool: EndpointPool, loan: LoanPlaces) -> None:
+    def _renew(self, pool: EndpointPool, loan: BorrowedLoan) -> None:
         self._send_call(
             self._node.next_number(),
             loan.loan,
@@ -330,7 +330,7 @@
             renewal=True,
         )
 
-    def give_back(self, pool: EndpointPool) -> None:
+    def return_unused(self, pool: EndpointPool) -> None:
         """Give back loans of which nothing is in use."""
         for loan in list(pool.borrowed.values()):
             if not loan.numbers:
@@ -344,13 +344,13 @@
             loan = pool.borrowed.pop(name, None)
             if loan is not None:
                 for number in list(loan.numbers):
-                    self._pooling.close_under_loan(pool, number, force=True)
+                    self._pooling.close_borrowed(pool, number, force=True)
                 self._membership.reach(host, LoanReturn(name, pool.address))
 
     # -- Lending -------------------------------------------------------------
 
     def _on_call(self, host: str, call: LoanCall) -> None:
-        pool = self._pooling.pool(call.address)
+        pool = self._pooling.get_or_create_pool(call.address)
         lent = self._lent.get((host, call.loan))
         if pool is None:
             connections = 0
@@ -369,7 +369,7 @@
             return 0
         lent = _Lent(host, call.loan, call.address, places, 0.0)
         self._lent[host, call.loan] = lent
-        pool.lent += places
+        pool.lent_count += places
         self._keep_until(lent, self.now + self._loan_seconds + MARGIN)
         self._node.count("loans", direction="lent")
         self._node.record_decision("loan", pool.address, f"{places} lent to {host}")
@@ -388,18 +388,18 @@
         # Before its first loan period is over, a host can't know what it has lent.
         if self.now < self._fresh_until or pool.queue or pool.open_limit is not None:
             return 0
-        most = pool.lendable - pool.lent
+        most = pool.lendable_share - pool.lent_count
         if most <= 0:
             return 0
-        pool.drop_past(self.now)
-        needed = max(pool.peak, pool.peak_before)
-        free = pool.own - pool.lent - needed
+        pool.drop_expired_slots(self.now)
+        needed = max(pool.peak_in_use, pool.previous_peak_in_use)
+        free = pool.own_share - pool.lent_count - needed
         surplus = pool.own_count - needed
         if surplus > 0:
             # Closed now, lent at the next call: the endpoint is to have seen it.
-            self._pooling.make_room(pool, min(wanted, surplus))
-        taken = pool.own_count + len(pool.ghosts) + len(pool.settling)
-        return min(most, free, pool.own - pool.lent - taken)
+            self._pooling.close_idle(pool, min(wanted, surplus))
+        taken = pool.own_count + len(pool.silent_slots) + len(pool.closing_slots)
+        return min(most, free, pool.own_share - pool.lent_count - taken)
 
     def _keep_until(self, lent: _Lent, until: float) -> None:
         lent.until = until
@@ -410,10 +410,10 @@
     def _end(self, lent: _Lent) -> None:
         if self._lent.pop((lent.host, lent.loan), None) is None:
             return
-        pool = self._pooling.known_pool(lent.address)
+        pool = self._pooling.find_pool(lent.address)
         if pool is not None:
-            pool.lent -= lent.connections
-            self._pooling.pump(pool)
+            pool.lent_count -= lent.connections
+            self._pooling.dispatch(pool)
 
     def _on_return(self, host: str, message: LoanReturn) -> None:
         lent = self._lent.get((host, message.loan))
--- a/mallowpass/core/systems/membership.py
+++ b/mallowpass/core/systems/membership.py
@@ -23,9 +23,9 @@
 )
 from mallowpass.core.signals import DrainBegan, HostStateChanged
 from mallowpass.core.systems.difference import NO_DIFFERENCE
+from mallowpass.core.systems.endpointnotices import EndpointNotices
 from mallowpass.core.systems.hostlist import HostList
 from mallowpass.core.systems.hosts import HostTable, notice_of
-from mallowpass.core.systems.leaving import EndpointNews
 from mallowpass.core.systems.peers import Link, Links
 from mallowpass.core.tables import HostRow, HostState
 from mallowpass.core.timers import Timer
@@ -69,7 +69,7 @@
         super().__init__(node)
         self._hosts = HostTable(node)
         self._links = Links(node, self._hosts, self._on_unreachable)
-        self._endpoints = EndpointNews(node, self)
+        self._endpoints = EndpointNotices(node, self)
         self._list = HostList(node, self._hosts, self._learn, self._links.check)
         self._handlers: dict[type, list[Callable[..., None]]] = {}
         self._parked: dict[str, list[PeerMessage]] = {}  # for links being dialled
@@ -229,7 +229,7 @@
             # It is here, so the rumour is wrong or its last life's: let it refute.
             self._links.send(link, notice_of(row))
         self._links.send(link, self._heartbeat())
-        self._endpoints.greet(greeting.host)
+        self._endpoints.sync_peer(greeting.host)
         for message in self._parked.pop(greeting.host, ()):
             self._links.send(link, message)
 
--- a/mallowpass/core/systems/opening.py
+++ b/mallowpass/core/systems/opening.py
@@ -24,14 +24,14 @@
 
     __slots__ = ()
 
-    def open_more(self, pool: EndpointPool) -> None:
+    def open_for_queue(self, pool: EndpointPool) -> None:
         """Open what waiting requests need, or ask other hosts for places."""
         now = self.now
         if pool.endpoint.is_leaving or now < pool.retry_at:
             return
-        if pool.active >= pool.statement_limit:
+        if pool.active_count >= pool.statement_limit:
             return
-        pool.drop_past(now)
+        pool.drop_expired_slots(now)
         wanted = len(pool.queue) - len(pool.opening)
         wanted = min(wanted, OPENING_MAX - len(pool.opening))
         while wanted > 0:
@@ -50,12 +50,12 @@
         """
         if pool.opening.entries or self._pooling.draining:
             return
-        if pool.active >= pool.statement_limit:
+        if pool.active_count >= pool.statement_limit:
             return
         if pool.endpoint.is_leaving or self.now < pool.retry_at:
             return
-        kept = min(pool.usable, pool.own - pool.lendable)
-        if pool.own_count < kept and not pool.ghosts:
+        kept = min(pool.usable_share, pool.own_share - pool.lendable_share)
+        if pool.own_count < kept and not pool.silent_slots:
             self._open(pool, "")
 
     def on_opened(self, event: ConnectionOpened) -> None:
@@ -67,7 +67,7 @@
         pool = self._pooling.by_address[connection.address]
         if pool.opening.remove(connection.number) is None:
             return
-        pool.backoff = 0
+        pool.backoff_exponent = 0
         now = self.now
         connection.expires_at = self._pooling.expiry(
             pool, connection, connection.opened_at
@@ -83,25 +83,25 @@
         if connection is None:
             return
         pool = self._pooling.by_address[connection.address]
-        self._pooling.closing.forget(pool, connection)
+        self._pooling.closer.remove(pool, connection)
         self._node.count("connections_refused", address=pool.address)
         if event.limit_reached:
             self._lower_share(pool)
         self._back_off(pool, event.message)
 
-    def timed_out(self, pool: EndpointPool, number: int) -> None:
+    def on_timeout(self, pool: EndpointPool, number: int) -> None:
         """Give up an opening of which nothing was heard."""
         connection = self._connections.get(number)
         if connection is not None:
-            self._pooling.closing.close(pool, connection)
+            self._pooling.closer.close(pool, connection)
             self._back_off(pool, "no answer to opening")
 
-    def room(self, pool: EndpointPool) -> int:
+    def openable_count(self, pool: EndpointPool) -> int:
         """Return how many more connections could be opened now."""
         now = self.now
         if pool.endpoint.is_leaving or now < pool.retry_at:
             return 0
-        own = pool.usable - pool.own_count - self._ghosts_in_the_way(pool)
+        own = pool.usable_share - pool.own_count - self._ghosts_in_the_way(pool)
         borrowed = sum(
             max(0, loan.connections - len(loan.numbers))
             for loan in pool.borrowed.values()
@@ -111,12 +111,14 @@
 
     def _borrow(self, pool: EndpointPool) -> None:
         # Patient classes are not given borrowed connections while there are others.
-        if not pool.usable or pool.queue.waits_outside(pool.patient):
-            self._pooling.loans.want(pool)
+        if not pool.usable_share or pool.queue.has_waiting_outside(
+            pool.patient_classes
+        ):
+            self._pooling.loans.request_loan(pool)
 
     def _place_for_one(self, pool: EndpointPool) -> str | None:
         """Return the loan to open a connection under, empty for the own share."""
-        if pool.own_count + self._ghosts_in_the_way(pool) < pool.usable:
+        if pool.own_count + self._ghosts_in_the_way(pool) < pool.usable_share:
             return ""
         for loan in pool.borrowed.values():
             if len(loan.numbers) < loan.connections and self.now <= loan.open_until:
@@ -129,19 +131,19 @@
         To open others in their place could take places of other hosts. The endpoint's
         own count settles it as soon as it shows room.
         """
-        if not pool.ghosts:
+        if not pool.silent_slots:
             return 0
         report = pool.endpoint.report
         if report is None or not report.connection_limit:
-            return len(pool.ghosts)
+            return len(pool.silent_slots)
         room = report.connection_limit - report.connections - len(pool.opening)
-        return 0 if room > 0 else len(pool.ghosts)
+        return 0 if room > 0 else len(pool.silent_slots)
 
     def _open(self, pool: EndpointPool, loan: str) -> None:
         node = self._node
         number = node.next_number()
         now = self.now
-        life, timeout = self._pooling.loans.times(loan)
+        life, timeout = self._pooling.loans.connection_timing(loan)
         connection = ConnectionRow(
             number, pool.address, ConnectionState.OPENING, now, now, loan=loan
         )
@@ -173,15 +175,15 @@
         if pool.open_limit is None:
             return
         pool.open_limit += 1
-        if pool.open_limit >= pool.own:
+        if pool.open_limit >= pool.own_share:
             pool.open_limit = None
         else:
             self.timers.after(LIMIT_BACKOFF, self._raise_share, pool)
         self._pooling.granting.dispatch(pool)
 
     def _back_off(self, pool: EndpointPool, why: str) -> None:
-        delay = min(BACKOFF_MAX, BACKOFF_MIN * 2**pool.backoff)
-        pool.backoff = min(pool.backoff + 1, BACKOFF_STEPS)
+        delay = min(BACKOFF_MAX, BACKOFF_MIN * 2**pool.backoff_exponent)
+        pool.backoff_exponent = min(pool.backoff_exponent + 1, BACKOFF_STEPS)
         delay *= 0.5 + self._node.random.random()
         pool.retry_at = self.now + delay
         if pool.retry_timer is None:
--- a/mallowpass/core/systems/poolchanges.py
+++ b/mallowpass/core/systems/poolchanges.py
@@ -16,12 +16,12 @@
     PrimaryChanged,
     ServiceAccepted,
 )
-from mallowpass.core.systems.connections import EndpointPool, Watchdog
+from mallowpass.core.systems.connections import EndpointPool, TimeoutTracker
 from mallowpass.core.systems.keepalive import CHECK_TIMEOUT
 from mallowpass.core.systems.opening import OPENING_GRACE
 from mallowpass.core.systems.poolpart import PoolPart
-from mallowpass.core.systems.shares import lendable, static_share
-from mallowpass.core.systems.waitqueue import Tally
+from mallowpass.core.systems.shares import lendable_share, static_share
+from mallowpass.core.systems.waitqueue import QueueCounter
 from mallowpass.core.tables import DatabaseRow, EndpointRow
 from mallowpass.errors import ErrorCode
 
@@ -40,7 +40,7 @@
 
     def __init__(self, node: Node, pooling: Pooling) -> None:
         super().__init__(node, pooling)
-        self._tallies: dict[str, Tally] = {}  # of waiting requests, by service
+        self._tallies: dict[str, QueueCounter] = {}  # of waiting requests, by service
 
     def start(self) -> None:
         """Subscribe to changes."""
@@ -54,36 +54,36 @@
         node.subscribe(DrainBegan, self._on_drain)
         self.timers.every(DEMAND_PERIOD, self._note_demand)
 
-    def waiting_for_service(self, service: str) -> int:
+    def queued_count_of_service(self, service: str) -> int:
         """Return how many requests wait for a service's endpoints."""
         tally = self._tallies.get(service)
         return 0 if tally is None else tally.count
 
-    def make_pool(self, endpoint: EndpointRow) -> EndpointPool:
+    def create_pool(self, endpoint: EndpointRow) -> EndpointPool:
         """Make the pool of an endpoint that work came for the first time."""
         database = self.tables.databases[endpoint.database]
-        tally = self._tallies.setdefault(database.service, Tally())
+        tally = self._tallies.setdefault(database.service, QueueCounter())
         pool = EndpointPool(endpoint, database, tally)
         tuning = self._node.tuning
-        pool.answering = Watchdog(
+        pool.in_flight = TimeoutTracker(
             self.timers,
             tuning.silence / 2,
             partial(self._pooling.proving.overdue, pool),
         )
-        pool.late = Watchdog(
+        pool.overdue = TimeoutTracker(
             self.timers,
             tuning.silence / 2,
             partial(self._pooling.proving.still_late, pool),
         )
-        pool.checking = Watchdog(
+        pool.internal_in_flight = TimeoutTracker(
             self.timers,
             CHECK_TIMEOUT,
-            partial(self._pooling.keepalive.check_unanswered, pool),
+            partial(self._pooling.keepalive.on_check_timeout, pool),
         )
-        pool.opening = Watchdog(
+        pool.opening = TimeoutTracker(
             self.timers,
             tuning.connect_timeout + OPENING_GRACE,
-            partial(self._pooling.opener.timed_out, pool),
+            partial(self._pooling.opener.on_timeout, pool),
         )
         self._pooling.by_address[pool.address] = pool
         self._apply_definition(pool, database)
@@ -99,16 +99,18 @@
         )
         definition = database.definition
         pool.database = database
-        pool.own = static_share(definition.connections, *place)
+        pool.own_share = static_share(definition.connections, *place)
         seats = sum(domain.hosts for domain in identity.domains)
-        pool.lendable = lendable(pool.own, scarce=definition.connections < seats)
-        self._pooling.loans.withhold(pool, pool.lendable)
-        pool.concurrent_share = 0
+        pool.lendable_share = lendable_share(
+            pool.own_share, scarce=definition.connections < seats
+        )
+        self._pooling.loans.withhold(pool, pool.lendable_share)
+        pool.statement_share = 0
         if definition.concurrent_statements:
             # Never none: a statement too many is refused with BUSY before it runs, but
             # a host with none could not serve at all.
             part = static_share(definition.concurrent_statements, *place)
-            pool.concurrent_share = max(1, part)
+            pool.statement_share = max(1, part)
         self._apply_classes(pool)
 
     def _apply_classes(self, pool: EndpointPool) -> None:
@@ -117,7 +119,7 @@
         if service is None:
             return
         pool.queue.set_weights({entry.name: entry.weight for entry in service.classes})
-        pool.patient = frozenset(
+        pool.patient_classes = frozenset(
             entry.name for entry in service.classes if entry.patient
         )
 
@@ -178,13 +180,13 @@
         """Give back what waits and close what is idle; busy ones close when done."""
         for idle in (pool.idle, pool.idle_borrowed):
             for connection in list(idle.values()):
-                self._pooling.closing.close(pool, connection)
+                self._pooling.closer.close(pool, connection)
         self._pooling.granting.refuse_all(pool, ErrorCode.ENDPOINT_REFUSED, why, 0.0)
 
     def _shed_surplus(self, pool: EndpointPool) -> None:
-        surplus = pool.own_count - pool.usable
+        surplus = pool.own_count - pool.usable_share
         for connection in list(pool.idle.values())[: max(0, surplus)]:
-            self._pooling.closing.close(pool, connection)
+            self._pooling.closer.close(pool, connection)
 
     def _on_primary(self, signal: PrimaryChanged) -> None:
         """Give back writes that wait at a member that is no primary any more."""
@@ -210,10 +212,10 @@
         for pool in self._pooling.by_address.values():
             for idle in (pool.idle, pool.idle_borrowed):
                 for connection in list(idle.values()):
-                    self._pooling.closing.close(pool, connection)
-            self._pooling.loans.give_back(pool)
+                    self._pooling.closer.close(pool, connection)
+            self._pooling.loans.return_unused(pool)
 
     def _note_demand(self) -> None:
         for pool in self._pooling.by_address.values():
-            pool.peak_before = pool.peak
-            pool.peak = pool.active + len(pool.pinned)
+            pool.previous_peak_in_use = pool.peak_in_use
+            pool.peak_in_use = pool.active_count + len(pool.pinned)
--- a/mallowpass/core/systems/pooling.py
+++ b/mallowpass/core/systems/pooling.py
@@ -20,7 +20,7 @@
 from mallowpass.core.systems import loans as loans_module
 from mallowpass.core.systems import requests as requests_module
 from mallowpass.core.systems import transactions as transactions_module
-from mallowpass.core.systems.closing import Closing
+from mallowpass.core.systems.closing import Closer
 from mallowpass.core.systems.connections import LIFE_MARGIN, EndpointPool
 from mallowpass.core.systems.granting import Granting
 from mallowpass.core.systems.keepalive import KeepAlive
@@ -54,7 +54,7 @@
         "admission",
         "by_address",
         "changes",
-        "closing",
+        "closer",
         "draining",
         "granting",
         "keepalive",
@@ -78,7 +78,7 @@
         self.keepalive = KeepAlive(node, self)
         self.proving = Proving(node, self)
         self.changes = PoolChanges(node, self)
-        self.closing = Closing(node, self)
+        self.closer = Closer(node, self)
 
     def start(self) -> None:
         """Subscribe to what concerns connections."""
@@ -90,15 +90,17 @@
         node.subscribe(EndpointReplied, self._on_replied)
         node.subscribe(ConnectionOpened, self.opener.on_opened)
         node.subscribe(ConnectionRefused, self.opener.on_refused)
-        node.subscribe(ConnectionLost, self.closing.on_lost)
+        node.subscribe(ConnectionLost, self.closer.on_lost)
         self.changes.start()
-        self.timers.every(node.tuning.connection_idle, self.keepalive.close_unused)
+        self.timers.every(
+            node.tuning.connection_idle, self.keepalive.close_surplus_idle
+        )
 
     def stop(self) -> None:
         """Close all connections; the host leaves."""
         for pool in self.by_address.values():
             for connection in list(pool.connections.values()):
-                self.closing.close(pool, connection)
+                self.closer.close(pool, connection)
 
     # -- For the request path --------------------------------------------------
 
@@ -110,15 +112,15 @@
         """
         pool = self.by_address.get(endpoint.member.address)
         if pool is None:
-            pool = self.changes.make_pool(endpoint)
+            pool = self.changes.create_pool(endpoint)
         if (
             pool.idle
             and not pool.queue.entries
-            and pool.active < pool.statement_limit
-            and request.request_class not in pool.patient
+            and pool.active_count < pool.statement_limit
+            and request.request_class not in pool.patient_classes
             and not endpoint.is_leaving
         ):
-            connection = self.take(pool)
+            connection = self.take_idle(pool)
             if connection is not None:
                 self.grant(pool, connection, request)
                 return
@@ -144,12 +146,15 @@
         if connection.state is _PINNED:
             pool.pinned.pop(number, None)
             connection.state = _BUSY
-            pool.active += 1
-        if number in pool.answering.entries or number in pool.checking.entries:
+            pool.active_count += 1
+        if (
+            number in pool.in_flight.entries
+            or number in pool.internal_in_flight.entries
+        ):
             # One call at a time: an endpoint may refuse the second as out of order.
-            earlier = pool.deferred.get(number)
+            earlier = pool.deferred_calls.get(number)
             in_flight = sequence - 1 if earlier is None else earlier[0]
-            pool.deferred[number] = (in_flight, sequence, call)
+            pool.deferred_calls[number] = (in_flight, sequence, call)
             return sequence
         self.transmit(pool, connection, sequence, call)
         return sequence
@@ -160,13 +165,13 @@
         if number not in self._connections:
             return
         pool = self.by_address[connection.address]
-        if number in pool.answering.entries or number in pool.internal:
+        if number in pool.in_flight.entries or number in pool.internal_calls:
             self.keepalive.abandon(pool, connection)
             return
         if pool.queue.entries:
             self.granting.learn_cost(pool, connection)
         if connection.state is _BUSY:
-            pool.active -= 1
+            pool.active_count -= 1
         else:
             pool.pinned.pop(number, None)
         connection.transaction = ""
@@ -174,7 +179,7 @@
         if reset:
             self.keepalive.reset(pool, connection)
             return
-        pool.learn_hold(self._node.timers.now - connection.last_used_at)
+        pool.record_hold_time(self._node.timers.now - connection.last_used_at)
         self.make_idle(pool, connection)
         if pool.queue.entries:
             self.granting.dispatch(pool)
@@ -183,13 +188,13 @@
         """Keep a granted connection for a transaction until it is released."""
         pool = self.by_address[connection.address]
         connection.transaction = transaction
-        if connection.number in pool.answering.entries or connection.state is not _BUSY:
+        if connection.number in pool.in_flight.entries or connection.state is not _BUSY:
             return
         connection.state = _PINNED
         connection.request = 0
-        pool.active -= 1
+        pool.active_count -= 1
         pool.pinned[connection.number] = connection
-        self.keepalive.arm(pool)
+        self.keepalive.schedule_check(pool)
         if pool.queue.entries:
             self.granting.dispatch(pool)
 
@@ -213,40 +218,40 @@
             return
         pool = self.by_address[connection.address]
         self._node.count("connections_discarded", reason=why)
-        self.closing.close(pool, connection)
+        self.closer.close(pool, connection)
         self.granting.dispatch(pool)
 
-    def answers(self, connection: ConnectionRow, within: float) -> bool:
+    def is_responsive(self, connection: ConnectionRow, within: float) -> bool:
         """Tell whether a connection answers beside its call; ask it if need be.
 
         False once a keep-alive is unanswered for `within` seconds.
         """
-        return self.proving.answers(connection, within)
+        return self.proving.is_responsive(connection, within)
 
-    def suspect(self, connection: ConnectionRow) -> None:
+    def check_older_idle(self, connection: ConnectionRow) -> None:
         """Have idle connections prove themselves that may be as silent as this one."""
         pool = self.by_address[connection.address]
-        self.keepalive.check_older(pool, connection.last_call_at)
+        self.keepalive.check_older_idle(pool, connection.last_call_at)
         self.granting.dispatch(pool)
 
     def close_silent(self, connection: ConnectionRow) -> None:
         """Close a connection that seems silent, and have others prove themselves."""
         pool = self.by_address[connection.address]
-        self.keepalive.went_silent(pool, connection.number)
+        self.keepalive.close_silent(pool, connection.number)
 
     def is_patient(self, request: RequestRow) -> bool:
         """Tell whether a request's class is a patient one."""
         pool = self.by_address.get(request.address)
-        return pool is not None and request.request_class in pool.patient
+        return pool is not None and request.request_class in pool.patient_classes
 
     def share(self, endpoint: EndpointRow) -> int:
         """Return how many connections this host may have to an endpoint now."""
         pool = self.by_address.get(endpoint.address)
         if pool is None:
-            pool = self.changes.make_pool(endpoint)
+            pool = self.changes.create_pool(endpoint)
         return pool.share
 
-    def waiting(self, database_key: str) -> int:
+    def queued_count(self, database_key: str) -> int:
         """Return how many requests wait for a database's endpoints."""
         database = self.tables.databases.get(database_key)
         if database is None:
@@ -254,55 +259,55 @@
         pools = map(self.by_address.get, database.endpoints)
         return sum(len(pool.queue) for pool in pools if pool is not None)
 
-    def waiting_for_service(self, service: str) -> int:
+    def queued_count_of_service(self, service: str) -> int:
         """Return how many requests wait for a service's endpoints."""
-        return self.changes.waiting_for_service(service)
+        return self.changes.queued_count_of_service(service)
 
     # -- For loans and admission -----------------------------------------------
 
-    def pool(self, address: str) -> EndpointPool | None:
+    def get_or_create_pool(self, address: str) -> EndpointPool | None:
         """Return an endpoint's pool, made if the endpoint is known."""
         pool = self.by_address.get(address)
         if pool is None:
             endpoint = self.tables.endpoints.get(address)
-            pool = None if endpoint is None else self.changes.make_pool(endpoint)
+            pool = None if endpoint is None else self.changes.create_pool(endpoint)
         return pool
 
     def pools(self) -> list[EndpointPool]:
         """Return all pools."""
         return list(self.by_address.values())
 
-    def known_pool(self, address: str) -> EndpointPool | None:
+    def find_pool(self, address: str) -> EndpointPool | None:
         """Return an endpoint's pool if there is one."""
         return self.by_address.get(address)
 
-    def make_room(self, pool: EndpointPool, places: int) -> None:
+    def close_idle(self, pool: EndpointPool, places: int) -> None:
         """Close idle connections so that `places` of the own share come free."""
         for connection in list(pool.idle.values())[: max(0, places)]:
-            self.closing.close(pool, connection)
+            self.closer.close(pool, connection)
 
-    def close_under_loan(self, pool: EndpointPool, number: int, force: bool) -> None:
+    def close_borrowed(self, pool: EndpointPool, number: int, force: bool) -> None:
         """Close a connection whose loan ends; a busy one only by force."""
         connection = self._connections.get(number)
         if connection is None:
             return
         if not connection.request and not connection.transaction:
-            self.closing.close(pool, connection)
+            self.closer.close(pool, connection)
         elif force:
-            self.closing.lose(pool, connection, "loan ended")
+            self.closer.close_and_notify(pool, connection, "loan ended")
 
-    def pump(self, pool: EndpointPool) -> None:
+    def dispatch(self, pool: EndpointPool) -> None:
         """Grant what can be granted and open what is needed."""
         self.granting.dispatch(pool)
 
-    def tend_borrowed(self, pool: EndpointPool) -> None:
+    def maintain_borrowed(self, pool: EndpointPool) -> None:
         """Close borrowed connections that stood idle; keep those in use alive."""
-        self.keepalive.tend_borrowed(pool)
+        self.keepalive.maintain_borrowed(pool)
         self.proving.keep_borrowed(pool)
 
     # -- From idle to busy and back --------------------------------------------
 
-    def take(self, pool: EndpointPool) -> ConnectionRow | None:
+    def take_idle(self, pool: EndpointPool) -> ConnectionRow | None:
         """Take the connection that was used last: it proved itself last."""
         now = self.now
         for idle in (pool.idle, pool.idle_borrowed):
@@ -311,10 +316,10 @@
                 # A host that was paused wakes with connections that the endpoint has
                 # closed, and given to others, meanwhile.
                 if connection.expires_at <= now:
-                    self.closing.expire(pool, connection)
+                    self.closer.close_expired(pool, connection)
                     continue
-                if len(pool.idle) < pool.idle_low:
-                    pool.idle_low = len(pool.idle)
+                if len(pool.idle) < pool.min_idle:
+                    pool.min_idle = len(pool.idle)
                 return connection
         return None
 
@@ -327,10 +332,10 @@
         connection.last_used_at = self._node.timers.now
         request.connection = connection.number
         request.address = connection.address
-        pool.active += 1
+        pool.active_count += 1
         in_use = len(pool.connections) - len(pool.idle)
-        if in_use > pool.peak:
-            pool.peak = in_use
+        if in_use > pool.peak_in_use:
+            pool.peak_in_use = in_use
         if not pool.idle:
             self.opener.open_spare(pool)
         self.requests.on_connection_granted(request, connection)
@@ -340,11 +345,11 @@
         now = self._node.timers.now
         connection.state = _IDLE
         if connection.expires_at <= now or self.is_surplus(pool, connection):
-            self.closing.close(pool, connection)
+            self.closer.close(pool, connection)
             return
         self.put_idle(pool, connection)
         if pool.check_timer is None:
-            self.keepalive.arm(pool)
+            self.keepalive.schedule_check(pool)
 
     def put_idle(self, pool: EndpointPool, connection: ConnectionRow) -> None:
         """Put a connection where it is taken from first."""
@@ -358,7 +363,7 @@
         if connection.loan:
             loan = pool.borrowed.get(connection.loan)
             return loan is None or self.now >= loan.close_at
-        return pool.own_count > pool.usable
+        return pool.own_count > pool.usable_share
 
     # -- Calls and replies -----------------------------------------------------
 
@@ -376,14 +381,14 @@
         known = number in self._connections
         if connection.expires_at <= now or not known:
             # Told later: the caller of send still has to note that it sent.
-            self.timers.at(now, self.closing.lose_unsent, pool, connection, known)
+            self.timers.at(now, self.closer.on_unsent, pool, connection, known)
             return
         if connection.loan:
             connection.expires_at = self.expiry(pool, connection, now)
         else:
             connection.expires_at = now + self.lifetime
         connection.last_call_at = now
-        pool.answering.add(number)
+        pool.in_flight.add(number)
         node.emit(SendEndpoint(number, sequence, call))
 
     def expiry(
@@ -397,7 +402,7 @@
     def _on_replied(self, event: EndpointReplied) -> None:
         connection = self._connections.get(event.connection)
         if connection is None:
-            self.drop("unknown-connection")
+            self.count_dropped_reply("unknown-connection")
             return
         reply = event.reply
         number = connection.number
@@ -405,18 +410,18 @@
         if reply.sequence >= FIRST_PROOF:
             self.proving.on_reply(pool, connection, reply)
             return
-        if number in pool.internal or number in pool.deferred:
+        if number in pool.internal_calls or number in pool.deferred_calls:
             self.keepalive.on_internal_reply(pool, connection, reply)
             return
         if reply.sequence != connection.sequence:
-            self.drop("wrong-sequence")
+            self.count_dropped_reply("wrong-sequence")
             return
-        if number not in pool.answering.entries:
-            self.drop("not-in-flight")
+        if number not in pool.in_flight.entries:
+            self.count_dropped_reply("not-in-flight")
             return
         if not reply.last:
-            pool.answering.renew(number)
-            pool.late.remove(number)
+            pool.in_flight.restart(number)
+            pool.overdue.remove(number)
         else:
             self._finish_call(pool, connection, reply)
         self._hand_on(pool, connection, reply)
@@ -425,15 +430,17 @@
         self, pool: EndpointPool, connection: ConnectionRow, reply: EndpointReply
     ) -> None:
         now = self._node.timers.now
-        pool.answering.remove(connection.number)
-        if pool.proofs:
+        pool.in_flight.remove(connection.number)
+        if pool.busy_keep_alives:
             self.proving.forget(pool, connection.number)
         if reply.code is EndpointCode.BUSY:
-            pool.concurrency.note_overload(pool.active)
+            pool.concurrency.note_overload(pool.active_count)
         elif reply.code is EndpointCode.OK:
             # Refusals come quickly: taken for statements, they would make the first
             # real ones look like contention.
-            pool.concurrency.record(now, now - connection.last_call_at, pool.active)
+            pool.concurrency.record(
+                now, now - connection.last_call_at, pool.active_count
+            )
 
     def _hand_on(
         self, pool: EndpointPool, connection: ConnectionRow, reply: EndpointReply
@@ -442,7 +449,7 @@
         if reply.last and connection.transaction:
             self._rest_pinned(pool, connection)
         if request is None:
-            self.drop("request-gone")
+            self.count_dropped_reply("request-gone")
             if reply.last and not connection.transaction:
                 self.release(connection, reset=True)
             return
@@ -451,11 +458,11 @@
     def _rest_pinned(self, pool: EndpointPool, connection: ConnectionRow) -> None:
         connection.state = _PINNED
         connection.request = 0
-        pool.active -= 1
+        pool.active_count -= 1
         pool.pinned[connection.number] = connection
         if pool.check_timer is None:
-            self.keepalive.arm(pool)
+            self.keepalive.schedule_check(pool)
 
-    def drop(self, reason: str) -> None:
+    def count_dropped_reply(self, reason: str) -> None:
         """Count a reply that goes to nobody."""
         self._node.count("replies_dropped", reason=reason)
--- a/mallowpass/core/systems/awaiting.py
+++ b/mallowpass/core/systems/positionawaits.py
@@ -21,7 +21,7 @@
 from mallowpass.core.tables import EndpointRow
 from mallowpass.core.timers import Timer
 
-__all__ = ["PlaceAwaits"]
+__all__ = ["PositionAwaits"]
 
 GAP = 0.005  # seconds between two calls to a member; one stands for all before it
 OUTSTANDING_MAX = 16  # at a member; more have to wait for an answer
@@ -40,7 +40,7 @@
     timer: Timer | None = None
 
 
-class PlaceAwaits:
+class PositionAwaits:
     """Keep what one group's members were asked for, and ask no more than needed."""
 
     __slots__ = ("_control", "_members", "_node", "_view")
@@ -52,7 +52,7 @@
         self._members: dict[str, _Member] = {}  # by address
 
     @property
-    def are_as_fast(self) -> bool:
+    def is_as_fast_as_watching(self) -> bool:
         """Tell whether a majority can be asked without acknowledging later."""
         row = self._view.row
         is_near = self._control.round_trip(row.primary) <= NEAR
@@ -63,7 +63,7 @@
         )
         return bool(row.primary) and able >= row.definition.majority
 
-    def want(self, place: LogPosition) -> None:
+    def request(self, place: LogPosition) -> None:
         """Have all members report once they have reached a place."""
         for endpoint in self._view.row.endpoints.values():
             self._want(endpoint, place)
--- a/mallowpass/core/systems/proving.py
+++ b/mallowpass/core/systems/proving.py
@@ -8,7 +8,7 @@
 
 from mallowpass.core.calls import EndpointReply, KeepAliveCall
 from mallowpass.core.effects import SendEndpoint
-from mallowpass.core.systems.connections import EndpointPool, Proof
+from mallowpass.core.systems.connections import BusyKeepAlive, EndpointPool
 from mallowpass.core.systems.poolpart import PoolPart
 from mallowpass.core.tables import ConnectionRow
 
@@ -26,7 +26,7 @@
 
     # -- For the request path --------------------------------------------------
 
-    def answers(self, connection: ConnectionRow, within: float) -> bool:
+    def is_responsive(self, connection: ConnectionRow, within: float) -> bool:
         """Tell whether a connection answers beside its call; ask it if need be.
 
         False when a keep-alive is unanswered for `within` seconds. Where the endpoint
@@ -36,12 +36,12 @@
         if not self._is_able(pool):
             return self._is_patient(pool, connection)
         number = connection.number
-        if number not in pool.answering:
+        if number not in pool.in_flight:
             return True
         proof = self._proof(pool, number)
-        if not proof.outstanding and proof.asked_at + REPEATED <= self.now:
+        if not proof.is_outstanding and proof.asked_at + REPEATED <= self.now:
             self._ask(pool, connection, proof)
-        return not proof.outstanding or self.now < proof.asked_at + within
+        return not proof.is_outstanding or self.now < proof.asked_at + within
 
     # -- When a call is not answered -------------------------------------------
 
@@ -50,48 +50,48 @@
         connection = self._connections.get(number)
         if connection is None:
             return
-        pool.answering.add(number)  # its call is in flight as before
-        if number in pool.late:
+        pool.in_flight.add(number)  # its call is in flight as before
+        if number in pool.overdue:
             return
-        pool.late.add(number)
+        pool.overdue.add(number)
         proof = self._proof(pool, number)
-        if self._is_able(pool) and not proof.outstanding:
+        if self._is_able(pool) and not proof.is_outstanding:
             self._ask(pool, connection, proof)
 
     def still_late(self, pool: EndpointPool, number: int) -> None:
         """Give up a connection that did not prove itself in the other half."""
         connection = self._connections.get(number)
-        if connection is None or number not in pool.answering:
+        if connection is None or number not in pool.in_flight:
             return
         if not self._is_able(pool) and self._is_patient(pool, connection):
             return
         if self._proof(pool, number).answered:
             # Nobody waits for its statement, which only the closing may end.
-            self._pooling.closing.lose(pool, connection, "given-up")
+            self._pooling.closer.close_and_notify(pool, connection, "given-up")
             self._pooling.granting.dispatch(pool)
         else:
-            self._pooling.keepalive.went_silent(pool, number)
+            self._pooling.keepalive.close_silent(pool, number)
 
     def on_reply(
         self, pool: EndpointPool, connection: ConnectionRow, reply: EndpointReply
     ) -> None:
         """Take the answer to a keep-alive that was sent beside a call."""
         number = connection.number
-        proof = pool.proofs.get(number)
+        proof = pool.busy_keep_alives.get(number)
         if proof is None or proof.sequence != reply.sequence:
-            self._pooling.drop("late-keep-alive")
+            self._pooling.count_dropped_reply("late-keep-alive")
             return
         proof.answered = True
         if connection.request or connection.transaction:
-            pool.late.remove(number)
+            pool.overdue.remove(number)
         else:
             # Its call was given up, and is not waited for, however well it is.
-            pool.checking.remove(number)
+            pool.internal_in_flight.remove(number)
 
     def forget(self, pool: EndpointPool, number: int) -> None:
         """Let go of a call that was answered, or whose connection is gone."""
-        pool.proofs.pop(number, None)
-        pool.late.remove(number)
+        pool.busy_keep_alives.pop(number, None)
+        pool.overdue.remove(number)
 
     # -- Borrowed connections --------------------------------------------------
 
@@ -101,20 +101,22 @@
             return
         for loan in pool.borrowed.values():
             for number in loan.numbers:
-                if number in pool.answering:
+                if number in pool.in_flight:
                     self._keep(pool, self._connections[number])
 
     def _keep(self, pool: EndpointPool, connection: ConnectionRow) -> None:
-        life = self._pooling.loans.life(connection.loan)
+        life = self._pooling.loans.usable_time(connection.loan)
         called_at = connection.expires_at - life
         proof = self._proof(pool, connection.number)
         due = called_at + life / CHECKS_PER_LIFE <= self.now
-        if due and not proof.outstanding:
+        if due and not proof.is_outstanding:
             self._ask(pool, connection, proof)
 
     # -- Asking ----------------------------------------------------------------
 
-    def _ask(self, pool: EndpointPool, connection: ConnectionRow, proof: Proof) -> None:
+    def _ask(
+        self, pool: EndpointPool, connection: ConnectionRow, proof: BusyKeepAlive
+    ) -> None:
         now = self.now
         # A host that was paused does not prolong what the endpoint may have closed.
         if connection.expires_at <= now:
@@ -130,10 +132,10 @@
             SendEndpoint(connection.number, proof.sequence, KeepAliveCall())
         )
 
-    def _proof(self, pool: EndpointPool, number: int) -> Proof:
-        proof = pool.proofs.get(number)
+    def _proof(self, pool: EndpointPool, number: int) -> BusyKeepAlive:
+        proof = pool.busy_keep_alives.get(number)
         if proof is None:
-            proof = pool.proofs[number] = Proof()
+            proof = pool.busy_keep_alives[number] = BusyKeepAlive()
         return proof
 
     def _is_able(self, pool: EndpointPool) -> bool:
@@ -142,4 +144,4 @@
 
     def _is_patient(self, pool: EndpointPool, connection: ConnectionRow) -> bool:
         request = self.tables.requests.get(connection.request)
-        return request is not None and request.request_class in pool.patient
+        return request is not None and request.request_class in pool.patient_classes
--- a/mallowpass/core/systems/reads.py
+++ b/mallowpass/core/systems/reads.py
@@ -23,7 +23,7 @@
     code_of_refusal,
     read_count,
 )
-from mallowpass.core.systems.connections import Watchdog
+from mallowpass.core.systems.connections import TimeoutTracker
 from mallowpass.core.tables import (
     ConnectionRow,
     EndpointRow,
@@ -77,7 +77,7 @@
         self._routing = node.system(routing_module.Routing)
         self._sessions = node.system(sessions_module.Sessions)
         self._transactions = node.system(Transactions)
-        self._overdue = Watchdog(self.timers, LOOK, self._on_late)
+        self._overdue = TimeoutTracker(self.timers, LOOK, self._on_late)
 
     # -- Routing -------------------------------------------------------------
 
@@ -95,7 +95,7 @@
             endpoint = self._routing.choose_fallback_read(request, database)
         if endpoint is not None:
             self._waiting_of(request).pop(request.number, None)
-            self._overdue.renew(request.number)
+            self._overdue.restart(request.number)
             self._requests.acquire(request, endpoint.address)
         elif request.avoided_addresses and not request.behind_count:
             why = f"no member served it: {request.detail}"
@@ -148,7 +148,7 @@
             return
         request.state = RequestState.SENT
         if request.sent_at > request.arrived_at:
-            self._overdue.renew(request.number)
+            self._overdue.restart(request.number)
         statement = request.request
         if isinstance(statement, BeginRequest):
             call = BeginCall(minimum=request.floor)
@@ -175,7 +175,7 @@
             self._requests.send_part(request, self._part(request, reply))
         elif isinstance(request.request, BeginRequest):
             self._record(request, connection)
-            self._transactions.opened(request, connection, reply)
+            self._transactions.on_opened(request, connection, reply)
         else:
             self._record(request, connection)
             self._requests.release(request, connection)
@@ -261,7 +261,7 @@
             self._on_sent_long(request)
 
     def _on_queued_long(self, request: RequestRow) -> None:
-        pool = self._pooling.known_pool(request.address)
+        pool = self._pooling.find_pool(request.address)
         if pool is None or pool.connections:
             return
         if self.now - request.queued_at < OVERDUE:
@@ -300,7 +300,7 @@
         end at none. One move is allowed: the member may be slow, not the statement.
         """
         connection = self.tables.connections.get(request.connection)
-        if connection is None or not self._pooling.answers(connection, LOOK):
+        if connection is None or not self._pooling.is_responsive(connection, LOOK):
             return False
         return request.was_moved or self._pooling.is_patient(request)
 
--- a/mallowpass/core/systems/requests.py
+++ b/mallowpass/core/systems/requests.py
@@ -274,7 +274,7 @@
         """Leave a connection that seems silent to pooling, and have others checked."""
         connection = self.tables.connections.get(request.connection)
         if connection is not None:
-            self._pooling.suspect(connection)
+            self._pooling.check_older_idle(connection)
         self.abandon(request)
 
     def discard(self, request: RequestRow, why: str) -> None:
--- a/mallowpass/core/systems/routing.py
+++ b/mallowpass/core/systems/routing.py
@@ -257,12 +257,12 @@
 
     def _cost(self, endpoint: EndpointRow) -> float:
         latency = self._latency(endpoint)
-        pool = self._pooling.known_pool(endpoint.address)
+        pool = self._pooling.find_pool(endpoint.address)
         if pool is None:
             return latency
         if not endpoint.is_control_open:
             latency += UNHEARD_COST
-        load = pool.active + len(pool.queue)
+        load = pool.active_count + len(pool.queue)
         # Without a share it takes a loan first, and loans may not come.
         room = pool.share or NO_SHARE_ROOM
         return latency * (1.0 + load / room) + (0.0 if pool.share else NO_SHARE_COST)
--- a/mallowpass/core/systems/sessions.py
+++ b/mallowpass/core/systems/sessions.py
@@ -225,7 +225,7 @@
         return None
 
     def _end(self, session: SessionRow) -> None:
-        self._transactions.roll_back_all(session.stream)
+        self._transactions.roll_back_session(session.stream)
         del self.tables.sessions[session.stream]
         self._requests.abandon_session(session)
 
--- a/mallowpass/core/systems/shares.py
+++ b/mallowpass/core/systems/shares.py
@@ -13,7 +13,7 @@
 
 from mallowpass.core.node import FailureDomain
 
-__all__ = ["lendable", "static_share"]
+__all__ = ["lendable_share", "static_share"]
 
 LENDABLE_DIVISOR = 2  # at most one in so many of a share is ever lent
 
@@ -43,7 +43,7 @@
     return base + (ahead < remainder)
 
 
-def lendable(share: int, scarce: bool) -> int:
+def lendable_share(share: int, scarce: bool) -> int:
     """Return how much of a share may ever be lent at one time.
 
     A share of one is lent only where connections are so scarce that some seats have
--- a/mallowpass/core/systems/status.py
+++ b/mallowpass/core/systems/status.py
@@ -88,7 +88,7 @@
             _member_status(node, endpoint, connections)
             for endpoint in row.endpoints.values()
         ),
-        waiting=node.system(Pooling).waiting(row.key),
+        waiting=node.system(Pooling).queued_count(row.key),
         steward=node.system(Membership).first(row.key),
     )
 
--- a/mallowpass/core/systems/transactions.py
+++ b/mallowpass/core/systems/transactions.py
@@ -181,7 +181,7 @@
 
     # -- Begin and end -------------------------------------------------------
 
-    def opened(
+    def on_opened(
         self, request: RequestRow, connection: ConnectionRow, reply: EndpointReply
     ) -> None:
         """Keep the connection that an endpoint opened a transaction on."""
@@ -234,7 +234,7 @@
         self.end(transaction, ErrorCode.TRANSACTION_IDLE, "it stood idle")
         self.release(transaction, reset=True)
 
-    def roll_back_all(self, stream: int) -> None:
+    def roll_back_session(self, stream: int) -> None:
         """Roll back what a session that ended left open."""
         session = self.tables.sessions.get(stream)
         if session is None:
@@ -351,7 +351,7 @@
             self.end(transaction, _ROLLED_BACK, why)
         self._discard(transaction, why)
 
-    def commit_overdue(self, request: RequestRow, why: str) -> None:
+    def on_commit_overdue(self, request: RequestRow, why: str) -> None:
         """Look up a commit whose connection seems silent, and close that."""
         transaction = self.tables.transactions.get(request.transaction)
         if transaction is not None:
--- a/mallowpass/core/systems/waitqueue.py
+++ b/mallowpass/core/systems/waitqueue.py
@@ -12,14 +12,14 @@
 
 from mallowpass.core.tables import RequestRow
 
-__all__ = ["Tally", "WaitQueue"]
+__all__ = ["QueueCounter", "WaitQueue"]
 
 COST_FIRST = 0.001  # seconds that a class's statement is taken to cost at first
 COST_SMOOTHING = 0.1
 DEAD_MAX = 64  # dropped entries that may stay in line before it is rebuilt
 
 
-class Tally:
+class QueueCounter:
     """Count what waits in several queues together."""
 
     __slots__ = ("count",)
@@ -104,9 +104,11 @@
 
     __slots__ = ("_clock", "_lines", "_tally", "_weights", "entries")
 
-    def __init__(self, weights: dict[str, int], tally: Tally | None = None) -> None:
+    def __init__(
+        self, weights: dict[str, int], tally: QueueCounter | None = None
+    ) -> None:
         self._weights = weights
-        self._tally = tally or Tally()
+        self._tally = tally or QueueCounter()
         self._lines: dict[str, _ClassLine] = {}
         self.entries: dict[int, _Entry] = {}  # by request number
         self._clock = 0.0  # `served` of the class that was served last
@@ -160,7 +162,7 @@
         self._lines[entry.class_name].cancel(entry)
         return True
 
-    def learn_cost(self, class_name: str, seconds: float) -> None:
+    def record_cost(self, class_name: str, seconds: float) -> None:
         """Learn how long a request of a class kept its connection.
 
         Shares are of time: by count alone, a class of slow statements would take
@@ -169,7 +171,7 @@
         line = self._line(class_name)
         line.cost += COST_SMOOTHING * (seconds - line.cost)
 
-    def ahead(self, class_name: str) -> float:
+    def requests_ahead(self, class_name: str) -> float:
         """Return how many requests are served before a new one of a class."""
         line = self._line(class_name)
         weights = sum(
@@ -179,14 +181,14 @@
         )
         return min(len(self.entries), line.waiting * weights / line.weight)
 
-    def waits_outside(self, class_names: frozenset[str]) -> bool:
+    def has_waiting_outside(self, class_names: frozenset[str]) -> bool:
         """Tell whether a request of any other class waits."""
         return any(
             line.waiting and name not in class_names
             for name, line in self._lines.items()
         )
 
-    def drain(self) -> list[RequestRow]:
+    def take_all(self) -> list[RequestRow]:
         """Take all requests out."""
         requests = list(self._requests())
         self._tally.count -= len(requests)
--- a/mallowpass/core/systems/writes.py
+++ b/mallowpass/core/systems/writes.py
@@ -22,9 +22,9 @@
 from mallowpass.core.systems import retries as retries_module
 from mallowpass.core.systems import routing as routing_module
 from mallowpass.core.systems.answers import code_of_refusal, record_id
-from mallowpass.core.systems.connections import Watchdog
+from mallowpass.core.systems.connections import TimeoutTracker
 from mallowpass.core.systems.outcomes import FIRST_ATTEMPT
-from mallowpass.core.systems.reuse import (
+from mallowpass.core.systems.requestreuse import (
     RecentRequests,
     digest_of_begin,
     digest_of_statement,
@@ -79,7 +79,7 @@
 
     def start(self) -> None:
         """Find the systems that are asked."""
-        self._overdue = Watchdog(self.timers, LOOK, self._on_late)
+        self._overdue = TimeoutTracker(self.timers, LOOK, self._on_late)
         from mallowpass.core.systems.requests import Requests
         from mallowpass.core.systems.transactions import Transactions
 
@@ -202,7 +202,7 @@
             self.route(request)
             return
         request.state = RequestState.SENT
-        self._overdue.renew(request.number)
+        self._overdue.restart(request.number)
         request.sent_term = database.term
         self._pooling.send(connection, self._call(request))
 
@@ -253,7 +253,7 @@
     ) -> None:
         self._record(request, connection)
         if self._requests.floors.is_satisfied(request, reply.applied):
-            self._transactions.opened(request, connection, reply)
+            self._transactions.on_opened(request, connection, reply)
             return
         request.connection = 0
         self._pooling.release(connection, reset=True)
@@ -269,7 +269,7 @@
 
     def watch_commit(self, request: RequestRow) -> None:
         """Look a commit up if its answer is late, as with a write."""
-        self._overdue.renew(request.number)
+        self._overdue.restart(request.number)
 
     def _on_late(self, number: int) -> None:
         """Look a write up when its answer is late and its connection seems silent.
@@ -285,7 +285,9 @@
         connection = self.tables.connections.get(request.connection)
         if connection is None:
             return
-        if self._pooling.answers(connection, LOOK) or not self._is_overdue(request):
+        if self._pooling.is_responsive(connection, LOOK) or not self._is_overdue(
+            request
+        ):
             self._overdue.add(number)
         elif request.transaction:
             self._on_commit_overdue(request)
@@ -308,7 +310,7 @@
         if endpoint is None or endpoint.last_reply_at <= self.now - LOOK:
             self._overdue.add(request.number)
             return
-        self._transactions.commit_overdue(request, self._lateness(request))
+        self._transactions.on_commit_overdue(request, self._lateness(request))
 
     def _lateness(self, request: RequestRow) -> str:
         return f"no answer in {self.now - request.sent_at:.3f}s"
--- a/tests/core/systems/test_admission.py
+++ b/tests/core/systems/test_admission.py
@@ -49,7 +49,7 @@
     Cause: how long others kept connections was taken for the wait for a new one.
     """
     host = PoolHost(limit=8)
-    host.pool.hold = 9.0
+    host.pool.average_hold_time = 9.0
     if before != "nothing":
         host.request()
     if before == "in flight":
@@ -67,7 +67,7 @@
     Cause: nothing is open that they could keep, yet their time was counted.
     """
     host = PoolHost(limit=8)
-    host.pool.lent, host.pool.hold = host.pool.own, 9.0
+    host.pool.lent_count, host.pool.average_hold_time = host.pool.own_share, 9.0
     host.request(deadline=3.0)
     assert host.requests.refused == []
     assert len(host.pool.queue) == 1
@@ -77,7 +77,7 @@
     host = PoolHost(limit=4)
     host.request()
     host.open_all()
-    host.pool.hold = 3.4
+    host.pool.average_hold_time = 3.4
     host.request(deadline=3.0)
     assert len(host.requests.refused) == 1
 
--- a/tests/core/systems/test_draining.py
+++ b/tests/core/systems/test_draining.py
@@ -31,7 +31,7 @@
         self._tables.transactions[name] = row
         self.open_count += 1
 
-    def roll_back_all(self, stream: int) -> None:
+    def roll_back_session(self, stream: int) -> None:
         self.rolled_back.append(stream)
         del self._tables.transactions[f"t{stream}"]
         self.open_count -= 1
--- a/tests/core/systems/test_loans.py
+++ b/tests/core/systems/test_loans.py
@@ -83,7 +83,7 @@
 def test_a_host_asks_its_own_failure_domain_once_its_share_is_in_use():
     host = _host()
     name, call = _use_up(host)
-    assert host.pool.own_count == host.pool.own == 4
+    assert host.pool.own_count == host.pool.own_share == 4
     assert name == "casa-ainsebaa-1"
     _tell(host, name, LoanAnswer(call.loan, ADDRESS, 0, 0.0, call.call))
     host.wait_until(lambda: _sent(host, LoanCall))
@@ -125,7 +125,7 @@
             host.reply(sent)
             if sent.connection == number:
                 sent_at = host.now
-        assert host.now - sent_at < host.loans.times(loan.loan)[0]
+        assert host.now - sent_at < host.loans.connection_timing(loan.loan)[0]
     assert sent_at > host.now - 1.0
 
 
@@ -281,7 +281,7 @@
         host.request()
         host.open_all()
     host.reply_all()
-    host.pooling.make_room(host.pool, 3)
+    host.pooling.close_idle(host.pool, 3)
     host.wait(1.0)
     host.report(connections=0, limit=LIMIT)
     assert [_lend_one(host, name).connections for name in "ab"] == [1, 0]
@@ -291,7 +291,7 @@
     host = _host()
     _tell(host, "tanger-ksar-0", LoanCall("x", ADDRESS, 4, 7))
     ((_, answer),) = _sent(host, LoanAnswer)
-    assert answer.connections == host.pool.lendable == 2
+    assert answer.connections == host.pool.lendable_share == 2
 
 
 def test_idle_connections_are_closed_first_and_lent_when_the_endpoint_saw_it():
--- a/tests/core/systems/test_pooling.py
+++ b/tests/core/systems/test_pooling.py
@@ -201,7 +201,7 @@
         host.wait_until(lambda: host.calls(KeepAliveCall))
         host.pooling.send(connection, CALL, request)
         host.handle(ConnectionLost(number, "reset by peer"))
-    assert host.pool.active == 0
+    assert host.pool.active_count == 0
     assert number not in host.pool.connections
 
 
@@ -257,7 +257,7 @@
 
 def test_no_connection_is_opened_ahead_from_the_part_that_others_may_borrow():
     host = PoolHost(limit=16)
-    kept = host.pool.own - host.pool.lendable
+    kept = host.pool.own_share - host.pool.lendable_share
     assert _in_use_with_spares(host, kept) == kept
 
 
@@ -282,12 +282,12 @@
 def test_nothing_is_opened_ahead_in_a_drain_or_in_the_place_of_a_silent_one():
     host = PoolHost(limit=64)
     _warm(host, 1)
-    host.pool.ghosts.append(host.now + 1.0)
+    host.pool.silent_slots.append(host.now + 1.0)
     for number in list(host.pool.idle)[1:]:
         host.handle(ConnectionLost(number, "gone"))
     host.request()
     assert not host.pool.opening.entries
-    host.pool.ghosts.clear()
+    host.pool.silent_slots.clear()
     host.publish(DrainBegan(host.now + 20.0))
     host.reply_all()
     host.request()
@@ -432,7 +432,7 @@
     host = PoolHost(limit=16)
     numbers = _warm(host, 3)
     pool = host.pool
-    host.pooling.keepalive.went_silent(pool, numbers[-1])
+    host.pooling.keepalive.close_silent(pool, numbers[-1])
     host.flush()
     checked = {sent.connection for sent in host.calls(KeepAliveCall)}
     assert checked == set(numbers[:-1])
@@ -464,11 +464,11 @@
     """
     host = PoolHost(limit=4)
     (number,) = _warm(host, 1)
-    host.pooling.keepalive.went_silent(host.pool, number)
+    host.pooling.keepalive.close_silent(host.pool, number)
     host.request()
     assert host.opened() == []
     host.report(connections=3, limit=4)
-    host.pooling.pump(host.pool)
+    host.pooling.dispatch(host.pool)
     host.flush()
     assert len(host.opened()) == 1
 
--- a/tests/core/systems/test_pooling_machine.py
+++ b/tests/core/systems/test_pooling_machine.py
@@ -100,7 +100,7 @@
             self.host.requests.hold = not self.host.requests.hold
             for connection in list(pool.connections.values()):
                 held = connection.state is ConnectionState.BUSY
-                idle_statement = connection.number not in pool.answering
+                idle_statement = connection.number not in pool.in_flight
                 if held and connection.request and idle_statement:
                     pooling.pin(connection, f"t{connection.number}")
         elif pinned:
@@ -132,27 +132,27 @@
         (self.host.pause if pause else self.host.wait)(seconds)
         self.take_sends()
 
-    @precondition(lambda self: self.host.pool.answering.entries)
+    @precondition(lambda self: self.host.pool.in_flight.entries)
     @rule(pick=PICK)
     def ask(self, pick: int) -> None:
         """Ask a connection beside its call, as a request that waits long does."""
-        numbers = self.host.pool.answering.numbers()
+        numbers = self.host.pool.in_flight.numbers()
         connection = self.host.node.tables.connections[numbers[pick % len(numbers)]]
         self.host.node.timers.advance(self.host.now)
-        self.host.pooling.answers(connection, 0.1)
+        self.host.pooling.is_responsive(connection, 0.1)
         self.take_sends()
 
     @invariant()
     def only_calls_in_flight_are_late(self) -> None:
         pool = self.host.pool
-        assert set(pool.proofs) <= set(pool.answering.entries)
-        assert set(pool.late.entries) <= set(pool.answering.entries)
+        assert set(pool.busy_keep_alives) <= set(pool.in_flight.entries)
+        assert set(pool.overdue.entries) <= set(pool.in_flight.entries)
 
     @invariant()
     def each_connection_is_in_one_place(self) -> None:
         pool = self.host.pool
-        counted = [row for row in pool.connections.values() if pool.is_counted(row)]
-        assert pool.active == len(counted)
+        counted = [row for row in pool.connections.values() if pool.is_active(row)]
+        assert pool.active_count == len(counted)
         for number, row in pool.connections.items():
             places = [
                 number in pool.idle,
@@ -164,7 +164,7 @@
         users = [row.request for row in pool.connections.values() if row.request]
         waiting = list(pool.queue.entries)
         assert not set(users) & set(waiting)
-        assert pool.own_count <= pool.own
+        assert pool.own_count <= pool.own_share
 
 
 TestPool = Pool.TestCase
--- a/tests/core/systems/test_awaiting.py
+++ b/tests/core/systems/test_positionawaits.py
@@ -11,7 +11,7 @@
     LogPosition,
 )
 from mallowpass.core.events import EndpointReplied
-from mallowpass.core.systems import awaiting
+from mallowpass.core.systems import positionawaits
 from mallowpass.core.systems.liveness import Liveness
 from mallowpass.core.tables import ConnectionRow, ConnectionState
 from tests.core.systems.test_failover import write
@@ -139,7 +139,7 @@
         scene.world.run(0.006)
     streams = scene.group._streams.values()
     waiting = [len(stream.awaited) for stream in streams if stream.member.name == "b"]
-    assert sum(waiting) == awaiting.OUTSTANDING_MAX
+    assert sum(waiting) == positionawaits.OUTSTANDING_MAX
 
 
 def test_members_that_do_not_know_the_call_are_watched(scene):
@@ -189,7 +189,11 @@
     asked = sent(scene, monkeypatch)
     low, high = write(scene), write(scene)
     with monkeypatch.context() as patched:
-        patched.setattr(awaiting.PlaceAwaits, "are_as_fast", property(lambda _: False))
+        patched.setattr(
+            positionawaits.PositionAwaits,
+            "is_as_fast_as_watching",
+            property(lambda _: False),
+        )
         wait_held(scene, high)
     assert not asked
     wait_held(scene, low)
--- a/tests/core/systems/test_proving.py
+++ b/tests/core/systems/test_proving.py
@@ -212,11 +212,11 @@
     request = host.request()
     host.wait(0.1)
     connection = host.node.tables.connections[request.connection]
-    host.pooling.answers(connection, 0.1)
+    host.pooling.is_responsive(connection, 0.1)
     host.flush()
     host.wait(0.1)
-    assert not host.pooling.answers(connection, 0.1)
-    host.pooling.suspect(connection)
+    assert not host.pooling.is_responsive(connection, 0.1)
+    host.pooling.check_older_idle(connection)
     host.pooling.cancel(request)
     host.flush()
 
--- a/tests/core/systems/test_reuse.py
+++ b/tests/core/systems/test_requestreuse.py
@@ -1,4 +1,4 @@
-"""Tests of mallowpass.core.systems.reuse."""
+"""Tests of mallowpass.core.systems.requestreuse."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 
 from mallowpass.core.calls import Access, ExecuteRequest
-from mallowpass.core.systems.reuse import (
+from mallowpass.core.systems.requestreuse import (
     RECENT_MAX,
     RecentRequests,
     digest_of_begin,
--- a/tests/core/systems/test_shares.py
+++ b/tests/core/systems/test_shares.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from mallowpass.core.node import FailureDomain
-from mallowpass.core.systems.shares import lendable, static_share
+from mallowpass.core.systems.shares import lendable_share, static_share
 
 NAMES = ["casa-ainsebaa", "tanger-ksar", "agadir-anza", "dar-kariakoo"]
 DOMAINS = st.lists(
@@ -66,4 +66,4 @@
 
 @given(st.integers(0, 100), st.booleans())
 def test_what_may_be_lent_is_part_of_the_share(share: int, scarce: bool):
-    assert 0 <= lendable(share, scarce) <= share
+    assert 0 <= lendable_share(share, scarce) <= share
--- a/tests/core/systems/test_waitqueue.py
+++ b/tests/core/systems/test_waitqueue.py
@@ -65,8 +65,8 @@
     """
     queue = WaitQueue({"caseworker": 1, "reconciliation": 1})
     for _ in range(200):
-        queue.learn_cost("caseworker", 0.01)
-        queue.learn_cost("reconciliation", 0.3)
+        queue.record_cost("caseworker", 0.01)
+        queue.record_cost("reconciliation", 0.3)
     for number in range(100):
         queue.push(_request(number), "a", 0.0)
         queue.push(_request(200 + number, "reconciliation"), "b", 0.0)
--- a/tests/fakes/poolpath.py
+++ b/tests/fakes/poolpath.py
@@ -181,7 +181,7 @@
 
     @property
     def pool(self) -> Any:
-        return self.pooling.pool(ADDRESS)
+        return self.pooling.get_or_create_pool(ADDRESS)
 
     def _add_service(self, limit: int, concurrent: int, queue_length: int) -> None:
         member = Member("a", ADDRESS, "casa-ainsebaa")
--- a/tests/fakes/requestpath.py
+++ b/tests/fakes/requestpath.py
@@ -168,10 +168,10 @@
         self.discarded.append(connection.number)
         self.tables.connections.pop(connection.number, None)
 
-    def answers(self, connection: ConnectionRow, within: float) -> bool:
+    def is_responsive(self, connection: ConnectionRow, within: float) -> bool:
         return self.answering
 
-    def suspect(self, connection: ConnectionRow) -> None:
+    def check_older_idle(self, connection: ConnectionRow) -> None:
         self.suspected.append(connection.number)
 
     def close_silent(self, connection: ConnectionRow) -> None:
@@ -180,8 +180,10 @@
     def is_patient(self, request: RequestRow) -> bool:
         return self.patient
 
-    def known_pool(self, address: str) -> SimpleNamespace:
-        return SimpleNamespace(active=0, queue=(), share=8, connections=self.connected)
+    def find_pool(self, address: str) -> SimpleNamespace:
+        return SimpleNamespace(
+            active_count=0, queue=(), share=8, connections=self.connected
+        )
 
 
 class FakeLiveness(System):
--- a/tests/measure_acknowledgement.py
+++ b/tests/measure_acknowledgement.py
@@ -18,8 +18,8 @@
 from mallowpass.core.calls import EndpointCode, EndpointReply
 from mallowpass.core.events import EndpointReplied
 from mallowpass.core.node import Tuning
-from mallowpass.core.systems.awaiting import PlaceAwaits
 from mallowpass.core.systems.liveness import Liveness
+from mallowpass.core.systems.positionawaits import PositionAwaits
 from mallowpass.core.tables import ConnectionRow, ConnectionState
 from tests.fakes.groups import Entry
 from tests.fakes.scenes import Scene
@@ -28,7 +28,7 @@
 
 CONNECTION = 10**6  # number of the one that each host writes on
 RATES = (1, 10, 100)  # writes a second in the whole group
-_CHOSEN = PlaceAwaits.are_as_fast
+_CHOSEN = PositionAwaits.is_as_fast_as_watching
 
 
 @dataclass(frozen=True, slots=True)
@@ -110,7 +110,7 @@
     deployment: Deployment, way: Way, rate: float, seconds: float
 ) -> tuple[float, float, Writers]:
     """Return control bytes a second and host, those a write, and the writers."""
-    PlaceAwaits.are_as_fast = way.awaits
+    PositionAwaits.is_as_fast_as_watching = way.awaits
     scene = Scene(
         hosts=HOSTS,
         members=deployment.members,
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -26,8 +26,8 @@
     closing,
     configuration,
     draining,
+    endpointnotices,
     groupview,
-    leaving,
     liveness,
     outcomes,
     poolchanges,
@@ -530,7 +530,7 @@
     ),
     "leaving_member_is_marked": Guard(
         "leaving_gets_no_work",
-        replace(leaving.EndpointNews, "_mark", nothing),
+        replace(endpointnotices.EndpointNotices, "_mark", nothing),
         reads_beside_a_leaving_member,
     ),
     "drain_waits_for_what_is_in_flight": Guard(
@@ -553,7 +553,7 @@
     ),
     "expired_connections_are_not_used": Guard(
         "connections_in_limit",
-        replace(closing.Closing, "expire", nothing),
+        replace(closing.Closer, "close_expired", nothing),
         pooling_tests.test_a_paused_host_does_not_use_connections_that_ran_out_meanwhile,
     ),
     "members_confirm_a_suspicion": Guard(
