--- a/mallowpass/core/systems/closing.py
+++ b/mallowpass/core/systems/closing.py
@@ -83,7 +83,7 @@
         pool.pinned.pop(number, None)
         pool.deferred_calls.pop(number, None)
         pool.in_flight.remove(number)
-        self._pooling.proving.forget(pool, number)
+        self._pooling.busy_checks.discard(pool, number)
         pool.internal_in_flight.remove(number)
         pool.opening.remove(number)
         pool.internal_calls.pop(number, None)
--- a/mallowpass/core/systems/keepalive.py
+++ b/mallowpass/core/systems/keepalive.py
@@ -153,7 +153,7 @@
                 return
         pool.internal_calls.pop(number, None)
         pool.in_flight.remove(number)
-        self._pooling.proving.forget(pool, number)
+        self._pooling.busy_checks.discard(pool, number)
         pool.internal_in_flight.remove(number)
         if deferred is not None:
             del pool.deferred_calls[number]
--- a/mallowpass/core/systems/reads.py
+++ b/mallowpass/core/systems/reads.py
@@ -133,7 +133,7 @@
                 RequestState.AWAITING_PRIMARY,
             ):
                 waiting.pop(request.number, None)
-            elif self._liveness.reached(endpoint, request.floor):
+            elif self._liveness.has_reached(endpoint, request.floor):
                 waiting.pop(request.number, None)
                 request.avoided_addresses = None
                 self.route(request)
--- a/mallowpass/core/systems/sessions.py
+++ b/mallowpass/core/systems/sessions.py
@@ -105,7 +105,7 @@
         database = self.tables.databases.get(database_key)
         if database is None or not older.term < newer.term:
             return False
-        return self._liveness.floor_lost(database, older)
+        return self._liveness.is_floor_lost(database, older)
 
     def seen_positions(
         self, session: SessionRow, database_key: str
