--- a/mallowpass/core/systems/heldwaits.py
+++ b/mallowpass/core/systems/majoritywaits.py
@@ -9,10 +9,10 @@
 from mallowpass.core.systems.groupview import GroupView, MajorityWaiter
 from mallowpass.core.systems.positionawaits import PositionAwaits
 
-__all__ = ["HeldWaits"]
+__all__ = ["MajorityWaits"]
 
 
-class HeldWaits:
+class MajorityWaits:
     """Queue the waits of one group, and ask its members for what they wait for."""
 
     __slots__ = ("_awaits", "_node", "_view")
