--- a/tests/core/systems/test_operators.py
+++ b/tests/core/systems/test_operators.py
@@ -19,7 +19,7 @@
 class Others:
     """Stand in for Pooling and Failover."""
 
-    def waiting(self, key: str) -> int:
+    def queued_count(self, key: str) -> int:
         return 3
 
     def share(self, endpoint) -> int:
