--- a/mallowpass/core/systems/closing.py
+++ b/mallowpass/core/systems/closing.py
@@ -24,7 +24,7 @@
         pool = self._pooling.by_address[connection.address]
         self._node.count("connections_lost", reason="broken")
         self._notify_user(pool, connection, event.message)
-        self._pooling.granting.pump(pool)
+        self._pooling.granting.dispatch(pool)
 
     def close_and_notify(
         self, pool: EndpointPool, connection: ConnectionRow, why: str
@@ -57,7 +57,7 @@
         elif was_open:
             return  # lost in the meantime: its user has been notified
         self._notify_user(pool, connection, "expired, call not sent")
-        self._pooling.granting.pump(pool)
+        self._pooling.granting.dispatch(pool)
 
     def close_expired(self, pool: EndpointPool, connection: ConnectionRow) -> None:
         """Close a connection whose time to live is over at the endpoint.
@@ -86,12 +86,14 @@
         pool.pinned.pop(number, None)
         pool.deferred_calls.pop(number, None)
         pool.in_flight.remove(number)
-        self._pooling.proving.forget(pool, number)
+        self._pooling.busy_checks.discard(pool, number)
         pool.internal_in_flight.remove(number)
         pool.opening.remove(number)
         pool.internal_calls.pop(number, None)
         if not connection.loan:
-            pool.closing_slots.append((self.now, connection.expires + LIFETIME_MARGIN))
+            pool.closing_slots.append(
+                (self.now, connection.expires_at + LIFETIME_MARGIN)
+            )
             return
         loan = pool.borrowed.get(connection.loan)
         if loan is not None:
--- a/mallowpass/core/systems/connections.py
+++ b/mallowpass/core/systems/connections.py
@@ -292,7 +292,7 @@
         if self.silent_slots:
             self.silent_slots = [until for until in self.silent_slots if until > now]
         if self.closing_slots:
-            settled_before = self.endpoint.heard_at - CLOSE_SETTLE_TIME
+            settled_before = self.endpoint.last_reply_at - CLOSE_SETTLE_TIME
             self.closing_slots = [
                 slot
                 for slot in self.closing_slots
--- a/mallowpass/core/systems/draining.py
+++ b/mallowpass/core/systems/draining.py
@@ -43,12 +43,12 @@
         self._timer: Timer | None = None
 
     @property
-    def draining(self) -> bool:
+    def is_draining(self) -> bool:
         """Tell whether this host takes no new sessions; answers say go elsewhere."""
         return self._deadline is not None
 
     @property
-    def closing(self) -> bool:
+    def is_closing(self) -> bool:
         """Tell whether open sessions' new requests are refused too, as not run."""
         return self._closing_since is not None
 
@@ -88,7 +88,9 @@
         self._began = self.now
         self._deadline = deadline
         self._node.log("info", "drain_began", limit=limit)
-        self._node.decide("drain", self._node.identity.name, f"began, limit {limit}s")
+        self._node.record_decision(
+            "drain", self._node.identity.name, f"began, limit {limit}s"
+        )
         self._node.publish(DrainBegan(deadline))
         self._timer = self.timers.every(CHECK_PERIOD, self._check)
         return DrainAnswer(accepted=True, message=f"drains for at most {limit:g}s")
@@ -123,7 +125,7 @@
         streams = {row.stream for row in self.tables.transactions.values()}
         for stream in sorted(streams):
             self._transactions.roll_back_session(stream)
-        self._node.decide(
+        self._node.record_decision(
             "drain",
             self._node.identity.name,
             f"limit reached: transactions of {len(streams)} sessions rolled back",
--- a/mallowpass/core/systems/endpointnotices.py
+++ b/mallowpass/core/systems/endpointnotices.py
@@ -36,7 +36,7 @@
 
 
 class EndpointNotices:
-    """Update EndpointRow.leaving from reports and notices, and notify peers."""
+    """Update EndpointRow.is_leaving from reports and notices, and notify peers."""
 
     __slots__ = ("_announced", "_membership", "_node", "_number", "_scheduled", "_seen")
 
@@ -85,7 +85,7 @@
     def _send_notice(self, address: str, leaving: bool) -> None:
         self._scheduled.discard(address)
         row = self._node.tables.endpoints.get(address)
-        if row is None or row.leaving is not leaving:
+        if row is None or row.is_leaving is not leaving:
             return
         if self._announced.get(address, False) is not leaving:
             self._record_announced(address, leaving)
@@ -104,14 +104,14 @@
         if self._announced.get(notice.address, False) is notice.leaving:
             return
         self._record_announced(notice.address, notice.leaving)
-        self._membership.broadcast(notice, but=host)
+        self._membership.broadcast(notice, exclude=host)
         self._apply(notice)
 
     def _apply(self, notice: EndpointNotice) -> None:
         row = self._node.tables.endpoints.get(notice.address)
         if row is None:
             return
-        age = self._node.timers.now - row.report_at
+        age = self._node.timers.now - row.last_report_at
         if row.report is None or age > REPORT_FRESH_TIME:
             self._mark(row, notice.leaving)
         elif row.report.leaving is not notice.leaving:
@@ -127,12 +127,12 @@
     # -- Helpers -------------------------------------------------------------
 
     def _mark(self, row: EndpointRow, leaving: bool) -> None:
-        if row.leaving is leaving:
+        if row.is_leaving is leaving:
             return
-        row.leaving = leaving
+        row.is_leaving = leaving
         state = "leaving" if leaving else "back"
         self._node.log("info", "endpoint_state", address=row.address, state=state)
-        self._node.decide("endpoint", row.address, f"is {state}")
+        self._node.record_decision("endpoint", row.address, f"is {state}")
         self._node.publish(EndpointStateChanged(row.address))
 
     def _make_notice(self, address: str, leaving: bool) -> EndpointNotice:
--- a/mallowpass/core/systems/granting.py
+++ b/mallowpass/core/systems/granting.py
@@ -28,9 +28,9 @@
         session = self.tables.sessions.get(request.stream)
         caller = session.caller if session is not None else ""
         pool.queue.push(request, caller, self.now)
-        self.pump(pool)
+        self.dispatch(pool)
 
-    def pump(self, pool: EndpointPool) -> None:
+    def dispatch(self, pool: EndpointPool) -> None:
         """Grant what can be granted and open what is needed."""
         # A grant may end at once in a release, which comes back here: without this
         # mark, a long queue would be a deep recursion.
@@ -64,7 +64,7 @@
         without = self._classes_to_pass(pool, bool(connection.loan))
         while (taken := pool.queue.pop(without)) is not None:
             request, since = taken
-            if request.expires > self.now:
+            if request.expires_at > self.now:
                 self._node.observe("queue_seconds", self.now - since)
                 return request
             self.refuse(request, ErrorCode.DEADLINE_PASSED, "expired in the queue")
@@ -89,7 +89,7 @@
         """Learn how long the connection's request kept it."""
         request = self.tables.requests.get(connection.request)
         if request is not None:
-            seconds = self.now - connection.last_used
+            seconds = self.now - connection.last_used_at
             pool.queue.record_cost(request.request_class, seconds)
 
     def refuse(
@@ -97,17 +97,17 @@
     ) -> None:
         """Give a request back to the request path."""
         self._node.count("turned_away", reason=code.name.lower())
-        self._node.decide("refusal", request.database, f"{code.code} {why}")
+        self._node.record_decision("refusal", request.database, f"{code.code} {why}")
         self._pooling.requests.on_refused(request, code.code, why, retry_after)
 
-    def give_back(
+    def refuse_all(
         self, pool: EndpointPool, code: ErrorCode, why: str, retry_after: float
     ) -> None:
         """Give back all that wait."""
         for request in pool.queue.take_all():
             self.refuse(request, code, why, retry_after)
 
-    def give_back_some(
+    def refuse_by_access(
         self, pool: EndpointPool, access: Access, code: ErrorCode, why: str
     ) -> None:
         """Give back the reads or the writes that wait; visits each."""
--- a/mallowpass/core/systems/groupfailover.py
+++ b/mallowpass/core/systems/groupfailover.py
@@ -6,14 +6,14 @@
 
 from mallowpass.core.calls import Report
 from mallowpass.core.node import Node
-from mallowpass.core.systems.followers import Followers
-from mallowpass.core.systems.handover import HandOver
+from mallowpass.core.systems.followerrepair import FollowerRepair
 from mallowpass.core.systems.isolation import Isolation
 from mallowpass.core.systems.liveness import Liveness
 from mallowpass.core.systems.promotion import Promotion, PromotionResult
 from mallowpass.core.systems.promotionturn import PromotionTurn
 from mallowpass.core.systems.suspicion import Confirmation, Finding, Verdict
-from mallowpass.core.systems.watching import silence_margin
+from mallowpass.core.systems.switchover import SwitchoverPlanner
+from mallowpass.core.systems.watchintervals import detection_margin
 from mallowpass.core.tables import DatabaseRow, EndpointRow, GroupState
 from mallowpass.core.timers import Timer
 
@@ -41,7 +41,7 @@
         "_created_at",
         "_deaf",
         "_doubted",
-        "_followers",
+        "_follower_repair",
         "_hand_over",
         "_heard",
         "_highest_term",
@@ -63,8 +63,8 @@
         self._node = node
         self._liveness = liveness
         self._announce = announce
-        self._followers = Followers(node, liveness, row, self._renew)
-        self._hand_over = HandOver(node, liveness, row, self._begin_hand_over)
+        self._follower_repair = FollowerRepair(node, liveness, row, self._renew)
+        self._hand_over = SwitchoverPlanner(node, liveness, row, self._begin_hand_over)
         self._isolation = Isolation(node, liveness, row)
         self._turn = PromotionTurn(node, liveness, row)
         self._created_at = node.timers.now
@@ -84,7 +84,7 @@
         if self._check_timer is not None:
             self._check_timer.cancel()
         self._hand_over.stop()
-        self._followers.stop()
+        self._follower_repair.stop()
         if self._confirmation is not None:
             self._confirmation.cancel()
         if self.promotion is not None:
@@ -93,7 +93,7 @@
     def forget_members(self, addresses: tuple[str, ...]) -> None:
         """Drop what is kept of members that were removed."""
         for address in addresses:
-            self._followers.forget(address)
+            self._follower_repair.forget(address)
         if self._suspect in addresses:
             self._suspect = ""
 
@@ -116,7 +116,7 @@
         if self.promotion is not None:
             self.promotion.reported()
         elif self.row.primary:
-            self._followers.review(endpoint, report)
+            self._follower_repair.review(endpoint, report)
             if self._isolation.is_deaf(report):
                 self.doubt()
         elif self._noted is Verdict.UNREACHABLE:
@@ -164,7 +164,7 @@
         """Ask again at once when a majority is back after a partition."""
         detection = self._node.tuning.detection
         heard = sum(
-            self._liveness.silence(address) < detection
+            self._liveness.time_since_reply(address) < detection
             for address in self.row.endpoints
         )
         if heard >= self.row.definition.majority and self._confirmation is None:
@@ -200,7 +200,7 @@
 
         The round would wait for its answer, and the one that counts would begin late.
         """
-        if overdue_in < silence_margin(self._node.tuning) / 2:
+        if overdue_in < detection_margin(self._node.tuning) / 2:
             self._check_in(overdue_in)
         else:
             self._confirm()
@@ -208,7 +208,7 @@
     def _overdue_in(self) -> float:
         """Return in how many seconds the primary counts as silent."""
         if self._suspect:
-            silence = self._liveness.silence(self._suspect)
+            silence = self._liveness.time_since_reply(self._suspect)
             is_known = bool(self.row.primary)
         else:
             since = max(self._created_at, self._liveness.awake_since)
@@ -242,15 +242,17 @@
         if self._noted is None and row.state is not GroupState.SUSPECTED:
             self._node.count("suspicions", database=row.key)
         if row.primary:
-            silence = self._liveness.silence(self._suspect)
+            silence = self._liveness.time_since_reply(self._suspect)
             why = f"{row.primary_row.name} is silent for {silence:.3f}s"
-            self._node.decide("suspicion", row.key, why)
+            self._node.record_decision("suspicion", row.key, why)
             self._node.log("warning", "primary_suspected", database=row.key, why=why)
             self._liveness.lose_primary(row, why)
         elif row.state is GroupState.UNKNOWN:
             row.state = GroupState.SUSPECTED
             row.suspected_at = self._now
-            self._node.decide("suspicion", row.key, "no member reports as primary")
+            self._node.record_decision(
+                "suspicion", row.key, "no member reports as primary"
+            )
 
     def _confirm(self) -> None:
         self._confirmation = Confirmation(
@@ -295,7 +297,7 @@
         else:
             # The round that counts needs one before it.
             is_first = not self._isolation.is_shown
-            early = silence_margin(self._node.tuning) if is_first else 0.0
+            early = detection_margin(self._node.tuning) if is_first else 0.0
             self._ask_again(finding.again_in - early)
 
     def _note(self, finding: Finding) -> None:
@@ -303,7 +305,7 @@
             return
         self._noted = finding.verdict
         text = f"{finding.verdict.value}: {finding.evidence}"
-        self._node.decide("suspicion", self.row.key, text)
+        self._node.record_decision("suspicion", self.row.key, text)
 
     def _ask_again(self, delay: float) -> None:
         """Ask when enough members may be silent; rarely once they hear for long.
@@ -372,7 +374,9 @@
         if row.state is GroupState.PROMOTING:
             row.state = GroupState.SUSPECTED
         callback, self._callback = self._callback, None
-        self._node.decide("promoted" if result.ok else "refusal", row.key, result.why)
+        self._node.record_decision(
+            "promoted" if result.ok else "refusal", row.key, result.why
+        )
         if result.ok:
             self._announce(row, result)
         self._check_in(
--- a/mallowpass/core/systems/hostlist.py
+++ b/mallowpass/core/systems/hostlist.py
@@ -20,7 +20,7 @@
     RegisterHost,
 )
 from mallowpass.core.systems.hosts import HostTable
-from mallowpass.core.systems.platform import PlatformClient
+from mallowpass.core.systems.platformclient import PlatformClient
 from mallowpass.core.tables import HostRow, HostState
 
 __all__ = ["HostList"]
@@ -122,7 +122,7 @@
                 self._check_unheard(row, ABSENT_SILENCE)
 
     def _check_unheard(self, row: HostRow, silence: float) -> None:
-        if self._node.timers.now - row.heard_at >= silence:
+        if self._node.timers.now - row.last_contact_at >= silence:
             self._check(row)
 
 
--- a/mallowpass/core/systems/keepalive.py
+++ b/mallowpass/core/systems/keepalive.py
@@ -47,7 +47,7 @@
         pool.check_timer = None
         due = self.now - self._check_interval() / 2
         for connection in list(pool.idle.values()):
-            if connection.last_used <= due:
+            if connection.last_used_at <= due:
                 del pool.idle[connection.number]
                 self._send_keep_alive(pool, connection)
         self.check_pinned(pool)
@@ -58,7 +58,7 @@
         """Send keep-alives for transactions that are between two statements."""
         for connection in list(pool.pinned.values()):
             usable_time = self._pooling.loans.usable_time(connection.loan)
-            last_call_at = connection.expires - usable_time
+            last_call_at = connection.expires_at - usable_time
             is_due = last_call_at + usable_time / CHECKS_PER_LIFETIME <= self.now
             if is_due and connection.number not in pool.internal_in_flight:
                 self._send_keep_alive(pool, connection)
@@ -66,7 +66,7 @@
     def maintain_borrowed(self, pool: EndpointPool) -> None:
         """Close expired idle borrowed connections; send keep-alives on pinned ones."""
         for connection in list(pool.idle_borrowed.values()):
-            if connection.expires <= self.now:
+            if connection.expires_at <= self.now:
                 self._pooling.closer.close(pool, connection)
         self.check_pinned(pool)
 
@@ -108,7 +108,7 @@
             # one of few slots, requests wait.
             pool.internal_in_flight.add(number)
         if pool.queue:
-            self._pooling.granting.pump(pool)
+            self._pooling.granting.dispatch(pool)
 
     def send_internal(
         self,
@@ -123,10 +123,10 @@
         # Recorded first, so that a connection that is closed below no longer counts as
         # running a request's statement.
         pool.internal_calls[number] = purpose
-        if connection.expires <= now:
+        if connection.expires_at <= now:
             self._pooling.closer.close_expired(pool, connection)
             return
-        connection.expires = self._pooling.expiry(pool, connection, now)
+        connection.expires_at = self._pooling.expiry(pool, connection, now)
         connection.sequence += 1
         if not connection.transaction:
             connection.state = _BUSY
@@ -140,7 +140,7 @@
     def on_internal_reply(
         self, pool: EndpointPool, connection: ConnectionRow, reply: EndpointReply
     ) -> None:
-        """Handle the reply to an internal call, or to a call that delays another one."""
+        """Handle the reply to an internal call, or to one that delays another call."""
         number = connection.number
         deferred = pool.deferred_calls.get(number)
         expected = connection.sequence if deferred is None else deferred[0]
@@ -157,7 +157,7 @@
                 return
         pool.internal_calls.pop(number, None)
         pool.in_flight.remove(number)
-        self._pooling.proving.forget(pool, number)
+        self._pooling.busy_checks.discard(pool, number)
         pool.internal_in_flight.remove(number)
         if deferred is not None:
             del pool.deferred_calls[number]
@@ -169,11 +169,11 @@
             self.reset(pool, connection)
         elif reply.code is not EndpointCode.OK:
             self._pooling.closer.close(pool, connection)
-            self._pooling.granting.pump(pool)
+            self._pooling.granting.dispatch(pool)
         else:
-            connection.last_used = self.now
+            connection.last_used_at = self.now
             self._pooling.make_idle(pool, connection)
-            self._pooling.granting.pump(pool)
+            self._pooling.granting.dispatch(pool)
 
     # -- Silent connections ----------------------------------------------------
 
@@ -183,14 +183,16 @@
         if connection is None:
             return
         node = self._node
-        silent_since = max(connection.last_used, connection.called_at)
-        node.decide("silent", pool.address, f"connection {number} gave no answer")
+        silent_since = max(connection.last_used_at, connection.last_call_at)
+        node.record_decision(
+            "silent", pool.address, f"connection {number} gave no answer"
+        )
         node.log("warning", "connection_silent", address=pool.address, number=number)
         if not connection.loan:
-            pool.silent_slots.append(connection.expires + LIFETIME_MARGIN)
+            pool.silent_slots.append(connection.expires_at + LIFETIME_MARGIN)
         self._pooling.closer.close_and_notify(pool, connection, "silent")
         self.check_older_idle(pool, silent_since)
-        self._pooling.granting.pump(pool)
+        self._pooling.granting.dispatch(pool)
 
     def on_check_timeout(self, pool: EndpointPool, number: int) -> None:
         """Close a connection if its endpoint replies on others; otherwise keep waiting.
@@ -202,10 +204,10 @@
         connection = self._connections.get(number)
         if connection is None:
             return
-        heard_at = pool.endpoint.heard_at
-        since = self.now - CHECK_TIMEOUT
-        is_stalled = float("-inf") < heard_at < since
-        if is_stalled and self.now < connection.expires:
+        last_reply_at = pool.endpoint.last_reply_at
+        sent_at = self.now - CHECK_TIMEOUT
+        is_stalled = float("-inf") < last_reply_at < sent_at
+        if is_stalled and self.now < connection.expires_at:
             pool.internal_in_flight.add(number)
         else:
             self.close_silent(pool, number)
@@ -219,6 +221,6 @@
         """
         for idle in (pool.idle, pool.idle_borrowed):
             for connection in list(idle.values()):
-                if connection.last_used <= since:
+                if connection.last_used_at <= since:
                     del idle[connection.number]
                     self._send_keep_alive(pool, connection)
--- a/mallowpass/core/systems/loans.py
+++ b/mallowpass/core/systems/loans.py
@@ -186,7 +186,7 @@
         host = self._choose_lender(state)
         state.next_at = self.now + CALL_INTERVAL * self._jitter()
         if host is not None:
-            number = self._node.number()
+            number = self._node.next_number()
             identity = self._node.identity
             loan = f"{identity.name}/{identity.incarnation}/{number}"
             wanted = min(CONNECTIONS_PER_CALL_MAX, len(pool.queue))
@@ -245,7 +245,7 @@
         self.timers.after(CALL_TIMEOUT, self._on_call_timeout, number)
         self.timers.after(self._loan_seconds, self._calls.pop, number, None)
         message = LoanCall(loan, address, connections, number)
-        if not self._membership.reach(host, message):
+        if not self._membership.send_or_dial(host, message):
             self._on_call_timeout(number)
 
     def _on_call_timeout(self, number: int) -> None:
@@ -286,7 +286,7 @@
     def _discard_answer(self, host: str, answer: LoanAnswer) -> None:
         # The call was dropped. Return the slots, so that the lender can use them early.
         if answer.connections and answer.loan not in self._lenders:
-            self._membership.reach(host, LoanReturn(answer.loan, answer.address))
+            self._membership.send_or_dial(host, LoanReturn(answer.loan, answer.address))
 
     def _start_loan(
         self, pool: EndpointPool, host: str, answer: LoanAnswer, ends_at: float
@@ -294,12 +294,12 @@
         loan = BorrowedLoan(answer.loan, answer.connections)
         self._set_times(loan, ends_at)
         if self.now >= loan.open_until or not pool.queue:
-            self._membership.reach(host, LoanReturn(answer.loan, answer.address))
+            self._membership.send_or_dial(host, LoanReturn(answer.loan, answer.address))
             return
         self._lenders[loan.loan] = host
         pool.borrowed[loan.loan] = loan
         self._node.count("loans", direction="borrowed")
-        self._node.decide(
+        self._node.record_decision(
             "loan", pool.address, f"{loan.connections} slots borrowed from {host}"
         )
         self.timers.after(MAINTENANCE_INTERVAL, self._maintain, pool, loan)
@@ -347,7 +347,7 @@
 
     def _renew(self, pool: EndpointPool, loan: BorrowedLoan) -> None:
         self._send_call(
-            self._node.number(),
+            self._node.next_number(),
             loan.loan,
             self._lenders[loan.loan],
             pool.address,
@@ -370,7 +370,7 @@
             if loan is not None:
                 for number in list(loan.numbers):
                     self._pooling.close_borrowed(pool, number, force=True)
-                self._membership.reach(host, LoanReturn(name, pool.address))
+                self._membership.send_or_dial(host, LoanReturn(name, pool.address))
 
     # -- Lending -------------------------------------------------------------
 
@@ -386,7 +386,7 @@
         answer = LoanAnswer(
             call.loan, call.address, connections, self._loan_seconds, call.call
         )
-        self._membership.reach(host, answer)
+        self._membership.send_or_dial(host, answer)
 
     def _lend(self, pool: EndpointPool, host: str, call: LoanCall) -> int:
         slots = min(call.connections, self._spare_count(pool, call.connections))
@@ -397,7 +397,9 @@
         pool.lent_count += slots
         self._reserve_until(lent, self.now + self._loan_seconds + LENDER_MARGIN)
         self._node.count("loans", direction="lent")
-        self._node.decide("loan", pool.address, f"{slots} slots lent to {host}")
+        self._node.record_decision(
+            "loan", pool.address, f"{slots} slots lent to {host}"
+        )
         return slots
 
     def _extend_lent(self, pool: EndpointPool, lent: _LentLoan) -> int:
--- a/mallowpass/core/systems/opening.py
+++ b/mallowpass/core/systems/opening.py
@@ -33,7 +33,7 @@
     def open_for_queue(self, pool: EndpointPool) -> None:
         """Open connections for queued requests, or request a loan of slots."""
         now = self.now
-        if pool.endpoint.leaving or now < pool.retry_at:
+        if pool.endpoint.is_leaving or now < pool.retry_at:
             return
         if pool.active_count >= pool.statement_limit:
             return
@@ -59,7 +59,7 @@
             return
         if pool.active_count >= pool.statement_limit:
             return
-        if pool.endpoint.leaving or self.now < pool.retry_at:
+        if pool.endpoint.is_leaving or self.now < pool.retry_at:
             return
         kept = min(pool.usable_share, pool.own_share - pool.lendable_share)
         if pool.own_count < kept and not pool.silent_slots:
@@ -76,13 +76,13 @@
             return
         pool.backoff_exponent = 0
         now = self.now
-        connection.expires = self._pooling.expiry(
+        connection.expires_at = self._pooling.expiry(
             pool, connection, connection.opened_at
         )
-        connection.opened_at = connection.last_used = now
+        connection.opened_at = connection.last_used_at = now
         self._node.count("connections_opened")
         self._pooling.make_idle(pool, connection)
-        self._pooling.granting.pump(pool)
+        self._pooling.granting.dispatch(pool)
 
     def on_refused(self, event: ConnectionRefused) -> None:
         """Remove a connection that could not be opened, and back off."""
@@ -106,7 +106,7 @@
     def openable_count(self, pool: EndpointPool) -> int:
         """Return how many more connections could be opened now."""
         now = self.now
-        if pool.endpoint.leaving or now < pool.retry_at:
+        if pool.endpoint.is_leaving or now < pool.retry_at:
             return 0
         own = pool.usable_share - pool.own_count - self._silent_slot_count(pool)
         borrowed = sum(
@@ -148,13 +148,13 @@
 
     def _open(self, pool: EndpointPool, loan: str) -> None:
         node = self._node
-        number = node.number()
+        number = node.next_number()
         now = self.now
         time_to_live, timeout = self._pooling.loans.connection_timing(loan)
         connection = ConnectionRow(
             number, pool.address, ConnectionState.OPENING, now, now, loan=loan
         )
-        connection.expires = now + self._pooling.lifetime
+        connection.expires_at = now + self._pooling.lifetime
         self._connections[number] = connection
         pool.connections[number] = connection
         if loan:
@@ -176,7 +176,7 @@
             delay = LIMIT_BACKOFF * (0.5 + self._node.random.random())
             self.timers.after(delay, self._raise_open_limit, pool)
         pool.open_limit = pool.own_count
-        self._node.decide(
+        self._node.record_decision(
             "share", pool.address, f"endpoint is full, {pool.open_limit} kept"
         )
 
@@ -188,7 +188,7 @@
             pool.open_limit = None
         else:
             self.timers.after(LIMIT_BACKOFF, self._raise_open_limit, pool)
-        self._pooling.granting.pump(pool)
+        self._pooling.granting.dispatch(pool)
 
     def _back_off(self, pool: EndpointPool, why: str) -> None:
         delay = min(BACKOFF_MAX, BACKOFF_MIN * 2**pool.backoff_exponent)
@@ -200,10 +200,10 @@
         # No connection is open and none can be opened: route the requests elsewhere.
         if not pool.connections:
             text = f"cannot connect to {pool.address}: {why}"
-            self._pooling.granting.give_back(
+            self._pooling.granting.refuse_all(
                 pool, ErrorCode.CONNECTION_LOST, text, delay
             )
 
     def _on_retry_due(self, pool: EndpointPool) -> None:
         pool.retry_timer = None
-        self._pooling.granting.pump(pool)
+        self._pooling.granting.dispatch(pool)
--- a/mallowpass/core/systems/outcomes.py
+++ b/mallowpass/core/systems/outcomes.py
@@ -64,7 +64,9 @@
         request.state = RequestState.RESOLVING
         request.detail = why
         subject = request.request.request_id
-        self._node.decide("resolve", subject, f"attempt {request.attempt}: {why}")
+        self._node.record_decision(
+            "resolve", subject, f"attempt {request.attempt}: {why}"
+        )
         self.look_up(request)
 
     def look_up(self, request: RequestRow) -> None:
@@ -73,7 +75,7 @@
             return
         database = self.tables.databases.get(request.database)
         if database is None:
-            self._requests.unknown(request, request.detail)
+            self._requests.answer_unknown(request, request.detail)
             return
         primary = database.primary_row
         if primary is None or database.term < request.sent_term:
@@ -98,7 +100,7 @@
             self._requests.waiting.retry(request, ErrorCode.FAILING_OVER, why)
         else:
             why = f"{request.detail}; the endpoint keeps no record"
-            self._requests.unknown(request, why)
+            self._requests.answer_unknown(request, why)
 
     def _on_looked_up(self, look_up: _LookUp, reply: ControlReply | None) -> None:
         if not look_up.live:
@@ -127,7 +129,7 @@
         request = look_up.request
         look_up.cancel()
         request.waiter = None
-        self._node.decide("resolve", request.request.request_id, "recorded")
+        self._node.record_decision("resolve", request.request.request_id, "recorded")
         request.sent_term = look_up.term
         self._requests.writes.await_majority(
             request, reply.outcome_position, reply.outcome_rows
@@ -141,7 +143,7 @@
         # another host. Normally the start is held long since.
         start = LogPosition(look_up.term, 1)
         callback = partial(self._on_start_held, look_up)
-        self._liveness.wait_held(database, start, callback)
+        self._liveness.wait_for_majority(database, start, callback)
 
     def _on_start_held(self, look_up: _LookUp, held: bool) -> None:
         if not look_up.live:
@@ -156,16 +158,16 @@
         look_up.cancel()
         request.waiter = None
         subject = request.request.request_id
-        self._node.decide("resolve", subject, "not recorded, and fenced")
+        self._node.record_decision("resolve", subject, "not recorded, and fenced")
         why = f"proven not run: {request.detail}"
         if isinstance(request.request, CommitRequest):
             code = ErrorCode.TRANSACTION_ROLLED_BACK
-            self._requests.not_run(request, code, why)
+            self._requests.answer_not_run(request, code, why)
             return
         request.attempt += 1
         database = self.tables.databases.get(request.database)
-        prepaid = request.prepaid
-        request.prepaid = False
+        prepaid = request.is_retry_prepaid
+        request.is_retry_prepaid = False
         if prepaid or database is None or database.term > request.sent_term:
             # Once for each promotion: no budget is needed to bound that.
             self._requests.route(request)
--- a/mallowpass/core/systems/poolchanges.py
+++ b/mallowpass/core/systems/poolchanges.py
@@ -70,12 +70,12 @@
         pool.in_flight = TimeoutTracker(
             self.timers,
             tuning.silence / 2,
-            partial(self._pooling.proving.overdue, pool),
+            partial(self._pooling.busy_checks.on_overdue, pool),
         )
         pool.overdue = TimeoutTracker(
             self.timers,
             tuning.silence / 2,
-            partial(self._pooling.proving.still_late, pool),
+            partial(self._pooling.busy_checks.on_still_overdue, pool),
         )
         pool.internal_in_flight = TimeoutTracker(
             self.timers,
@@ -152,7 +152,7 @@
                 pool.endpoint = endpoint
                 self._apply_definition(pool, database)
                 self._close_surplus(pool)
-                self._pooling.granting.pump(pool)
+                self._pooling.granting.dispatch(pool)
 
     def _on_database_removed(self, signal: DatabaseRemoved) -> None:
         database = self.tables.databases.get(signal.database)
@@ -164,19 +164,19 @@
         pool = self._pooling.by_address.get(address)
         if pool is None:
             return
-        pool.endpoint.leaving = True
+        pool.endpoint.is_leaving = True
         self._empty(pool, f"{address} was removed")
 
     def _on_endpoint_state(self, signal: EndpointStateChanged) -> None:
         pool = self._pooling.by_address.get(signal.address)
         if pool is None:
             return
-        if pool.endpoint.leaving:
+        if pool.endpoint.is_leaving:
             self._empty(pool, f"{signal.address} is leaving")
         elif pool.endpoint.ejected_until > self.now:
             self._refuse_reads(pool, f"{signal.address} was ejected")
         else:
-            self._pooling.granting.pump(pool)
+            self._pooling.granting.dispatch(pool)
 
     def _empty(self, pool: EndpointPool, why: str) -> None:
         """Refuse queued requests and close idle connections.
@@ -186,7 +186,7 @@
         for idle in (pool.idle, pool.idle_borrowed):
             for connection in list(idle.values()):
                 self._pooling.closer.close(pool, connection)
-        self._pooling.granting.give_back(pool, ErrorCode.ENDPOINT_REFUSED, why, 0.0)
+        self._pooling.granting.refuse_all(pool, ErrorCode.ENDPOINT_REFUSED, why, 0.0)
 
     def _close_surplus(self, pool: EndpointPool) -> None:
         surplus = pool.own_count - pool.usable_share
@@ -202,12 +202,12 @@
             pool = self._pooling.by_address.get(address)
             if pool is None or address == database.primary or not pool.queue:
                 continue
-            self._pooling.granting.give_back_some(
+            self._pooling.granting.refuse_by_access(
                 pool, Access.WRITE, ErrorCode.ENDPOINT_REFUSED, "primary changed"
             )
 
     def _refuse_reads(self, pool: EndpointPool, why: str) -> None:
-        self._pooling.granting.give_back_some(
+        self._pooling.granting.refuse_by_access(
             pool, Access.READ, ErrorCode.ENDPOINT_REFUSED, why
         )
 
--- a/mallowpass/core/systems/pooling.py
+++ b/mallowpass/core/systems/pooling.py
@@ -20,13 +20,13 @@
 from mallowpass.core.systems import loans as loans_module
 from mallowpass.core.systems import requests as requests_module
 from mallowpass.core.systems import transactions as transactions_module
+from mallowpass.core.systems.busychecks import FIRST_BUSY_SEQUENCE, BusyChecks
 from mallowpass.core.systems.closing import Closer
 from mallowpass.core.systems.connections import LIFETIME_MARGIN, EndpointPool
 from mallowpass.core.systems.granting import Granting
 from mallowpass.core.systems.keepalive import KeepAlive
 from mallowpass.core.systems.opening import Opener
 from mallowpass.core.systems.poolchanges import PoolChanges
-from mallowpass.core.systems.proving import FIRST_PROOF, Proving
 from mallowpass.core.tables import (
     ConnectionRow,
     ConnectionState,
@@ -61,7 +61,7 @@
         "lifetime",
         "loans",
         "opener",
-        "proving",
+        "busy_checks",
         "requests",
         "transactions",
     )
@@ -76,7 +76,7 @@
         self.opener = Opener(node, self)
         self.granting = Granting(node, self)
         self.keepalive = KeepAlive(node, self)
-        self.proving = Proving(node, self)
+        self.busy_checks = BusyChecks(node, self)
         self.changes = PoolChanges(node, self)
         self.closer = Closer(node, self)
 
@@ -118,7 +118,7 @@
             and not pool.queue.entries
             and pool.active_count < pool.statement_limit
             and request.request_class not in pool.patient_classes
-            and not endpoint.leaving
+            and not endpoint.is_leaving
         ):
             connection = self.take_idle(pool)
             if connection is not None:
@@ -180,10 +180,10 @@
         if reset:
             self.keepalive.reset(pool, connection)
             return
-        pool.record_hold_time(self._node.timers.now - connection.last_used)
+        pool.record_hold_time(self._node.timers.now - connection.last_used_at)
         self.make_idle(pool, connection)
         if pool.queue.entries:
-            self.granting.pump(pool)
+            self.granting.dispatch(pool)
 
     def pin(self, connection: ConnectionRow, transaction: str) -> None:
         """Reserve a granted connection for a transaction until its release."""
@@ -197,7 +197,7 @@
         pool.pinned[connection.number] = connection
         self.keepalive.schedule_check(pool)
         if pool.queue.entries:
-            self.granting.pump(pool)
+            self.granting.dispatch(pool)
 
     def cancel(self, request: RequestRow) -> None:
         """Remove a request from the queue, or release its connection."""
@@ -220,7 +220,7 @@
         pool = self.by_address[connection.address]
         self._node.count("connections_discarded", reason=why)
         self.closer.close(pool, connection)
-        self.granting.pump(pool)
+        self.granting.dispatch(pool)
 
     def is_responsive(self, connection: ConnectionRow, within: float) -> bool:
         """Tell whether a connection answers keep-alives while its call is in flight.
@@ -228,13 +228,13 @@
         Sends a keep-alive if there is no recent one. False once a keep-alive has been
         unanswered for `within` seconds.
         """
-        return self.proving.is_responsive(connection, within)
+        return self.busy_checks.is_responsive(connection, within)
 
     def check_older_idle(self, connection: ConnectionRow) -> None:
         """Check the idle connections that may be as silent as this connection."""
         pool = self.by_address[connection.address]
-        self.keepalive.check_older_idle(pool, connection.called_at)
-        self.granting.pump(pool)
+        self.keepalive.check_older_idle(pool, connection.last_call_at)
+        self.granting.dispatch(pool)
 
     def close_silent(self, connection: ConnectionRow) -> None:
         """Close a connection that seems silent, and check older idle connections."""
@@ -300,12 +300,12 @@
 
     def dispatch(self, pool: EndpointPool) -> None:
         """Grant free connections to queued requests, and open more if needed."""
-        self.granting.pump(pool)
+        self.granting.dispatch(pool)
 
     def maintain_borrowed(self, pool: EndpointPool) -> None:
         """Close expired idle borrowed connections, and keep the others alive."""
         self.keepalive.maintain_borrowed(pool)
-        self.proving.keep_borrowed(pool)
+        self.busy_checks.extend_borrowed(pool)
 
     # -- From idle to busy and back --------------------------------------------
 
@@ -320,7 +320,7 @@
                 connection = idle.popitem()[1]
                 # While this host was paused, the endpoint may have closed the
                 # connection and given its slot to another host.
-                if connection.expires <= now:
+                if connection.expires_at <= now:
                     self.closer.close_expired(pool, connection)
                     continue
                 if len(pool.idle) < pool.min_idle:
@@ -334,7 +334,7 @@
         """Grant a connection to a request."""
         connection.state = _BUSY
         connection.request = request.number
-        connection.last_used = self._node.timers.now
+        connection.last_used_at = self._node.timers.now
         request.connection = connection.number
         request.address = connection.address
         pool.active_count += 1
@@ -343,13 +343,13 @@
             pool.peak_in_use = in_use
         if not pool.idle:
             self.opener.open_spare(pool)
-        self.requests.on_connection(request, connection)
+        self.requests.on_connection_granted(request, connection)
 
     def make_idle(self, pool: EndpointPool, connection: ConnectionRow) -> None:
         """Keep a connection for the next request, or close it if it is surplus."""
         now = self._node.timers.now
         connection.state = _IDLE
-        if connection.expires <= now or self.is_surplus(pool, connection):
+        if connection.expires_at <= now or self.is_surplus(pool, connection):
             self.closer.close(pool, connection)
             return
         self.put_idle(pool, connection)
@@ -363,7 +363,7 @@
 
     def is_surplus(self, pool: EndpointPool, connection: ConnectionRow) -> bool:
         """Tell whether a connection must be closed once it is free."""
-        if pool.endpoint.leaving or (self.draining and not pool.queue):
+        if pool.endpoint.is_leaving or (self.draining and not pool.queue):
             return True
         if connection.loan:
             loan = pool.borrowed.get(connection.loan)
@@ -384,16 +384,16 @@
         node = self._node
         now = node.timers.now
         is_open = number in self._connections
-        if connection.expires <= now or not is_open:
+        if connection.expires_at <= now or not is_open:
             # Reported from a timer, since the caller of send() first has to record
             # the returned sequence.
             self.timers.at(now, self.closer.on_unsent, pool, connection, is_open)
             return
         if connection.loan:
-            connection.expires = self.expiry(pool, connection, now)
+            connection.expires_at = self.expiry(pool, connection, now)
         else:
-            connection.expires = now + self.lifetime
-        connection.called_at = now
+            connection.expires_at = now + self.lifetime
+        connection.last_call_at = now
         pool.in_flight.add(number)
         node.emit(SendEndpoint(number, sequence, call))
 
@@ -413,8 +413,8 @@
         reply = event.reply
         number = connection.number
         pool = self.by_address[connection.address]
-        if reply.sequence >= FIRST_PROOF:
-            self.proving.on_reply(pool, connection, reply)
+        if reply.sequence >= FIRST_BUSY_SEQUENCE:
+            self.busy_checks.on_reply(pool, connection, reply)
             return
         if number in pool.internal_calls or number in pool.deferred_calls:
             self.keepalive.on_internal_reply(pool, connection, reply)
@@ -438,13 +438,15 @@
         now = self._node.timers.now
         pool.in_flight.remove(connection.number)
         if pool.busy_keep_alives:
-            self.proving.forget(pool, connection.number)
+            self.busy_checks.discard(pool, connection.number)
         if reply.code is EndpointCode.BUSY:
-            pool.concurrency.overloaded(pool.active_count)
+            pool.concurrency.note_overload(pool.active_count)
         elif reply.code is EndpointCode.OK:
             # Refusals are fast: counted as statements, they would lower the baseline
             # latency, and the first real statements would look like contention.
-            pool.concurrency.record(now, now - connection.called_at, pool.active_count)
+            pool.concurrency.record(
+                now, now - connection.last_call_at, pool.active_count
+            )
 
     def _forward_reply(
         self, pool: EndpointPool, connection: ConnectionRow, reply: EndpointReply
--- a/mallowpass/core/systems/promotionturn.py
+++ b/mallowpass/core/systems/promotionturn.py
@@ -67,7 +67,7 @@
 
     @property
     def _index(self) -> int:
-        return min(self._liveness.steward_turn(self._row), TURN_MAX)
+        return min(self._liveness.steward_rank(self._row), TURN_MAX)
 
     @property
     def _delay(self) -> float:
--- a/mallowpass/core/systems/reads.py
+++ b/mallowpass/core/systems/reads.py
@@ -84,7 +84,7 @@
     def route(self, request: RequestRow) -> None:
         """Send a read to the best member, or have it wait for one."""
         database = self.tables.databases[request.database]
-        if self._floors.is_gone(request):
+        if self._floors.handle_lost_floor(request):
             return
         endpoint = self._routing.choose_read(request, database)
         if endpoint is None:
@@ -92,31 +92,31 @@
             if pause > 0:
                 self._wait(request, pause)
                 return
-            endpoint = self._routing.choose_other_read(request, database)
+            endpoint = self._routing.choose_fallback_read(request, database)
         if endpoint is not None:
             self._waiting_of(request).pop(request.number, None)
             self._overdue.restart(request.number)
             self._requests.acquire(request, endpoint.address)
-        elif request.avoided and not request.behind:
+        elif request.avoided_addresses and not request.behind_count:
             why = f"no member served it: {request.detail}"
             self._requests.waiting.retry(request, ErrorCode.ENDPOINT_REFUSED, why)
         else:
             self._waiting_of(request)[request.number] = request
-            request.avoided = None
+            request.avoided_addresses = None
             self._requests.waiting.hold(
                 request, "no member has its floor, and no primary"
             )
 
     def _wait(self, request: RequestRow, pause: float) -> None:
-        request.state = RequestState.WAITING_FLOOR
+        request.state = RequestState.AWAITING_FLOOR
         request.detail = "a replica is about to reach the floor"
         self._waiting_of(request)[request.number] = request
         self.timers.after(pause, self._on_waited, request)
 
     def _on_waited(self, request: RequestRow) -> None:
         waiting = self._waiting_of(request)
-        if request.state is RequestState.WAITING_FLOOR and request.number in waiting:
-            request.avoided = None
+        if request.state is RequestState.AWAITING_FLOOR and request.number in waiting:
+            request.avoided_addresses = None
             self.route(request)
 
     def _waiting_of(self, request: RequestRow) -> dict[int, RequestRow]:
@@ -125,26 +125,29 @@
     def reported(self, endpoint: EndpointRow) -> None:
         """Route waiting reads whose floor a member's report proves."""
         waiting = self._waiting.get(endpoint.database)
-        if not waiting or endpoint.leaving:
+        if not waiting or endpoint.is_leaving:
             return
         for request in list(waiting.values()):
-            if request.state not in (RequestState.WAITING_FLOOR, RequestState.HELD):
+            if request.state not in (
+                RequestState.AWAITING_FLOOR,
+                RequestState.AWAITING_PRIMARY,
+            ):
                 waiting.pop(request.number, None)
-            elif self._liveness.reached(endpoint, request.floor):
+            elif self._liveness.has_reached(endpoint, request.floor):
                 waiting.pop(request.number, None)
-                request.avoided = None
+                request.avoided_addresses = None
                 self.route(request)
 
     # -- Sending -------------------------------------------------------------
 
     def send(self, request: RequestRow, connection: ConnectionRow) -> None:
         """Send a read on the connection that it got."""
-        if self.now > request.arrived and not self._floors.renew(request):
+        if self.now > request.arrived_at and not self._floors.refresh(request):
             self._requests.release(request, connection)
             self._floors.learn(request)
             return
         request.state = RequestState.SENT
-        if request.sent_at > request.arrived:
+        if request.sent_at > request.arrived_at:
             self._overdue.restart(request.number)
         statement = request.request
         if isinstance(statement, BeginRequest):
@@ -166,10 +169,10 @@
         """Pass an answer on that proves the floor; find another one otherwise."""
         if reply.code is not EndpointCode.OK:
             self._on_refusal(request, connection, reply)
-        elif not self._floors.proves(request, reply.applied):
+        elif not self._floors.is_satisfied(request, reply.applied):
             self._on_stale(request, connection, reply)
         elif not reply.last:
-            self._requests.part(request, self._part(request, reply))
+            self._requests.send_part(request, self._part(request, reply))
         elif isinstance(request.request, BeginRequest):
             self._record(request, connection)
             self._transactions.on_opened(request, connection, reply)
@@ -187,11 +190,11 @@
         session = self.tables.sessions.get(request.stream)
         if session is not None:
             self._sessions.raise_floor(session, request.database, reply.applied)
-        for stream, _ in request.followers or ():
+        for stream, _ in request.duplicates or ():
             follower = self.tables.sessions.get(stream)
             if follower is not None:
                 self._sessions.raise_floor(follower, request.database, reply.applied)
-        self._retries.succeeded(service_of(request.database))
+        self._retries.record_success(service_of(request.database))
         database = self.tables.databases.get(request.database)
         replica = database is not None and request.address != database.primary
         self._node.emit(read_count(replica, request.database))
@@ -218,13 +221,13 @@
         why = f"{connection.address}: {code.name} {reply.message}".rstrip()
         if code in _FINAL_CODES:
             self._record(request, connection)
-            self._requests.not_run(request, code_of_refusal(reply), why)
+            self._requests.answer_not_run(request, code_of_refusal(reply), why)
             return
         if code is EndpointCode.BEHIND:
-            request.behind += 1
+            request.behind_count += 1
         elif code not in _NOT_THIS_MEMBER:
             self._requests.record(connection.address, 0.0, ok=False)
-        self.elsewhere(request, ErrorCode.ENDPOINT_REFUSED, why)
+        self.try_elsewhere(request, ErrorCode.ENDPOINT_REFUSED, why)
 
     def _on_stale(
         self, request: RequestRow, connection: ConnectionRow, reply: EndpointReply
@@ -239,9 +242,9 @@
             self._requests.release(request, connection, reset=began)
         else:
             self._requests.discard(request, "its stale answer goes on")
-        request.behind += 1
-        self._node.decide("stale", request.request.request_id, why)
-        self.elsewhere(request, ErrorCode.FLOOR_NOT_REACHED, why)
+        request.behind_count += 1
+        self._node.record_decision("stale", request.request.request_id, why)
+        self.try_elsewhere(request, ErrorCode.FLOOR_NOT_REACHED, why)
 
     def _on_late(self, number: int) -> None:
         """Read elsewhere when a member takes far longer than it usually does.
@@ -268,7 +271,7 @@
         self._pooling.cancel(request)
         why = f"{request.address}: no connection opened in {OVERDUE}s"
         self._requests.record(request.address, 0.0, ok=False)
-        self.elsewhere(request, ErrorCode.CONNECTION_LOST, why)
+        self.try_elsewhere(request, ErrorCode.CONNECTION_LOST, why)
 
     def _on_sent_long(self, request: RequestRow) -> None:
         # Looked at first: it asks the connection, which has answered by the next look.
@@ -276,16 +279,16 @@
         if stays or not self._is_overdue(request):
             self._overdue.add(request.number)
             return
-        if self._retries.may_retry(request) is None:
+        if self._retries.take_retry(request) is None:
             self._overdue.add(request.number)
             return
         self._requests.record(request.address, 0.0, ok=False)
-        self._requests.suspect(request)
-        request.moved = True
+        self._requests.abandon_silent(request)
+        request.was_moved = True
         why = f"{request.address}: no answer in {self.now - request.sent_at:.3f}s"
         self._node.emit(RETRIES_COUNT)
-        self._node.decide("retry", request.request.request_id, why)
-        self.elsewhere(request, ErrorCode.CONNECTION_LOST, why)
+        self._node.record_decision("retry", request.request.request_id, why)
+        self.try_elsewhere(request, ErrorCode.CONNECTION_LOST, why)
 
     def _is_overdue(self, request: RequestRow) -> bool:
         return self._routing.takes_long(request, OVERDUE, OVERDUE_FACTOR)
@@ -299,38 +302,40 @@
         connection = self.tables.connections.get(request.connection)
         if connection is None or not self._pooling.is_responsive(connection, LOOK):
             return False
-        return request.moved or self._pooling.is_patient(request)
+        return request.was_moved or self._pooling.is_patient(request)
 
     def turned_away(self, request: RequestRow, why: str, retry_after: float) -> None:
         """Read at another member than one with too long a line, or give up at once."""
         request.retry_after = min(request.retry_after, retry_after)
-        if request.avoided is None:
-            request.avoided = set()
-        request.avoided.add(request.address)
+        if request.avoided_addresses is None:
+            request.avoided_addresses = set()
+        request.avoided_addresses.add(request.address)
         endpoint = self._routing.choose_any_read(request)
         if endpoint is not None:
             self._requests.acquire(request, endpoint.address)
             return
         code = ErrorCode.QUEUE_FULL
-        self._requests.not_run(request, code, why, request.retry_after)
+        self._requests.answer_not_run(request, code, why, request.retry_after)
 
     def lost(self, request: RequestRow, why: str) -> None:
         """Read again elsewhere after a connection was lost."""
-        self.elsewhere(request, ErrorCode.CONNECTION_LOST, why)
+        self.try_elsewhere(request, ErrorCode.CONNECTION_LOST, why)
 
-    def elsewhere(self, request: RequestRow, code: ErrorCode, why: str) -> None:
+    def try_elsewhere(self, request: RequestRow, code: ErrorCode, why: str) -> None:
         """Try the next member; after all members, pause."""
         if request.parts_sent:
             # The caller has parts of one answer: those of another would not fit.
-            self._requests.unknown(request, f"the answer broke off: {why}")
+            self._requests.answer_unknown(request, f"the answer broke off: {why}")
             return
         request.detail = why
-        if request.avoided is None:
-            request.avoided = set()
-        request.avoided.add(request.address)
+        if request.avoided_addresses is None:
+            request.avoided_addresses = set()
+        request.avoided_addresses.add(request.address)
         request.state = RequestState.BACKOFF
         database = self.tables.databases.get(request.database)
-        if database is None or len(request.avoided) >= len(database.endpoints):
+        if database is None or len(request.avoided_addresses) >= len(
+            database.endpoints
+        ):
             self._requests.waiting.retry(request, code, why)
         else:
             self.route(request)
--- a/mallowpass/core/systems/routing.py
+++ b/mallowpass/core/systems/routing.py
@@ -28,12 +28,12 @@
 UNHEARD_COST = 0.05  # seconds, of a member whose control stream is broken
 WAIT_MIN = 0.003  # seconds between two looks at members that are behind
 # Ejection.
-ERRORS_MAX = 3  # in a row
+EJECTION_ERRORS = 3  # in a row
 EJECTION_MIN = 0.5  # seconds; doubles with each ejection in a row
 EJECTION_MAX = 30.0
 TRIAL = 1.0  # seconds after which a trial without a result counts no more
 SLOW_FACTOR = 8.0  # times the best other member's average
-SLOW_MIN = 0.1  # seconds; never ejected as slow below this
+SLOW_LATENCY_MIN = 0.1  # seconds; never ejected as slow below this
 
 
 @dataclass(slots=True)
@@ -92,14 +92,14 @@
         if database is None:
             return None
         best = self.choose_read(request, database)
-        return best or self.choose_other_read(request, database)
+        return best or self.choose_fallback_read(request, database)
 
     def replica_wait(self, request: RequestRow, database: DatabaseRow) -> float:
         """Return how long to wait for a replica, 0 when that doesn't pay; seconds.
 
         A member that said it is behind counts too: it is asked again after the wait.
         """
-        left = request.arrived + self._node.tuning.replica_wait - self.now
+        left = request.arrived_at + self._node.tuning.replica_wait - self.now
         if left <= 0:
             return 0.0
         shortest = float("inf")
@@ -107,12 +107,12 @@
             if not self._is_replica(endpoint, database):
                 continue
             if self._is_sound(endpoint) and not self._is_failed(endpoint, request):
-                reach = self._liveness.predicted_reach(endpoint, request.floor)
+                reach = self._liveness.predicted_replica_wait(endpoint, request.floor)
                 if reach is not None and reach < shortest:
                     shortest = reach
         return max(shortest, WAIT_MIN) if shortest < left else 0.0
 
-    def choose_other_read(
+    def choose_fallback_read(
         self, request: RequestRow, database: DatabaseRow
     ) -> EndpointRow | None:
         """Return the primary, or else an ejected replica that has the floor."""
@@ -123,7 +123,7 @@
             endpoint
             for endpoint in database.endpoints.values()
             if self._open_to(endpoint, request)
-            and self._liveness.reached(endpoint, request.floor)
+            and self._liveness.has_reached(endpoint, request.floor)
         ]
         replicas = [row for row in able if self._is_replica(row, database)]
         return next(iter(replicas or able), None)
@@ -133,7 +133,7 @@
     def choose_write(self, database: DatabaseRow) -> EndpointRow | None:
         """Return the primary, None while writes have to be held."""
         primary = database.primary_row
-        if primary is None or primary.leaving:
+        if primary is None or primary.is_leaving:
             return None
         if database.state is GroupState.PROMOTING:
             return None
@@ -148,22 +148,24 @@
         if ok:
             self._record_success(endpoint, health, latency)
         else:
-            endpoint.errors += 1
+            endpoint.consecutive_errors += 1
             if self._is_primary(endpoint):
                 return  # whether it still leads is for the members to say
-            if endpoint.errors >= ERRORS_MAX or health.ejections:
-                self._eject(endpoint, health, f"{endpoint.errors} errors in a row")
+            if endpoint.consecutive_errors >= EJECTION_ERRORS or health.ejections:
+                self._eject(
+                    endpoint, health, f"{endpoint.consecutive_errors} errors in a row"
+                )
 
     def _record_success(
         self, endpoint: EndpointRow, health: _Health, latency: float
     ) -> None:
-        endpoint.errors = 0
+        endpoint.consecutive_errors = 0
         if self.now - health.measured_at > MEASURED_FOR:
             endpoint.latency = latency
         else:
             endpoint.latency += LATENCY_WEIGHT * (latency - endpoint.latency)
         health.measured_at = self.now
-        if endpoint.latency > SLOW_MIN and self._is_slow(endpoint, health):
+        if endpoint.latency > SLOW_LATENCY_MIN and self._is_slow(endpoint, health):
             self._eject(endpoint, health, f"latency {endpoint.latency:.3f}s")
         else:
             health.ejections = 0
@@ -194,7 +196,7 @@
         health.ejections = min(health.ejections + 1, 10)
         endpoint.ejected_until = self.now + pause
         text = f"ejected for {pause:.3f}s: {why}"
-        self._node.decide("route", endpoint.address, text)
+        self._node.record_decision("route", endpoint.address, text)
         self._node.log(
             "warning",
             "endpoint_ejected",
@@ -224,18 +226,21 @@
         return database is not None and database.primary == endpoint.address
 
     def _open_to(self, endpoint: EndpointRow, request: RequestRow) -> bool:
-        if endpoint.leaving:
+        if endpoint.is_leaving:
             return False
-        return request.avoided is None or endpoint.address not in request.avoided
+        return (
+            request.avoided_addresses is None
+            or endpoint.address not in request.avoided_addresses
+        )
 
     def _is_failed(self, endpoint: EndpointRow, request: RequestRow) -> bool:
-        return not request.behind and not self._open_to(endpoint, request)
+        return not request.behind_count and not self._open_to(endpoint, request)
 
     def _usable(self, endpoint: EndpointRow, request: RequestRow) -> bool:
         return self._open_to(endpoint, request) and self._is_sound(endpoint)
 
     def _is_sound(self, endpoint: EndpointRow) -> bool:
-        if endpoint.leaving:
+        if endpoint.is_leaving:
             return False
         if endpoint.ejected_until > self.now:
             return False
@@ -244,9 +249,9 @@
         return not health.ejections or health.trial_until <= self.now
 
     def _has_floor(self, endpoint: EndpointRow, request: RequestRow) -> bool:
-        if self._liveness.reached(endpoint, request.floor):
+        if self._liveness.has_reached(endpoint, request.floor):
             return True
-        reach = self._liveness.predicted_reach(endpoint, request.floor)
+        reach = self._liveness.predicted_replica_wait(endpoint, request.floor)
         # It checks the floor when the call arrives, half a round trip from now.
         return reach is not None and reach <= self._latency(endpoint) / 2
 
@@ -255,7 +260,7 @@
         pool = self._pooling.find_pool(endpoint.address)
         if pool is None:
             return latency
-        if not endpoint.control_open:
+        if not endpoint.is_control_open:
             latency += UNHEARD_COST
         load = pool.active_count + len(pool.queue)
         # Without a share it takes a loan first, and loans may not come.
--- a/mallowpass/core/systems/sessions.py
+++ b/mallowpass/core/systems/sessions.py
@@ -105,9 +105,11 @@
         database = self.tables.databases.get(database_key)
         if database is None or not older.term < newer.term:
             return False
-        return self._liveness.floor_lost(database, older)
+        return self._liveness.is_floor_lost(database, older)
 
-    def seen(self, session: SessionRow, database_key: str) -> tuple[LogPosition, ...]:
+    def seen_positions(
+        self, session: SessionRow, database_key: str
+    ) -> tuple[LogPosition, ...]:
         """Return the places that the session's reads must contain, newest first."""
         keys = (database_key, lost_key(database_key))
         return tuple(session.floors[key] for key in keys if key in session.floors)
@@ -149,7 +151,7 @@
             return ErrorCode.INVALID_FIELD
         if not session.service and not isinstance(request, OpenRequest | CloseRequest):
             return ErrorCode.UNKNOWN_SESSION
-        if self._draining.closing and not isinstance(request, CloseRequest):
+        if self._draining.is_closing and not isinstance(request, CloseRequest):
             return ErrorCode.DRAINING
         if len(session.requests) >= REQUESTS_MAX:
             return ErrorCode.SESSION_LIMIT
@@ -161,7 +163,7 @@
         if not token or token == session.token:
             return
         floors = decode_token(self._node.identity.token_key, token)
-        session.token_seen = True
+        session.has_presented_token = True
         for database_key, position in floors.items():
             self.raise_floor(session, database_key, position)
 
@@ -213,7 +215,7 @@
         if session.service or not request.caller:
             # Without a caller's name, request ids of two callers could meet.
             return ErrorCode.INVALID_FIELD
-        if self._draining.draining:
+        if self._draining.is_draining:
             return ErrorCode.DRAINING
         if len(self.tables.sessions) > self._node.tuning.sessions:
             return ErrorCode.SESSION_LIMIT
@@ -225,7 +227,7 @@
     def _end(self, session: SessionRow) -> None:
         self._transactions.roll_back_session(session.stream)
         del self.tables.sessions[session.stream]
-        self._requests.leave(session)
+        self._requests.abandon_session(session)
 
     # -- Answers of its own --------------------------------------------------
 
--- a/mallowpass/core/systems/transactioncalls.py
+++ b/mallowpass/core/systems/transactioncalls.py
@@ -59,15 +59,15 @@
 
     def run_next(self, transaction: TransactionRow) -> None:
         """Send the next queued call, unless a call is in flight."""
-        while transaction.queue and not transaction.running:
+        while transaction.queue and not transaction.running_request:
             request = self.tables.requests.get(transaction.queue.popleft())
             if request is not None:
                 self._send(transaction, request)
 
     def _send(self, transaction: TransactionRow, request: RequestRow) -> None:
         connection = self.tables.connections[transaction.connection]
-        transaction.running = request.number
-        transaction.last_used = self.now
+        transaction.running_request = request.number
+        transaction.last_used_at = self.now
         request.state = RequestState.SENT
         request.connection = connection.number
         request.sent_at = self.now
@@ -78,7 +78,7 @@
             request.record_id = transaction.request_id
             request.attempt = transaction.attempt
             if request.access is Access.WRITE:
-                self._requests.writes.watch(request)
+                self._requests.writes.watch_commit(request)
         self._pooling.send(connection, call, request)
 
     @singledispatchmethod
@@ -115,15 +115,15 @@
         if reply.code is EndpointCode.OK and not reply.last:
             self._forward_part(request, reply)
             return
-        transaction.running = 0
-        transaction.last_used = self.now
+        transaction.running_request = 0
+        transaction.last_used_at = self.now
         request.connection = 0
         self._finish_call(request.request, request, transaction, reply)
 
     def _forward_part(self, request: RequestRow, reply: EndpointReply) -> None:
         name = request.request.request_id
         part = CallerAnswer(request_id=name, outcome=None, rows=reply.rows)
-        self._requests.part(request, part)
+        self._requests.send_part(request, part)
 
     @singledispatchmethod
     def _finish_call(
@@ -148,10 +148,10 @@
             self._raise_floor(request, reply)
             self.finish(request, reply.rows)
         elif reply.code in _NOT_ENDING:
-            self._requests.not_run(request, code_of_refusal(reply), why)
+            self._requests.answer_not_run(request, code_of_refusal(reply), why)
         else:
             request.transaction = ""
-            self._requests.not_run(request, _ROLLED_BACK, why)
+            self._requests.answer_not_run(request, _ROLLED_BACK, why)
             self._transactions.end(transaction, _ROLLED_BACK, why)
             self._transactions.release(transaction, reset=True)
             return
@@ -185,7 +185,7 @@
         if unclear and request.access is Access.WRITE:
             self._requests.outcomes.resolve(request, why)
         elif not ran:
-            self._requests.not_run(request, _ROLLED_BACK, why)
+            self._requests.answer_not_run(request, _ROLLED_BACK, why)
         elif request.access is Access.READ:
             self.finish(request, reply.rows)
         else:
--- a/mallowpass/core/systems/transactions.py
+++ b/mallowpass/core/systems/transactions.py
@@ -84,19 +84,19 @@
         writing = request.access is Access.WRITE
         if writing and writes.refuse_reused_begin(session, request, key):
             return
-        row = self._requests.take_in(session, request, key, request.access)
+        row = self._requests.register(session, request, key, request.access)
         if row is None:
             return
         if writing:
-            writes.begin(row, session)
+            writes.submit(row, session)
         else:
-            self._requests.floors.begin(row)
+            self._requests.floors.route_with_floor(row)
 
     def execute(self, session: SessionRow, request: ExecuteRequest) -> None:
         """Queue a statement in its transaction."""
         running = session.requests.get(request.request_id)
         if running is not None:
-            self._requests.writes.join(running, session, request)
+            self._requests.writes.attach_duplicate(running, session, request)
             return
         transaction = self._find(session, request, request.transaction)
         if transaction is None:
@@ -172,7 +172,7 @@
         access: Access,
     ) -> None:
         key = transaction.database
-        row = self._requests.take_in(session, request, key, access)
+        row = self._requests.register(session, request, key, access)
         if row is None:
             return
         row.transaction = transaction.name
@@ -191,7 +191,7 @@
         if session is None:
             self._pooling.release(connection, reset=True)
             code = ErrorCode.UNKNOWN_SESSION
-            self._requests.not_run(request, code, "the caller disconnected")
+            self._requests.answer_not_run(request, code, "the caller disconnected")
             return
         transaction = self._create(request, connection)
         session.transactions.add(transaction.name)
@@ -202,7 +202,7 @@
 
     def _create(self, request: RequestRow, connection: ConnectionRow) -> TransactionRow:
         identity = self._node.identity
-        name = f"{identity.name}.{identity.incarnation}.{self._node.number()}"
+        name = f"{identity.name}.{identity.incarnation}.{self._node.next_number()}"
         transaction = TransactionRow(
             name=name,
             stream=request.stream,
@@ -212,7 +212,7 @@
             connection=connection.number,
             term=request.sent_term,
             state=TransactionState.OPEN,
-            last_used=self.now,
+            last_used_at=self.now,
             request_id=request.record_id,
             attempt=request.attempt,
         )
@@ -225,13 +225,13 @@
         # An idle transaction holds a connection and locks. Writes of other callers wait
         # for the locks although no statement runs.
         idle = self._node.tuning.transaction_idle
-        due = transaction.last_used + idle
-        if transaction.running or due > self.now:
-            delay = idle if transaction.running else due - self.now
+        due = transaction.last_used_at + idle
+        if transaction.running_request or due > self.now:
+            delay = idle if transaction.running_request else due - self.now
             transaction.timer = self.timers.after(delay, self._on_idle, transaction)
             return
         self._node.log("warning", "transaction_idle", transaction=transaction.name)
-        self._node.decide("rollback", transaction.name, f"idle for {idle}s")
+        self._node.record_decision("rollback", transaction.name, f"idle for {idle}s")
         self.end(
             transaction, ErrorCode.TRANSACTION_IDLE, f"transaction idle for {idle}s"
         )
@@ -246,7 +246,7 @@
             transaction = self.tables.transactions[name]
             if transaction.state is TransactionState.ENDING:
                 continue  # its commit or rollback is in flight
-            self._node.decide("rollback", name, "the caller disconnected")
+            self._node.record_decision("rollback", name, "the caller disconnected")
             self.end(transaction, _ROLLED_BACK, "the caller disconnected")
             self.release(transaction, reset=True)
 
@@ -255,8 +255,8 @@
     ) -> None:
         """Remove a transaction, and answer its running and queued requests."""
         self._remove(transaction, code, why)
-        numbers = [transaction.running, *transaction.queue]
-        transaction.running = 0
+        numbers = [transaction.running_request, *transaction.queue]
+        transaction.running_request = 0
         transaction.queue.clear()
         for number in numbers:
             request = self.tables.requests.get(number)
@@ -275,9 +275,9 @@
             self._calls.finish(request, None)
             return
         if request.parts_sent:
-            self._requests.unknown(request, f"the result is incomplete: {why}")
+            self._requests.answer_unknown(request, f"the result is incomplete: {why}")
         else:
-            self._requests.not_run(request, code, why)
+            self._requests.answer_not_run(request, code, why)
 
     def _remove(
         self, transaction: TransactionRow, code: ErrorCode | None, why: str
@@ -312,7 +312,7 @@
     ) -> None:
         """Handle the reply to a call within a transaction."""
         transaction = self.tables.transactions.get(request.transaction)
-        if transaction is not None and transaction.running == request.number:
+        if transaction is not None and transaction.running_request == request.number:
             self._calls.on_reply(request, transaction, reply)
 
     # -- Failures ------------------------------------------------------------
@@ -333,21 +333,25 @@
         # The endpoint rolls back a transaction without a commit. Only the outcome of a
         # commit that was sent is unknown, and is looked up.
         code = None if transaction.state is TransactionState.ENDING else _ROLLED_BACK
-        self._node.decide("rollback", transaction.name, f"connection lost: {why}")
+        self._node.record_decision(
+            "rollback", transaction.name, f"connection lost: {why}"
+        )
         self.end(transaction, code, f"connection lost: {why}")
 
     def on_deadline(self, request: RequestRow) -> None:
         """Answer a call past its deadline; if it is in flight, end its transaction."""
         transaction = self.tables.transactions.get(request.transaction)
-        if transaction is None or transaction.running != request.number:
+        if transaction is None or transaction.running_request != request.number:
             why = "it waited for an earlier call of its transaction"
-            self._requests.not_run(request, ErrorCode.DEADLINE_PASSED, why)
+            self._requests.answer_not_run(request, ErrorCode.DEADLINE_PASSED, why)
             return
         why = "the deadline of a statement passed"
-        self._node.decide("rollback", transaction.name, why)
+        self._node.record_decision("rollback", transaction.name, why)
         if isinstance(request.request, CommitRequest):
-            transaction.running = 0
-            self._requests.unknown(request, "the deadline passed during the commit")
+            transaction.running_request = 0
+            self._requests.answer_unknown(
+                request, "the deadline passed during the commit"
+            )
             self.end(transaction, None, why)
         else:
             self.end(transaction, _ROLLED_BACK, why)
@@ -372,6 +376,6 @@
                 continue
             if transaction.access is Access.WRITE and transaction.term < database.term:
                 why = f"term {transaction.term} is over"
-                self._node.decide("rollback", transaction.name, why)
+                self._node.record_decision("rollback", transaction.name, why)
                 self.end(transaction, _ROLLED_BACK, why)
                 self._discard(transaction, why)
--- a/tests/core/systems/bench_pooling.py
+++ b/tests/core/systems/bench_pooling.py
@@ -20,7 +20,9 @@
 class _Requests(System):
     """Send a call when a connection is granted, and release it after the reply."""
 
-    def on_connection(self, request: RequestRow, connection: ConnectionRow) -> None:
+    def on_connection_granted(
+        self, request: RequestRow, connection: ConnectionRow
+    ) -> None:
         self.sequence = self.pooling.send(connection, poolpath.CALL)
         self.number = connection.number
 
--- a/tests/core/systems/test_membership.py
+++ b/tests/core/systems/test_membership.py
@@ -11,9 +11,9 @@
 from mallowpass.core.peering import EndpointNotice, Greeting
 from mallowpass.core.platformcalls import HostRegistered
 from mallowpass.core.signals import DrainBegan, EndpointReported
+from mallowpass.core.systems.hostlinks import LINKS_MAX
 from mallowpass.core.systems.hosts import FORGET_AFTER, FORGET_PERIOD
 from mallowpass.core.systems.membership import Membership
-from mallowpass.core.systems.peers import LINKS_MAX
 from mallowpass.core.tables import HostState
 from tests.fakes.controlpath import DOMAINS, Fleet, make_service
 
@@ -53,7 +53,7 @@
     node = fleet.hosts[host].node
     row = node.tables.endpoints[address]
     row.report = Report(member=row.name, term=1, role=Role.REPLICA, leaving=leaving)
-    row.report_at = fleet.now
+    row.last_report_at = fleet.now
     node.publish(EndpointReported(address))
     fleet._carry_out(fleet.hosts[host], node._take_effects())
 
@@ -66,7 +66,7 @@
     for host in fleet.alive:
         membership = host.node.system(Membership)
         assert len(membership.live_hosts()) == len(fleet.alive) - 1
-        assert wanted <= len(membership.linked) <= LINKS_MAX
+        assert wanted <= len(membership.linked_hosts) <= LINKS_MAX
     ranks = sorted(h.node.system(Membership).rank("key") for h in fleet.alive)
     assert ranks == list(range(len(fleet.alive)))
 
@@ -120,7 +120,7 @@
     fleet = started()
     seen = watch_states(fleet)
     for name in (h.name for h in fleet.alive if h.name != FIRST):
-        if name in fleet.hosts[FIRST].node.system(Membership).linked:
+        if name in fleet.hosts[FIRST].node.system(Membership).linked_hosts:
             fleet.cut(FIRST, name)
             break
     fleet.run(60)
@@ -222,17 +222,17 @@
     address = next(iter(fleet.hosts[FIRST].node.tables.endpoints))
     rows = [h.node.tables.endpoints[address] for h in fleet.alive]
     report(fleet, FIRST, address, leaving=True)
-    fleet.run_until(lambda: all(row.leaving for row in rows), 3)
+    fleet.run_until(lambda: all(row.is_leaving for row in rows), 3)
     late = fleet.start("casa-ainsebaa-0b", DOMAINS[0], 0)
     fleet.run_until(
         lambda: (
             address in late.node.tables.endpoints
-            and late.node.tables.endpoints[address].leaving
+            and late.node.tables.endpoints[address].is_leaving
         ),
         5,
     )
     report(fleet, FIRST, address, leaving=False)
-    fleet.run_until(lambda: not any(row.leaving for row in rows), 3)
+    fleet.run_until(lambda: not any(row.is_leaving for row in rows), 3)
 
 
 def test_contradicting_notices_come_to_rest():
--- a/tests/core/systems/test_positionawaits.py
+++ b/tests/core/systems/test_positionawaits.py
@@ -38,10 +38,10 @@
     scene.host.handle(EndpointReplied(9, reply))
 
 
-def wait_held(scene: Scene, position: LogPosition) -> list[bool]:
+def wait_for_majority(scene: Scene, position: LogPosition) -> list[bool]:
     results: list[bool] = []
     liveness = scene.host.system(Liveness)
-    scene.host.do(liveness.wait_held, scene.row(), position, results.append)
+    scene.host.do(liveness.wait_for_majority, scene.row(), position, results.append)
     return results
 
 
@@ -70,7 +70,7 @@
     calls = record_calls(scene, monkeypatch)
     position = write(scene)
     answer(scene, position)
-    results = wait_held(scene, position)
+    results = wait_for_majority(scene, position)
     assert [address for address, _ in calls] == ["b:1", "c:1"]
     scene.world.run_till(lambda: results, 0.005)
     assert results == [True]
@@ -90,7 +90,7 @@
     position = write(scene)
     scene.world.run(0.01)
     answer(scene, position, **fields)
-    results = wait_held(scene, position)
+    results = wait_for_majority(scene, position)
     scene.world.run(0.05)
     assert not results
 
@@ -107,7 +107,7 @@
         for _ in range(10):
             position = write(scene)
             answer(scene, position)
-            wait_held(scene, position)
+            wait_for_majority(scene, position)
             for _ in range(others):
                 write(scene)
                 scene.world.run(1.0 / others)
@@ -125,7 +125,7 @@
     for _ in range(20):
         position = write(scene)
         answer(scene, position)
-        results.append(wait_held(scene, position))
+        results.append(wait_for_majority(scene, position))
         scene.world.run(0.0005)
     scene.world.run_till(lambda: all(results), 0.05)
     assert len([position for address, position in calls if address == "b:1"]) <= 4
@@ -141,7 +141,7 @@
     for _ in range(100):
         position = write(scene)
         answer(scene, position)
-        wait_held(scene, position)
+        wait_for_majority(scene, position)
         scene.world.run(0.006)
     streams = scene.group._streams.values()
     waiting = [len(stream.awaited) for stream in streams if stream.member.name == "b"]
@@ -154,10 +154,10 @@
     scene.world.run(5.0)
     for _ in range(2):
         position = write(scene)
-        results = wait_held(scene, position)
+        results = wait_for_majority(scene, position)
         scene.world.run_till(lambda results=results: results, 0.02)
     view = scene.host.system(Liveness)._views[KEY]
-    assert not view.awaits_places
+    assert not view.awaits_positions
 
 
 def test_members_are_watched_where_asking_takes_longer():
@@ -171,8 +171,10 @@
     results = {}
     for name, host in scene.world.hosts.items():
         position = write(scene)
-        host.do(host.system(Liveness).wait_held, scene.row(name), position, bool)
-        results[name] = host.system(Liveness)._views[KEY].awaits_places
+        host.do(
+            host.system(Liveness).wait_for_majority, scene.row(name), position, bool
+        )
+        results[name] = host.system(Liveness)._views[KEY].awaits_positions
     assert results == {"h0": True, "h1": True, "h2": False}
 
 
@@ -183,8 +185,8 @@
     scene.world.run(5.0)
     host = scene.world.hosts["h1"]  # in b's domain
     position = write(scene)
-    host.do(host.system(Liveness).wait_held, scene.row("h1"), position, bool)
-    assert not host.system(Liveness)._views[KEY].awaits_places
+    host.do(host.system(Liveness).wait_for_majority, scene.row("h1"), position, bool)
+    assert not host.system(Liveness)._views[KEY].awaits_positions
 
 
 def test_members_are_asked_for_positions_that_were_watched_before(scene, monkeypatch):
@@ -201,7 +203,7 @@
             "is_as_fast_as_watching",
             property(lambda _: False),
         )
-        wait_held(scene, high)
+        wait_for_majority(scene, high)
     assert not calls
-    wait_held(scene, low)
+    wait_for_majority(scene, low)
     assert {position for _, position in calls} == {high}
--- a/tests/fakes/requestpath.py
+++ b/tests/fakes/requestpath.py
@@ -131,14 +131,14 @@
     def grant(self) -> None:
         while self.queue:
             request, address = self.queue.pop(0)
-            number = self._node.number()
+            number = self._node.next_number()
             connection = ConnectionRow(
                 number, address, ConnectionState.BUSY, self.now, self.now
             )
             connection.request = request.number
             self.tables.connections[number] = connection
             request.connection = number
-            self._node.system(Requests).on_connection(request, connection)
+            self._node.system(Requests).on_connection_granted(request, connection)
 
     def cancel(self, request: RequestRow) -> None:
         self.queue = [entry for entry in self.queue if entry[0] is not request]
@@ -207,7 +207,7 @@
     ) -> None:
         self.controls.append(Control(address, call, callback))
 
-    def learn_floor(
+    def look_up_floor(
         self, database: DatabaseRow, callback: Callable[[LogPosition | None], None]
     ) -> None:
         self.learning.append(callback)
@@ -215,7 +215,7 @@
     def age_floor(self, database: DatabaseRow, age: float) -> LogPosition | None:
         return self.aged
 
-    def wait_held(
+    def wait_for_majority(
         self,
         database: DatabaseRow,
         position: LogPosition,
@@ -230,21 +230,21 @@
         for waiter in list(self.waiters):
             if waiter.position.term < database.term:
                 waiter.resolve(False)
-            elif waiter.position <= database.held:
+            elif waiter.position <= database.majority_position:
                 waiter.resolve(True)
         self.waiters = [entry for entry in self.waiters if entry.callback is not None]
 
-    def reached(self, endpoint: EndpointRow, position: LogPosition) -> bool:
+    def has_reached(self, endpoint: EndpointRow, position: LogPosition) -> bool:
         return endpoint.report is not None and endpoint.report.applied >= position
 
-    def predicted_reach(
+    def predicted_replica_wait(
         self, endpoint: EndpointRow, position: LogPosition
     ) -> float | None:
-        if self.reached(endpoint, position):
+        if self.has_reached(endpoint, position):
             return 0.0
         return self.reach.get(endpoint.name)
 
-    def floor_lost(self, database: DatabaseRow, position: LogPosition) -> bool:
+    def is_floor_lost(self, database: DatabaseRow, position: LogPosition) -> bool:
         return self._is_dropped(database.term, position)
 
     def contains(
@@ -267,7 +267,7 @@
         super().__init__(node)
         self.suspected: list[str] = []
 
-    def suspicion(self, address: str, why: str) -> None:
+    def probe_primary(self, address: str, why: str) -> None:
         self.suspected.append(address)
 
 
@@ -276,8 +276,8 @@
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
-        self.draining = False
-        self.closing = False
+        self.is_draining = False
+        self.is_closing = False
 
 
 @dataclass
@@ -337,7 +337,7 @@
             tables.endpoints[member.address] = row
             self.database.endpoints[member.address] = row
         self.database.term = 1
-        self.database.held = LogPosition(1, 1)
+        self.database.majority_position = LogPosition(1, 1)
         self.database.primary = "127.0.0.1:1"
         self.database.state = GroupState.SERVING
         tables.databases[KEY] = self.database
@@ -458,13 +458,13 @@
             applied=place,
             **more,
         )
-        endpoint.report_at = self.now
+        endpoint.last_report_at = self.now
         self.node.publish(EndpointReported(endpoint.address))
         self._collect()
 
     def hold(self, term: int, position: int) -> None:
         """Have a majority hold the log up to a place."""
-        self.database.held = LogPosition(term, position)
+        self.database.majority_position = LogPosition(term, position)
         self.liveness.settle(self.database)
         self._collect()
 
@@ -478,7 +478,9 @@
         self.database.primary = self.endpoint(name).address
         self.database.term = term
         self.database.state = GroupState.SERVING
-        self.database.held = max(self.database.held, LogPosition(term, 0))
+        self.database.majority_position = max(
+            self.database.majority_position, LogPosition(term, 0)
+        )
         self.liveness.term_starts[term] = start
         self.report(name, (term, start), Role.PRIMARY)
         self.node.publish(PrimaryChanged(KEY))
