--- a/mallowpass/core/systems/closing.py
+++ b/mallowpass/core/systems/closing.py
@@ -55,7 +55,7 @@
         if connection.number in self._connections:
             self._node.emit(CloseConnection(connection.number))
         elif was_open:
-            return  # lost in the meantime: its user has been notified
+            return  # the connection was lost in the meantime, and its user notified
         self._notify_user(pool, connection, "expired, call not sent")
         self._pooling.granting.dispatch(pool)
 
--- a/mallowpass/core/systems/connections.py
+++ b/mallowpass/core/systems/connections.py
@@ -117,11 +117,13 @@
         self.loan = loan
         self.connections = connections
         # Times in seconds.
-        self.open_until = 0.0  # no connection is opened after this time
-        self.close_at = 0.0  # idle connections are closed, and no call is sent
-        self.ends_at = 0.0  # all connections are closed
+        self.open_until = 0.0  # after it, no connection is opened
+        self.close_at = (
+            0.0  # from then on, idle connections are closed and no call is sent
+        )
+        self.ends_at = 0.0  # from then on, all connections are closed
         self.renew_at = 0.0
-        self.numbers: set[int] = set()  # of the connections
+        self.numbers: set[int] = set()  # of open and opening connections
 
 
 @dataclass(slots=True)
--- a/mallowpass/core/systems/loans.py
+++ b/mallowpass/core/systems/loans.py
@@ -356,7 +356,7 @@
         )
 
     def return_unused(self, pool: EndpointPool) -> None:
-        """Return the loans without open connections."""
+        """Return the loans without connections."""
         for loan in list(pool.borrowed.values()):
             if not loan.numbers:
                 self._return(loan.loan)
--- a/mallowpass/core/systems/opening.py
+++ b/mallowpass/core/systems/opening.py
@@ -55,7 +55,7 @@
         scarce, the need of another host for the slot outweighs the time to connect that
         the next request would save.
         """
-        if pool.opening.entries or self._pooling.draining:
+        if pool.opening.entries or self._pooling.is_draining:
             return
         if pool.active_count >= pool.statement_limit:
             return
--- a/mallowpass/core/systems/poolchanges.py
+++ b/mallowpass/core/systems/poolchanges.py
@@ -216,7 +216,7 @@
 
         Requests in flight still get connections.
         """
-        self._pooling.draining = True
+        self._pooling.is_draining = True
         for pool in self._pooling.by_address.values():
             for idle in (pool.idle, pool.idle_borrowed):
                 for connection in list(idle.values()):
--- a/mallowpass/core/systems/pooling.py
+++ b/mallowpass/core/systems/pooling.py
@@ -52,16 +52,16 @@
         "_connections",
         "_request_rows",
         "admission",
+        "busy_checks",
         "by_address",
         "changes",
         "closer",
-        "draining",
         "granting",
+        "is_draining",
         "keepalive",
         "lifetime",
         "loans",
         "opener",
-        "busy_checks",
         "requests",
         "transactions",
     )
@@ -71,7 +71,7 @@
         self._connections = node.tables.connections
         self._request_rows = node.tables.requests
         self.by_address: dict[str, EndpointPool] = {}
-        self.draining = False
+        self.is_draining = False
         self.lifetime = node.tuning.connection_time_to_live - LIFETIME_MARGIN
         self.opener = Opener(node, self)
         self.granting = Granting(node, self)
@@ -363,7 +363,7 @@
 
     def is_surplus(self, pool: EndpointPool, connection: ConnectionRow) -> bool:
         """Tell whether a connection must be closed once it is free."""
-        if pool.endpoint.is_leaving or (self.draining and not pool.queue):
+        if pool.endpoint.is_leaving or (self.is_draining and not pool.queue):
             return True
         if connection.loan:
             loan = pool.borrowed.get(connection.loan)
--- a/mallowpass/core/systems/promotionturn.py
+++ b/mallowpass/core/systems/promotionturn.py
@@ -21,7 +21,7 @@
 class PromotionTurn:
     """Compute how long this host waits before it promotes a member of one group."""
 
-    __slots__ = ("_liveness", "_node", "_row", "_yielding_since", "_turn_at")
+    __slots__ = ("_liveness", "_node", "_row", "_turn_at", "_yielding_since")
 
     def __init__(self, node: Node, liveness: Liveness, row: DatabaseRow) -> None:
         self._node = node
@@ -33,7 +33,7 @@
         self._yielding_since: float | None = None
 
     def reset(self) -> None:
-        """Reset the turn, as the group has a primary."""
+        """Reset the turn once the group has a primary."""
         self._turn_at = self._yielding_since = None
 
     def seconds_left(self) -> float:
--- a/tests/core/systems/test_pooling.py
+++ b/tests/core/systems/test_pooling.py
@@ -95,16 +95,16 @@
     """
     host = PoolHost(limit=4)
     _warm(host, 1)
-    given_up = host.request()
-    (owed,) = host.calls(ExecuteCall)
-    host.pooling.cancel(given_up)
+    cancelled = host.request()
+    (unanswered,) = host.calls(ExecuteCall)
+    host.pooling.cancel(cancelled)
     waiting = host.request()
-    assert [number for number, _ in host.requests.granted][-1] == given_up.number
-    host.reply(owed)
+    assert [number for number, _ in host.requests.granted][-1] == cancelled.number
+    host.reply(unanswered)
     (reset,) = host.calls(ResetCall)
     host.reply(reset)
-    assert host.requests.granted[-1] == (waiting.number, owed.connection)
-    assert host.requests.replies[-1][0] != given_up.number
+    assert host.requests.granted[-1] == (waiting.number, unanswered.connection)
+    assert host.requests.replies[-1][0] != cancelled.number
 
 
 def test_connection_of_a_cancelled_statement_without_a_reply_is_closed():
