--- a/mallowpass/core/systems/admission.py
+++ b/mallowpass/core/systems/admission.py
@@ -51,7 +51,7 @@
         refusal = self._refuse_full(request)
         if refusal is not None:
             return refusal
-        wait = self.wait_at(pool, request.request_class)
+        wait = self.predicted_pool_wait(pool, request.request_class)
         return self._refuse_late(request, wait, pool.address)
 
     def predicted_wait(self, database_key: str, class_name: str) -> float:
@@ -60,12 +60,12 @@
         if database is None:
             return 0.0
         waits = (
-            0.0 if pool is None else self.wait_at(pool, class_name)
+            0.0 if pool is None else self.predicted_pool_wait(pool, class_name)
             for pool in map(self._pooling.known_pool, database.endpoints)
         )
         return min(waits, default=0.0)
 
-    def wait_at(self, pool: EndpointPool, class_name: str) -> float:
+    def predicted_pool_wait(self, pool: EndpointPool, class_name: str) -> float:
         """Return how long a new request of a class would wait, in seconds."""
         ahead = pool.queue.ahead(class_name)
         room = self._pooling.opener.room(pool)
--- a/mallowpass/core/systems/closing.py
+++ b/mallowpass/core/systems/closing.py
@@ -24,7 +24,7 @@
         pool = self._pooling.by_address[connection.address]
         self._node.count("connections_lost", reason="broken")
         self._tell_lost(pool, connection, event.message)
-        self._pooling.granting.pump(pool)
+        self._pooling.granting.dispatch(pool)
 
     def lose(self, pool: EndpointPool, connection: ConnectionRow, why: str) -> None:
         """Close a connection and tell who used it."""
@@ -52,7 +52,7 @@
         elif known:
             return  # lost in between, and told then
         self._tell_lost(pool, connection, "expired, call not sent")
-        self._pooling.granting.pump(pool)
+        self._pooling.granting.dispatch(pool)
 
     def expire(self, pool: EndpointPool, connection: ConnectionRow) -> None:
         """Close a connection that the endpoint has closed by now.
--- a/mallowpass/core/systems/concurrency.py
+++ b/mallowpass/core/systems/concurrency.py
@@ -4,7 +4,7 @@
 
 __all__ = ["ConcurrencyLimit"]
 
-LIMIT_START = 1 << 10  # above every share: unlimited until latency says otherwise
+INITIAL_LIMIT = 1 << 10  # above every share: unlimited until latency says otherwise
 LIMIT_MIN = 1
 WINDOW_SAMPLES = 50
 WINDOW_SECONDS = 1.0
@@ -24,7 +24,7 @@
     __slots__ = ("_baseline", "_count", "_least", "_most", "_since", "limit")
 
     def __init__(self) -> None:
-        self.limit = LIMIT_START
+        self.limit = INITIAL_LIMIT
         self._baseline = 0.0
         self._since = float("-inf")
         self._count = 0
@@ -47,7 +47,7 @@
             return
         self._finish_window(now)
 
-    def overloaded(self, active: int) -> None:
+    def note_overload(self, active: int) -> None:
         """Learn that the endpoint refused a statement as one too many."""
         self.limit = max(LIMIT_MIN, min(self.limit, active - 1))
 
@@ -60,7 +60,7 @@
         if least > TOLERANCE * self._baseline + SLACK:
             crowd = min(self.limit, self._most)
             self.limit = max(LIMIT_MIN, int(crowd * DECREASE))
-        elif self._most >= self.limit and self.limit < LIMIT_START:
+        elif self._most >= self.limit and self.limit < INITIAL_LIMIT:
             self.limit += 1
         self._since = now
         self._count = 0
--- a/mallowpass/core/systems/granting.py
+++ b/mallowpass/core/systems/granting.py
@@ -28,9 +28,9 @@
         session = self.tables.sessions.get(request.stream)
         caller = session.caller if session is not None else ""
         pool.queue.push(request, caller, self.now)
-        self.pump(pool)
+        self.dispatch(pool)
 
-    def pump(self, pool: EndpointPool) -> None:
+    def dispatch(self, pool: EndpointPool) -> None:
         """Grant what can be granted and open what is needed."""
         # A grant may end at once in a release, which comes back here: without this
         # mark, a long queue would be a deep recursion.
@@ -100,14 +100,14 @@
         self._node.decide("refusal", request.database, f"{code.code} {why}")
         self._pooling.requests.on_refused(request, code.code, why, retry_after)
 
-    def give_back(
+    def refuse_all(
         self, pool: EndpointPool, code: ErrorCode, why: str, retry_after: float
     ) -> None:
         """Give back all that wait."""
         for request in pool.queue.drain():
             self.refuse(request, code, why, retry_after)
 
-    def give_back_some(
+    def refuse_by_access(
         self, pool: EndpointPool, access: Access, code: ErrorCode, why: str
     ) -> None:
         """Give back the reads or the writes that wait; visits each."""
--- a/mallowpass/core/systems/keepalive.py
+++ b/mallowpass/core/systems/keepalive.py
@@ -105,7 +105,7 @@
             # Judged like an idle one: while it takes up a place of few, requests wait.
             pool.checking.add(number)
         if pool.queue:
-            self._pooling.granting.pump(pool)
+            self._pooling.granting.dispatch(pool)
 
     def send_internal(
         self,
@@ -165,11 +165,11 @@
             self.reset(pool, connection)
         elif reply.code is not EndpointCode.OK:
             self._pooling.closing.close(pool, connection)
-            self._pooling.granting.pump(pool)
+            self._pooling.granting.dispatch(pool)
         else:
             connection.last_used = self.now
             self._pooling.make_idle(pool, connection)
-            self._pooling.granting.pump(pool)
+            self._pooling.granting.dispatch(pool)
 
     # -- Silence ---------------------------------------------------------------
 
@@ -186,7 +186,7 @@
             pool.ghosts.append(connection.expires + LIFE_MARGIN)
         self._pooling.closing.lose(pool, connection, "silent")
         self.check_older(pool, silent_since)
-        self._pooling.granting.pump(pool)
+        self._pooling.granting.dispatch(pool)
 
     def check_unanswered(self, pool: EndpointPool, number: int) -> None:
         """Close a connection whose endpoint answers elsewhere, wait on otherwise.
--- a/mallowpass/core/systems/opening.py
+++ b/mallowpass/core/systems/opening.py
@@ -75,7 +75,7 @@
         connection.opened_at = connection.last_used = now
         self._node.count("connections_opened")
         self._pooling.make_idle(pool, connection)
-        self._pooling.granting.pump(pool)
+        self._pooling.granting.dispatch(pool)
 
     def on_refused(self, event: ConnectionRefused) -> None:
         """Forget a connection that could not be opened, and back off."""
@@ -177,7 +177,7 @@
             pool.open_limit = None
         else:
             self.timers.after(LIMIT_BACKOFF, self._raise_share, pool)
-        self._pooling.granting.pump(pool)
+        self._pooling.granting.dispatch(pool)
 
     def _back_off(self, pool: EndpointPool, why: str) -> None:
         delay = min(BACKOFF_MAX, BACKOFF_MIN * 2**pool.backoff)
@@ -189,10 +189,10 @@
         # Nothing is open and nothing can be: what waits here is better routed anew.
         if not pool.connections:
             text = f"cannot connect to {pool.address}: {why}"
-            self._pooling.granting.give_back(
+            self._pooling.granting.refuse_all(
                 pool, ErrorCode.CONNECTION_LOST, text, delay
             )
 
     def _retry(self, pool: EndpointPool) -> None:
         pool.retry_timer = None
-        self._pooling.granting.pump(pool)
+        self._pooling.granting.dispatch(pool)
--- a/mallowpass/core/systems/outcomes.py
+++ b/mallowpass/core/systems/outcomes.py
@@ -73,7 +73,7 @@
             return
         database = self.tables.databases.get(request.database)
         if database is None:
-            self._requests.unknown(request, request.detail)
+            self._requests.answer_unknown(request, request.detail)
             return
         primary = database.primary_row
         if primary is None or database.term < request.sent_term:
@@ -98,7 +98,7 @@
             self._requests.waiting.retry(request, ErrorCode.FAILING_OVER, why)
         else:
             why = f"{request.detail}; the endpoint keeps no record"
-            self._requests.unknown(request, why)
+            self._requests.answer_unknown(request, why)
 
     def _on_looked_up(self, look_up: _LookUp, reply: ControlReply | None) -> None:
         if not look_up.live:
@@ -160,7 +160,7 @@
         why = f"proven not run: {request.detail}"
         if isinstance(request.request, CommitRequest):
             code = ErrorCode.TRANSACTION_ROLLED_BACK
-            self._requests.not_run(request, code, why)
+            self._requests.answer_not_run(request, code, why)
             return
         request.attempt += 1
         database = self.tables.databases.get(request.database)
--- a/mallowpass/core/systems/poolchanges.py
+++ b/mallowpass/core/systems/poolchanges.py
@@ -148,7 +148,7 @@
                 pool.endpoint = endpoint
                 self._apply_definition(pool, database)
                 self._shed_surplus(pool)
-                self._pooling.granting.pump(pool)
+                self._pooling.granting.dispatch(pool)
 
     def _on_database_removed(self, signal: DatabaseRemoved) -> None:
         database = self.tables.databases.get(signal.database)
@@ -172,14 +172,14 @@
         elif pool.endpoint.ejected_until > self.now:
             self._give_back_reads(pool, f"{signal.address} was ejected")
         else:
-            self._pooling.granting.pump(pool)
+            self._pooling.granting.dispatch(pool)
 
     def _leave(self, pool: EndpointPool, why: str) -> None:
         """Give back what waits and close what is idle; busy ones close when done."""
         for idle in (pool.idle, pool.idle_borrowed):
             for connection in list(idle.values()):
                 self._pooling.closing.close(pool, connection)
-        self._pooling.granting.give_back(pool, ErrorCode.ENDPOINT_REFUSED, why, 0.0)
+        self._pooling.granting.refuse_all(pool, ErrorCode.ENDPOINT_REFUSED, why, 0.0)
 
     def _shed_surplus(self, pool: EndpointPool) -> None:
         surplus = pool.own_count - pool.usable
@@ -195,12 +195,12 @@
             pool = self._pooling.by_address.get(address)
             if pool is None or address == database.primary or not pool.queue:
                 continue
-            self._pooling.granting.give_back_some(
+            self._pooling.granting.refuse_by_access(
                 pool, Access.WRITE, ErrorCode.ENDPOINT_REFUSED, "primary changed"
             )
 
     def _give_back_reads(self, pool: EndpointPool, why: str) -> None:
-        self._pooling.granting.give_back_some(
+        self._pooling.granting.refuse_by_access(
             pool, Access.READ, ErrorCode.ENDPOINT_REFUSED, why
         )
 
--- a/mallowpass/core/systems/pooling.py
+++ b/mallowpass/core/systems/pooling.py
@@ -105,8 +105,8 @@
     def acquire(self, request: RequestRow, endpoint: EndpointRow) -> None:
         """Grant a connection now, or queue the request until one is free.
 
-        Requests.on_connection or Requests.on_refused follows, perhaps before this
-        returns.
+        Requests.on_connection_granted or Requests.on_refused follows, perhaps before
+        this returns.
         """
         pool = self.by_address.get(endpoint.member.address)
         if pool is None:
@@ -177,7 +177,7 @@
         pool.learn_hold(self._node.timers.now - connection.last_used)
         self.make_idle(pool, connection)
         if pool.queue.entries:
-            self.granting.pump(pool)
+            self.granting.dispatch(pool)
 
     def pin(self, connection: ConnectionRow, transaction: str) -> None:
         """Keep a granted connection for a transaction until it is released."""
@@ -191,7 +191,7 @@
         pool.pinned[connection.number] = connection
         self.keepalive.arm(pool)
         if pool.queue.entries:
-            self.granting.pump(pool)
+            self.granting.dispatch(pool)
 
     def cancel(self, request: RequestRow) -> None:
         """Give up a request's place in the queue, or its connection."""
@@ -214,7 +214,7 @@
         pool = self.by_address[connection.address]
         self._node.count("connections_discarded", reason=why)
         self.closing.close(pool, connection)
-        self.granting.pump(pool)
+        self.granting.dispatch(pool)
 
     def answers(self, connection: ConnectionRow, within: float) -> bool:
         """Tell whether a connection answers beside its call; ask it if need be.
@@ -227,7 +227,7 @@
         """Have idle connections prove themselves that may be as silent as this one."""
         pool = self.by_address[connection.address]
         self.keepalive.check_older(pool, connection.called_at)
-        self.granting.pump(pool)
+        self.granting.dispatch(pool)
 
     def close_silent(self, connection: ConnectionRow) -> None:
         """Close a connection that seems silent, and have others prove themselves."""
@@ -293,7 +293,7 @@
 
     def pump(self, pool: EndpointPool) -> None:
         """Grant what can be granted and open what is needed."""
-        self.granting.pump(pool)
+        self.granting.dispatch(pool)
 
     def tend_borrowed(self, pool: EndpointPool) -> None:
         """Close borrowed connections that stood idle; keep those in use alive."""
@@ -333,7 +333,7 @@
             pool.peak = in_use
         if not pool.idle:
             self.opener.open_spare(pool)
-        self.requests.on_connection(request, connection)
+        self.requests.on_connection_granted(request, connection)
 
     def make_idle(self, pool: EndpointPool, connection: ConnectionRow) -> None:
         """Keep a connection for the next request, unless it is one too many."""
@@ -429,7 +429,7 @@
         if pool.proofs:
             self.proving.forget(pool, connection.number)
         if reply.code is EndpointCode.BUSY:
-            pool.concurrency.overloaded(pool.active)
+            pool.concurrency.note_overload(pool.active)
         elif reply.code is EndpointCode.OK:
             # Refusals come quickly: taken for statements, they would make the first
             # real ones look like contention.
--- a/mallowpass/core/systems/proving.py
+++ b/mallowpass/core/systems/proving.py
@@ -68,7 +68,7 @@
         if self._proof(pool, number).answered:
             # Nobody waits for its statement, which only the closing may end.
             self._pooling.closing.lose(pool, connection, "given-up")
-            self._pooling.granting.pump(pool)
+            self._pooling.granting.dispatch(pool)
         else:
             self._pooling.keepalive.went_silent(pool, number)
 
--- a/mallowpass/core/systems/reads.py
+++ b/mallowpass/core/systems/reads.py
@@ -84,7 +84,7 @@
     def route(self, request: RequestRow) -> None:
         """Send a read to the best member, or have it wait for one."""
         database = self.tables.databases[request.database]
-        if self._floors.is_gone(request):
+        if self._floors.handle_lost_floor(request):
             return
         endpoint = self._routing.choose_read(request, database)
         if endpoint is None:
@@ -92,7 +92,7 @@
             if pause > 0:
                 self._wait(request, pause)
                 return
-            endpoint = self._routing.choose_other_read(request, database)
+            endpoint = self._routing.choose_fallback_read(request, database)
         if endpoint is not None:
             self._waiting_of(request).pop(request.number, None)
             self._overdue.renew(request.number)
@@ -139,7 +139,7 @@
 
     def send(self, request: RequestRow, connection: ConnectionRow) -> None:
         """Send a read on the connection that it got."""
-        if self.now > request.arrived and not self._floors.renew(request):
+        if self.now > request.arrived and not self._floors.refresh(request):
             self._requests.release(request, connection)
             self._floors.learn(request)
             return
@@ -166,10 +166,10 @@
         """Pass an answer on that proves the floor; find another one otherwise."""
         if reply.code is not EndpointCode.OK:
             self._on_refusal(request, connection, reply)
-        elif not self._floors.proves(request, reply.applied):
+        elif not self._floors.is_satisfied(request, reply.applied):
             self._on_stale(request, connection, reply)
         elif not reply.last:
-            self._requests.part(request, self._part(request, reply))
+            self._requests.send_part(request, self._part(request, reply))
         elif isinstance(request.request, BeginRequest):
             self._record(request, connection)
             self._transactions.opened(request, connection, reply)
@@ -191,7 +191,7 @@
             follower = self.tables.sessions.get(stream)
             if follower is not None:
                 self._sessions.raise_floor(follower, request.database, reply.applied)
-        self._retries.succeeded(service_of(request.database))
+        self._retries.record_success(service_of(request.database))
         database = self.tables.databases.get(request.database)
         replica = database is not None and request.address != database.primary
         self._node.emit(read_count(replica, request.database))
@@ -218,13 +218,13 @@
         why = f"{connection.address}: {code.name} {reply.message}".rstrip()
         if code in _FINAL_CODES:
             self._record(request, connection)
-            self._requests.not_run(request, code_of_refusal(reply), why)
+            self._requests.answer_not_run(request, code_of_refusal(reply), why)
             return
         if code is EndpointCode.BEHIND:
             request.behind += 1
         elif code not in _NOT_THIS_MEMBER:
             self._requests.record(connection.address, 0.0, ok=False)
-        self.elsewhere(request, ErrorCode.ENDPOINT_REFUSED, why)
+        self.try_elsewhere(request, ErrorCode.ENDPOINT_REFUSED, why)
 
     def _on_stale(
         self, request: RequestRow, connection: ConnectionRow, reply: EndpointReply
@@ -241,7 +241,7 @@
             self._requests.discard(request, "its stale answer goes on")
         request.behind += 1
         self._node.decide("stale", request.request.request_id, why)
-        self.elsewhere(request, ErrorCode.FLOOR_NOT_REACHED, why)
+        self.try_elsewhere(request, ErrorCode.FLOOR_NOT_REACHED, why)
 
     def _on_late(self, number: int) -> None:
         """Read elsewhere when a member takes far longer than it usually does.
@@ -268,7 +268,7 @@
         self._pooling.cancel(request)
         why = f"{request.address}: no connection opened in {OVERDUE}s"
         self._requests.record(request.address, 0.0, ok=False)
-        self.elsewhere(request, ErrorCode.CONNECTION_LOST, why)
+        self.try_elsewhere(request, ErrorCode.CONNECTION_LOST, why)
 
     def _on_sent_long(self, request: RequestRow) -> None:
         # Looked at first: it asks the connection, which has answered by the next look.
@@ -276,16 +276,16 @@
         if stays or not self._is_overdue(request):
             self._overdue.add(request.number)
             return
-        if self._retries.may_retry(request) is None:
+        if self._retries.take_retry(request) is None:
             self._overdue.add(request.number)
             return
         self._requests.record(request.address, 0.0, ok=False)
-        self._requests.suspect(request)
+        self._requests.abandon_silent(request)
         request.moved = True
         why = f"{request.address}: no answer in {self.now - request.sent_at:.3f}s"
         self._node.emit(RETRIES_COUNT)
         self._node.decide("retry", request.request.request_id, why)
-        self.elsewhere(request, ErrorCode.CONNECTION_LOST, why)
+        self.try_elsewhere(request, ErrorCode.CONNECTION_LOST, why)
 
     def _is_overdue(self, request: RequestRow) -> bool:
         return self._routing.takes_long(request, OVERDUE, OVERDUE_FACTOR)
@@ -312,17 +312,17 @@
             self._requests.acquire(request, endpoint.address)
             return
         code = ErrorCode.QUEUE_FULL
-        self._requests.not_run(request, code, why, request.retry_after)
+        self._requests.answer_not_run(request, code, why, request.retry_after)
 
     def lost(self, request: RequestRow, why: str) -> None:
         """Read again elsewhere after a connection was lost."""
-        self.elsewhere(request, ErrorCode.CONNECTION_LOST, why)
+        self.try_elsewhere(request, ErrorCode.CONNECTION_LOST, why)
 
-    def elsewhere(self, request: RequestRow, code: ErrorCode, why: str) -> None:
+    def try_elsewhere(self, request: RequestRow, code: ErrorCode, why: str) -> None:
         """Try the next member; after all members, pause."""
         if request.parts_sent:
             # The caller has parts of one answer: those of another would not fit.
-            self._requests.unknown(request, f"the answer broke off: {why}")
+            self._requests.answer_unknown(request, f"the answer broke off: {why}")
             return
         request.detail = why
         if request.avoided is None:
--- a/mallowpass/core/systems/requests.py
+++ b/mallowpass/core/systems/requests.py
@@ -126,21 +126,21 @@
         """Take in a statement that stands alone."""
         running = session.requests.get(request.request_id)
         if running is not None:
-            self.writes.join(running, session, request)
+            self.writes.attach_duplicate(running, session, request)
             return
         key = database_key(session.service, request.database)
         if request.access is Access.WRITE:
             if self.writes.join_running(session, request, key):
                 return
-            row = self.take_in(session, request, key, Access.WRITE)
+            row = self.register(session, request, key, Access.WRITE)
             if row is not None:
-                self.writes.begin(row, session)
+                self.writes.submit(row, session)
             return
-        row = self.take_in(session, request, key, Access.READ)
+        row = self.register(session, request, key, Access.READ)
         if row is not None:
-            self.floors.begin(row)
+            self.floors.route_with_floor(row)
 
-    def take_in(
+    def register(
         self, session: SessionRow, request: CallerRequest, key: str, access: Access
     ) -> RequestRow | None:
         """Make a request's row; None when it was refused on arrival."""
@@ -178,7 +178,9 @@
 
     # -- From pooling --------------------------------------------------------
 
-    def on_connection(self, request: RequestRow, connection: ConnectionRow) -> None:
+    def on_connection_granted(
+        self, request: RequestRow, connection: ConnectionRow
+    ) -> None:
         """Use a connection for a request that was queued for it."""
         if request.state is not RequestState.QUEUED:
             self._pooling.release(connection)
@@ -238,12 +240,12 @@
         if error is ErrorCode.QUEUE_FULL and request.access is Access.READ:
             self.reads.turned_away(request, why, retry_after)
         elif error not in _REROUTED:
-            self.not_run(request, error, why, retry_after)
+            self.answer_not_run(request, error, why, retry_after)
         elif request.access is Access.WRITE:
             self.writes.refused(request, error, why)
         else:
             self.record(request.address, 0.0, ok=False)
-            self.reads.elsewhere(request, error, why)
+            self.reads.try_elsewhere(request, error, why)
 
     # -- Connections ---------------------------------------------------------
 
@@ -268,7 +270,7 @@
         if connection is not None:
             self._pooling.release(connection)
 
-    def suspect(self, request: RequestRow) -> None:
+    def abandon_silent(self, request: RequestRow) -> None:
         """Leave a connection that seems silent to pooling, and have others checked."""
         connection = self.tables.connections.get(request.connection)
         if connection is not None:
@@ -291,7 +293,9 @@
     def route(self, request: RequestRow) -> None:
         """Send a request on its way, whatever it waited for."""
         if request.database not in self.tables.databases:
-            self.not_run(request, ErrorCode.UNKNOWN_DATABASE, "removed meanwhile")
+            self.answer_not_run(
+                request, ErrorCode.UNKNOWN_DATABASE, "removed meanwhile"
+            )
         elif request.access is Access.WRITE:
             self.writes.route(request)
         else:
@@ -317,14 +321,14 @@
         for request in self._snapshot(signal.database):
             if request.state in _WAITING:
                 self._cancel(request)
-                self.not_run(request, ErrorCode.UNKNOWN_DATABASE, "removed")
+                self.answer_not_run(request, ErrorCode.UNKNOWN_DATABASE, "removed")
 
     def _snapshot(self, database: str) -> Iterable[RequestRow]:
         return list(self._active.get(database, {}).values())
 
     # -- The end -------------------------------------------------------------
 
-    def leave(self, session: SessionRow) -> None:
+    def abandon_session(self, session: SessionRow) -> None:
         """Drop what an ended session has waiting; what was sent runs on."""
         for number in list(session.requests.values()):
             request = self.tables.requests.get(number)
@@ -332,12 +336,16 @@
                 continue
             if request.state in _WAITING or request.access is Access.READ:
                 self._cancel(request)
-                self.not_run(request, ErrorCode.UNKNOWN_SESSION, "the caller left")
+                self.answer_not_run(
+                    request, ErrorCode.UNKNOWN_SESSION, "the caller left"
+                )
 
-    def done(self, request: RequestRow, rows: Any, position: LogPosition) -> None:
+    def answer_done(
+        self, request: RequestRow, rows: Any, position: LogPosition
+    ) -> None:
         """Answer a write or commit that ran and stays."""
         self._raise_floors(request, position)
-        self._retries.succeeded(service_of(request.database))
+        self._retries.record_success(service_of(request.database))
         answer = CallerAnswer(
             request_id=request.request.request_id,
             outcome=Outcome.DONE,
@@ -347,14 +355,14 @@
         )
         self.finish(request, answer)
 
-    def not_run(
+    def answer_not_run(
         self, request: RequestRow, code: ErrorCode, why: str, retry_after: float = 0.0
     ) -> None:
         """Answer a request that did not run and will not."""
         self._node.count("refused", code=code.code)
         self._fail(request, Outcome.NOT_RUN, code, why, retry_after)
 
-    def unknown(self, request: RequestRow, why: str) -> None:
+    def answer_unknown(self, request: RequestRow, why: str) -> None:
         """Answer a request of which nobody knows whether it ran."""
         self._fail(request, Outcome.UNKNOWN, ErrorCode.OUTCOME_UNKNOWN, why)
 
@@ -384,7 +392,7 @@
         self._close(request)
         self.answers.final(request, answer)
 
-    def part(self, request: RequestRow, answer: CallerAnswer) -> None:
+    def send_part(self, request: RequestRow, answer: CallerAnswer) -> None:
         """Send a part of an answer that goes on."""
         request.parts_sent += 1
         self.answers.send(request.stream, request.request.request_id, answer)
@@ -428,19 +436,19 @@
             self._transactions.on_deadline(request)
         elif state is RequestState.HELD:
             code = ErrorCode.FAILING_OVER
-            self.not_run(request, code, request.detail, RETRY_AFTER)
+            self.answer_not_run(request, code, request.detail, RETRY_AFTER)
         elif state is RequestState.WAITING_FLOOR:
             code = ErrorCode.FLOOR_NOT_REACHED
-            self.not_run(request, code, request.detail, RETRY_AFTER)
+            self.answer_not_run(request, code, request.detail, RETRY_AFTER)
         elif state in _WAITING:
             self._cancel(request)
             code = ErrorCode.DEADLINE_PASSED
-            self.not_run(request, code, request.detail, RETRY_AFTER)
+            self.answer_not_run(request, code, request.detail, RETRY_AFTER)
         elif isinstance(request.request, BeginRequest):
             why = f"the deadline passed while {state.value}"
-            self.not_run(request, ErrorCode.DEADLINE_PASSED, why)
+            self.answer_not_run(request, ErrorCode.DEADLINE_PASSED, why)
         else:
-            self.unknown(request, f"the deadline passed while {state.value}")
+            self.answer_unknown(request, f"the deadline passed while {state.value}")
 
     def _cancel(self, request: RequestRow) -> None:
         if request.state is RequestState.QUEUED:
--- a/mallowpass/core/systems/retries.py
+++ b/mallowpass/core/systems/retries.py
@@ -40,14 +40,14 @@
         """Return when a caller refused for lack of budget should come back."""
         return max(RETRY_AFTER_MIN, self._node.tuning.retry_backoff_max)
 
-    def succeeded(self, service: str) -> None:
+    def record_success(self, service: str) -> None:
         """Credit a service with a success."""
         budget = self._budget(service)
         share = self._node.tuning.retry_share
         if budget.left < BUDGET_MAX:
             budget.left = min(BUDGET_MAX, budget.left + share)
 
-    def may_retry(self, request: RequestRow) -> float | None:
+    def take_retry(self, request: RequestRow) -> float | None:
         """Return the delay before the next try in seconds, None when refused.
 
         A delay that ends past the deadline is refused too: the caller is told at
--- a/mallowpass/core/systems/routing.py
+++ b/mallowpass/core/systems/routing.py
@@ -28,12 +28,12 @@
 UNHEARD_COST = 0.05  # seconds, of a member whose control stream is broken
 WAIT_MIN = 0.003  # seconds between two looks at members that are behind
 # Ejection.
-ERRORS_MAX = 3  # in a row
+EJECTION_ERRORS = 3  # in a row
 EJECTION_MIN = 0.5  # seconds; doubles with each ejection in a row
 EJECTION_MAX = 30.0
 TRIAL = 1.0  # seconds after which a trial without a result counts no more
 SLOW_FACTOR = 8.0  # times the best other member's average
-SLOW_MIN = 0.1  # seconds; never ejected as slow below this
+SLOW_LATENCY_MIN = 0.1  # seconds; never ejected as slow below this
 
 
 @dataclass(slots=True)
@@ -92,7 +92,7 @@
         if database is None:
             return None
         best = self.choose_read(request, database)
-        return best or self.choose_other_read(request, database)
+        return best or self.choose_fallback_read(request, database)
 
     def replica_wait(self, request: RequestRow, database: DatabaseRow) -> float:
         """Return how long to wait for a replica, 0 when that doesn't pay; seconds.
@@ -112,7 +112,7 @@
                     shortest = reach
         return max(shortest, WAIT_MIN) if shortest < left else 0.0
 
-    def choose_other_read(
+    def choose_fallback_read(
         self, request: RequestRow, database: DatabaseRow
     ) -> EndpointRow | None:
         """Return the primary, or else an ejected replica that has the floor."""
@@ -151,7 +151,7 @@
             endpoint.errors += 1
             if self._is_primary(endpoint):
                 return  # whether it still leads is for the members to say
-            if endpoint.errors >= ERRORS_MAX or health.ejections:
+            if endpoint.errors >= EJECTION_ERRORS or health.ejections:
                 self._eject(endpoint, health, f"{endpoint.errors} errors in a row")
 
     def _record_success(
@@ -163,7 +163,7 @@
         else:
             endpoint.latency += LATENCY_WEIGHT * (latency - endpoint.latency)
         health.measured_at = self.now
-        if endpoint.latency > SLOW_MIN and self._is_slow(endpoint, health):
+        if endpoint.latency > SLOW_LATENCY_MIN and self._is_slow(endpoint, health):
             self._eject(endpoint, health, f"latency {endpoint.latency:.3f}s")
         else:
             health.ejections = 0
--- a/mallowpass/core/systems/sessionfloors.py
+++ b/mallowpass/core/systems/sessionfloors.py
@@ -33,7 +33,7 @@
 
     # -- Setting -------------------------------------------------------------
 
-    def begin(self, request: RequestRow) -> None:
+    def route_with_floor(self, request: RequestRow) -> None:
         """Set a floor, learn it where it is unknown, and route the request."""
         self._set(request)
         if request.fresh_floor:
@@ -44,7 +44,7 @@
     def _set(self, request: RequestRow) -> None:
         session = self.tables.sessions.get(request.stream)
         if session is not None:
-            request.seen = self._sessions.seen(session, request.database)
+            request.seen = self._sessions.seen_positions(session, request.database)
         # A session that has no floor here may still have written, through another
         # host and under a token that it lost: it would not see its own record.
         request.fresh_floor = not request.seen
@@ -88,7 +88,7 @@
         if position is None:
             why = "no majority of members told its positions"
             after = self._retries.retry_after
-            self._requests.not_run(request, ErrorCode.MINORITY_SIDE, why, after)
+            self._requests.answer_not_run(request, ErrorCode.MINORITY_SIDE, why, after)
             return
         request.floor = max(request.floor, position)
         age = self._accepted_age(request)
@@ -96,7 +96,7 @@
             request.learnt = LEARNT_MAX  # another one would be too old again
         self._requests.route(request)
 
-    def is_gone(self, request: RequestRow) -> bool:
+    def handle_lost_floor(self, request: RequestRow) -> bool:
         """Tell whether a promotion dropped the floor; if so, deal with the request."""
         database = self.tables.databases[request.database]
         # Each by itself: the age's or a learnt floor may be of the newest term, and
@@ -104,7 +104,7 @@
         for seen in request.seen:
             if self._is_dropped(database, seen):
                 why = f"seen up to {seen.term}:{seen.position}"
-                self._requests.not_run(request, ErrorCode.FLOOR_LOST, why)
+                self._requests.answer_not_run(request, ErrorCode.FLOOR_LOST, why)
                 return True
         if not self._is_dropped(database, request.floor):
             return False
@@ -120,7 +120,7 @@
             return False
         return self._liveness.floor_lost(database, place)
 
-    def renew(self, request: RequestRow) -> bool:
+    def refresh(self, request: RequestRow) -> bool:
         """Tell whether the floor still meets the age after the wait so far."""
         age = self._accepted_age(request)
         if age is None:
@@ -140,7 +140,7 @@
 
     # -- Checking ------------------------------------------------------------
 
-    def proves(self, request: RequestRow, applied: LogPosition) -> bool:
+    def is_satisfied(self, request: RequestRow, applied: LogPosition) -> bool:
         """Tell whether what an answer was made from contains the floor."""
         # The last check before an answer leaves. Whatever chose the member was a
         # guess: without this a lagging replica's answer would hide the session's
--- a/mallowpass/core/systems/sessions.py
+++ b/mallowpass/core/systems/sessions.py
@@ -107,7 +107,9 @@
             return False
         return self._liveness.floor_lost(database, older)
 
-    def seen(self, session: SessionRow, database_key: str) -> tuple[LogPosition, ...]:
+    def seen_positions(
+        self, session: SessionRow, database_key: str
+    ) -> tuple[LogPosition, ...]:
         """Return the places that the session's reads must contain, newest first."""
         keys = (database_key, lost_key(database_key))
         return tuple(session.floors[key] for key in keys if key in session.floors)
@@ -225,7 +227,7 @@
     def _end(self, session: SessionRow) -> None:
         self._transactions.roll_back_all(session.stream)
         del self.tables.sessions[session.stream]
-        self._requests.leave(session)
+        self._requests.abandon_session(session)
 
     # -- Answers of its own --------------------------------------------------
 
--- a/mallowpass/core/systems/transactioncalls.py
+++ b/mallowpass/core/systems/transactioncalls.py
@@ -75,7 +75,7 @@
             request.record_id = transaction.request_id
             request.attempt = transaction.attempt
             if request.access is Access.WRITE:
-                self._requests.writes.watch(request)
+                self._requests.writes.watch_commit(request)
         self._pooling.send(connection, call, request)
 
     @singledispatchmethod
@@ -120,7 +120,7 @@
     def _pass_part(self, request: RequestRow, reply: EndpointReply) -> None:
         name = request.request.request_id
         part = CallerAnswer(request_id=name, outcome=None, rows=reply.rows)
-        self._requests.part(request, part)
+        self._requests.send_part(request, part)
 
     @singledispatchmethod
     def _take_reply(
@@ -145,10 +145,10 @@
             self._raise_floor(request, reply)
             self.finish(request, reply.rows)
         elif reply.code in _GOES_ON:
-            self._requests.not_run(request, code_of_refusal(reply), why)
+            self._requests.answer_not_run(request, code_of_refusal(reply), why)
         else:
             request.transaction = ""
-            self._requests.not_run(request, _ROLLED_BACK, why)
+            self._requests.answer_not_run(request, _ROLLED_BACK, why)
             self._transactions.end(transaction, _ROLLED_BACK, why)
             self._transactions.release(transaction, reset=True)
             return
@@ -181,7 +181,7 @@
         if unclear and request.access is Access.WRITE:
             self._requests.outcomes.resolve(request, why)
         elif not ran:
-            self._requests.not_run(request, _ROLLED_BACK, why)
+            self._requests.answer_not_run(request, _ROLLED_BACK, why)
         elif request.access is Access.READ:
             self.finish(request, reply.rows)
         else:
--- a/mallowpass/core/systems/transactions.py
+++ b/mallowpass/core/systems/transactions.py
@@ -84,19 +84,19 @@
         writing = request.access is Access.WRITE
         if writing and writes.refuse_reused_begin(session, request, key):
             return
-        row = self._requests.take_in(session, request, key, request.access)
+        row = self._requests.register(session, request, key, request.access)
         if row is None:
             return
         if writing:
-            writes.begin(row, session)
+            writes.submit(row, session)
         else:
-            self._requests.floors.begin(row)
+            self._requests.floors.route_with_floor(row)
 
     def execute(self, session: SessionRow, request: ExecuteRequest) -> None:
         """Queue a statement in its transaction."""
         running = session.requests.get(request.request_id)
         if running is not None:
-            self._requests.writes.join(running, session, request)
+            self._requests.writes.attach_duplicate(running, session, request)
             return
         transaction = self._find(session, request, request.transaction)
         if transaction is None:
@@ -171,7 +171,7 @@
         access: Access,
     ) -> None:
         key = transaction.database
-        row = self._requests.take_in(session, request, key, access)
+        row = self._requests.register(session, request, key, access)
         if row is None:
             return
         row.transaction = transaction.name
@@ -190,7 +190,7 @@
         if session is None:
             self._pooling.release(connection, reset=True)
             code = ErrorCode.UNKNOWN_SESSION
-            self._requests.not_run(request, code, "the caller left")
+            self._requests.answer_not_run(request, code, "the caller left")
             return
         transaction = self._make(request, connection)
         session.transactions.add(transaction.name)
@@ -272,9 +272,9 @@
             self._calls.finish(request, None)
             return
         if request.parts_sent:
-            self._requests.unknown(request, f"the answer broke off: {why}")
+            self._requests.answer_unknown(request, f"the answer broke off: {why}")
         else:
-            self._requests.not_run(request, code, why)
+            self._requests.answer_not_run(request, code, why)
 
     def _forget(
         self, transaction: TransactionRow, code: ErrorCode | None, why: str
@@ -335,13 +335,15 @@
         transaction = self.tables.transactions.get(request.transaction)
         if transaction is None or transaction.running != request.number:
             why = "it waited for its turn"
-            self._requests.not_run(request, ErrorCode.DEADLINE_PASSED, why)
+            self._requests.answer_not_run(request, ErrorCode.DEADLINE_PASSED, why)
             return
         why = "the deadline of a statement passed"
         self._node.decide("rollback", transaction.name, why)
         if isinstance(request.request, CommitRequest):
             transaction.running = 0
-            self._requests.unknown(request, "the deadline passed while committing")
+            self._requests.answer_unknown(
+                request, "the deadline passed while committing"
+            )
             self.end(transaction, None, why)
         else:
             self.end(transaction, _ROLLED_BACK, why)
--- a/mallowpass/core/systems/waiting.py
+++ b/mallowpass/core/systems/waiting.py
@@ -80,7 +80,7 @@
         Only for what is proven not to have run, or may run twice.
         """
         request.detail = why
-        delay = self._retries.may_retry(request)
+        delay = self._retries.take_retry(request)
         if delay is None:
             self._give_up(request, code, why)
             return
@@ -93,7 +93,7 @@
     def _give_up(self, request: RequestRow, code: ErrorCode, why: str) -> None:
         if self._retries.is_spent(request):
             code = ErrorCode.RETRY_BUDGET_SPENT
-        self._requests.not_run(request, code, why, self._retries.retry_after)
+        self._requests.answer_not_run(request, code, why, self._retries.retry_after)
 
     def _again(self, request: RequestRow, tries: int) -> None:
         if request.state is RequestState.BACKOFF and request.tries == tries:
--- a/mallowpass/core/systems/writes.py
+++ b/mallowpass/core/systems/writes.py
@@ -94,7 +94,7 @@
 
     # -- Arrival -------------------------------------------------------------
 
-    def begin(self, request: RequestRow, session: SessionRow) -> None:
+    def submit(self, request: RequestRow, session: SessionRow) -> None:
         """Give a write the id that the endpoint records, and route it."""
         statement = request.request
         request.attempt = FIRST_ATTEMPT
@@ -108,7 +108,7 @@
             self._running[request.record_id] = request.number
         if isinstance(statement, BeginRequest):
             # Its reads come from the primary, which may have been replaced.
-            self._requests.floors.begin(request)
+            self._requests.floors.route_with_floor(request)
         else:
             self.route(request)
 
@@ -124,7 +124,7 @@
         name = record_id(session.caller, request.request_id)
         running = self._running.get(name)
         if running is not None:
-            self.join(running, session, request)
+            self.attach_duplicate(running, session, request)
             return True
         digest = digest_of_statement(key, request)
         return self._was_reused(session, request, name, digest)
@@ -147,7 +147,9 @@
         self._requests.answers.refuse(session, request, ErrorCode.REQUEST_ID_REUSED)
         return True
 
-    def join(self, running: int, session: SessionRow, request: ExecuteRequest) -> None:
+    def attach_duplicate(
+        self, running: int, session: SessionRow, request: ExecuteRequest
+    ) -> None:
         """Have a copy of a request in flight answered from the one run."""
         row = self.tables.requests[running]
         if not self._is_copy(row, session, request):
@@ -248,12 +250,12 @@
         self, request: RequestRow, connection: ConnectionRow, reply: EndpointReply
     ) -> None:
         self._record(request, connection)
-        if self._requests.floors.proves(request, reply.applied):
+        if self._requests.floors.is_satisfied(request, reply.applied):
             self._transactions.opened(request, connection, reply)
             return
         request.connection = 0
         self._pooling.release(connection, reset=True)
-        if self._requests.floors.is_gone(request):
+        if self._requests.floors.handle_lost_floor(request):
             return
         why = f"{connection.address} lacks data that the session has seen"
         self._requests.waiting.retry(request, ErrorCode.FLOOR_NOT_REACHED, why)
@@ -263,7 +265,7 @@
         latency = self.now - request.sent_at
         self._requests.record(connection.address, latency, ok=True)
 
-    def watch(self, request: RequestRow) -> None:
+    def watch_commit(self, request: RequestRow) -> None:
         """Look a commit up if its answer is late, as with a write."""
         self._overdue.renew(request.number)
 
@@ -285,13 +287,13 @@
             self._overdue.add(number)
         elif request.transaction:
             self._on_commit_overdue(request)
-        elif self._retries.may_retry(request) is None:
+        elif self._retries.take_retry(request) is None:
             self._overdue.add(number)
         else:
             # Paid now: a primary that pauses makes many writes overdue at once, and
             # those that the budget does not reach are better left waiting.
             request.prepaid = True
-            self._requests.suspect(request)
+            self._requests.abandon_silent(request)
             self._requests.outcomes.resolve(request, self._lateness(request))
 
     def _is_overdue(self, request: RequestRow) -> bool:
@@ -319,7 +321,7 @@
         """
         database = self.tables.databases.get(request.database)
         if database is None:
-            self._requests.unknown(request, "the database was removed meanwhile")
+            self._requests.answer_unknown(request, "the database was removed meanwhile")
             return
         request.position = position
         request.answer_rows = rows
@@ -339,7 +341,7 @@
             return
         request.waiter = None
         if held:
-            self._requests.done(request, request.answer_rows, request.position)
+            self._requests.answer_done(request, request.answer_rows, request.position)
         else:
             term = request.sent_term
             why = f"term {term} was over before a majority held it"
@@ -355,14 +357,14 @@
         elif code in _RETRIED:
             self._requests.waiting.retry(request, ErrorCode.ENDPOINT_REFUSED, why)
         else:
-            self._requests.not_run(request, code_of_refusal(reply), why)
+            self._requests.answer_not_run(request, code_of_refusal(reply), why)
 
     def _after_fence(self, request: RequestRow, reply: EndpointReply) -> None:
         # An earlier copy was given up and fenced. This attempt's number stands
         # under the fence too; a higher one is a new run, and the only one.
         if request.tries >= FENCED_MAX:
             why = f"fenced {request.tries} times"
-            self._requests.not_run(request, ErrorCode.ENDPOINT_REFUSED, why)
+            self._requests.answer_not_run(request, ErrorCode.ENDPOINT_REFUSED, why)
             return
         request.tries += 1
         request.attempt = max(reply.attempt, request.attempt) + 1
--- a/tests/core/systems/bench_pooling.py
+++ b/tests/core/systems/bench_pooling.py
@@ -17,7 +17,9 @@
 class _Requests(System):
     """Send at once and release at once."""
 
-    def on_connection(self, request: RequestRow, connection: ConnectionRow) -> None:
+    def on_connection_granted(
+        self, request: RequestRow, connection: ConnectionRow
+    ) -> None:
         self.sequence = self.pooling.send(connection, poolpath.CALL)
         self.number = connection.number
 
--- a/tests/core/systems/test_concurrency.py
+++ b/tests/core/systems/test_concurrency.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 from mallowpass.core.systems.concurrency import (
+    INITIAL_LIMIT,
     LIMIT_MIN,
-    LIMIT_START,
     WINDOW_SAMPLES,
     ConcurrencyLimit,
 )
@@ -48,7 +48,7 @@
     _run(limit, 3, QUICK, 1)
     for number in range(20 * WINDOW_SAMPLES):
         limit.record(0.0, QUICK if number % 5 else 30 * QUICK, 6)
-    assert limit.limit == LIMIT_START
+    assert limit.limit == INITIAL_LIMIT
 
 
 def test_the_limit_settles_near_what_the_endpoint_can_do():
@@ -70,7 +70,7 @@
     limit = ConcurrencyLimit()
     _run(limit, 20, QUICK, 3)
     _run(limit, 20, 1.5 * QUICK, 3)
-    assert limit.limit == LIMIT_START
+    assert limit.limit == INITIAL_LIMIT
 
 
 def test_an_endpoint_that_became_slower_by_itself_is_believed_in_time():
--- a/tests/core/systems/test_retries.py
+++ b/tests/core/systems/test_retries.py
@@ -16,13 +16,13 @@
     path.read(1, "look")
     request = path.sent.request
     tries = range(2 * int(BUDGET_MAX))
-    granted = [path.retries.may_retry(request) is not None for _ in tries]
+    granted = [path.retries.take_retry(request) is not None for _ in tries]
     assert sum(granted) == int(BUDGET_MAX)
     for _ in range(11):
-        path.retries.succeeded("claims-core")
-    assert path.retries.may_retry(request) is not None
-    assert path.retries.may_retry(request) is not None
-    assert path.retries.may_retry(request) is None
+        path.retries.record_success("claims-core")
+    assert path.retries.take_retry(request) is not None
+    assert path.retries.take_retry(request) is not None
+    assert path.retries.take_retry(request) is None
 
 
 def test_delays_grow_with_jitter_up_to_the_deadline():
@@ -30,7 +30,7 @@
     path.open_known()
     path.read(1, "look", deadline=0.2)
     request = path.sent.request
-    delays = [path.retries.may_retry(request) for _ in range(12)]
+    delays = [path.retries.take_retry(request) for _ in range(12)]
     delays = [delay for delay in delays if delay is not None]
     longest = [min(0.5, 0.01 * 2**tries) for tries in range(len(delays))]
     pairs = list(zip(delays, longest, strict=True))
--- a/tests/core/systems/test_routing.py
+++ b/tests/core/systems/test_routing.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from mallowpass.core.systems.routing import ERRORS_MAX, SLOW_MIN
+from mallowpass.core.systems.routing import EJECTION_ERRORS, SLOW_LATENCY_MIN
 from tests.fakes.requestpath import RequestPath
 
 
@@ -39,7 +39,7 @@
     Cause: tried again by all at once, it fails all of them at once.
     """
     path = _path()
-    for _ in range(ERRORS_MAX):
+    for _ in range(EJECTION_ERRORS):
         path.routing.record(path.endpoint("m2"), 0.0, ok=False)
     assert _choose(path) == "127.0.0.1:3"
     path.advance(1.0)
@@ -55,7 +55,7 @@
 
 def test_trial_without_a_result_does_not_keep_a_member_out():
     path = _path()
-    for _ in range(ERRORS_MAX):
+    for _ in range(EJECTION_ERRORS):
         path.routing.record(path.endpoint("m2"), 0.0, ok=False)
     path.advance(1.0)
     assert [_choose(path), _choose(path)] == ["127.0.0.1:2", "127.0.0.1:3"]
@@ -70,11 +70,11 @@
     """
     path = _path()
     path.routing.record(path.endpoint("m3"), 0.001, ok=True)
-    path.routing.record(path.endpoint("m2"), 10 * SLOW_MIN, ok=True)
+    path.routing.record(path.endpoint("m2"), 10 * SLOW_LATENCY_MIN, ok=True)
     assert path.endpoint("m2").ejected_until > path.now
     path.endpoint("m2").latency = 0.001
     for _ in range(30):
-        path.routing.record(path.endpoint("m3"), 10 * SLOW_MIN, ok=True)
+        path.routing.record(path.endpoint("m3"), 10 * SLOW_LATENCY_MIN, ok=True)
     assert path.endpoint("m3").ejected_until < path.now
 
 
@@ -86,16 +86,16 @@
     assert path.routing.choose_write(path.database) is None
     path.endpoint("m3").leaving = True
     request = path.pooling.queue[0][0]
-    assert path.routing.choose_other_read(request, path.database) is None
+    assert path.routing.choose_fallback_read(request, path.database) is None
 
 
 def test_ejected_replica_serves_when_there_is_nobody_else():
     path = _path()
     path.lose_primary()
     for name in ("m2", "m3"):
-        for _ in range(ERRORS_MAX):
+        for _ in range(EJECTION_ERRORS):
             path.routing.record(path.endpoint(name), 0.0, ok=False)
     assert _choose(path) == ""
     request = path.pooling.queue[0][0]
-    endpoint = path.routing.choose_other_read(request, path.database)
+    endpoint = path.routing.choose_fallback_read(request, path.database)
     assert endpoint is path.endpoint("m2")
--- a/tests/fakes/poolpath.py
+++ b/tests/fakes/poolpath.py
@@ -72,7 +72,9 @@
         self.refused: list[tuple[int, str, float]] = []
         self.hold = False
 
-    def on_connection(self, request: RequestRow, connection: ConnectionRow) -> None:
+    def on_connection_granted(
+        self, request: RequestRow, connection: ConnectionRow
+    ) -> None:
         self.granted.append((request.number, connection.number))
         if not self.hold:
             self._node.system(Pooling).send(connection, CALL)
--- a/tests/fakes/requestpath.py
+++ b/tests/fakes/requestpath.py
@@ -138,7 +138,7 @@
             connection.request = request.number
             self.tables.connections[number] = connection
             request.connection = number
-            self._node.system(Requests).on_connection(request, connection)
+            self._node.system(Requests).on_connection_granted(request, connection)
 
     def cancel(self, request: RequestRow) -> None:
         self.queue = [entry for entry in self.queue if entry[0] is not request]
--- a/tests/test_findings.py
+++ b/tests/test_findings.py
@@ -32,7 +32,8 @@
 
     Sequence: one transaction keeps a connection for 3.4 s; the connections are lost;
     later writes come alone, with 3 s each, to an idle host.
-    Cause: Admission.wait_at takes the average hold for the wait though the queue is
+    Cause: Admission.predicted_pool_wait takes the average hold for the wait though the
+    queue is
     empty and a connection could be opened; refused requests teach no shorter hold.
     """
     fleet = Fleet()
@@ -88,7 +89,7 @@
 
     Sequence: a healthy fleet; a session reads with an accepted age of 0 s.
     Cause: a floor learnt for the read is older than the age once it is learnt, as
-    SessionFloors.renew counts from the arrival: it is learnt again until the end.
+    SessionFloors.refresh counts from the arrival: it is learnt again until the end.
     """
     fleet = Fleet()
     session = fleet.open("h2", "hind")
@@ -252,7 +253,8 @@
     Sequence: on the primary's side of a partition a session reads (1, 3), which no
     majority has; term 2 starts at 3; it reads with an age, and a floor is learnt.
     Cause: SessionFloors takes the maximum (2, 3) of the learnt floor and the
-    session's own (1, 3), so is_gone and proves never look at the session's; the
+    session's own (1, 3), so handle_lost_floor and is_satisfied never
+    look at the session's; the
     answer's position then replaces it.
     """
     machine = WholeSystem()
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -402,7 +402,7 @@
 
 
 def call_unknown_not_run(system: requests.Requests, request, why: str) -> None:
-    system.not_run(request, requests.ErrorCode.DEADLINE_PASSED, why)
+    system.answer_not_run(request, requests.ErrorCode.DEADLINE_PASSED, why)
 
 
 def name_each_copy_anew(patch: Patch) -> None:
@@ -468,7 +468,7 @@
     ),
     "position_of_the_answer_is_checked": Guard(
         "read_your_writes",
-        replace(sessionfloors.SessionFloors, "proves", lambda *arguments: True),
+        replace(sessionfloors.SessionFloors, "is_satisfied", lambda *arguments: True),
         read_own_write_where_routing_guesses_wrong,
     ),
     "unknown_floor_is_learnt": Guard(
@@ -503,7 +503,7 @@
         "own_whole_answer",
         replace(
             reads.Reads,
-            "elsewhere",
+            "try_elsewhere",
             lambda system, request, code, why: system.route(request),
         ),
         reads_tests.test_answer_that_broke_off_is_not_continued_from_another_member,
@@ -522,7 +522,7 @@
     ),
     "unknown_is_not_called_not_run": Guard(
         "not_run_is_true",
-        replace(requests.Requests, "unknown", call_unknown_not_run),
+        replace(requests.Requests, "answer_unknown", call_unknown_not_run),
         write_whose_deadline_passes_before_a_majority_has_it,
     ),
     "copies_share_one_record": Guard(
