--- a/mallowpass/core/systems/admission.py
+++ b/mallowpass/core/systems/admission.py
@@ -16,7 +16,9 @@
 __all__ = ["Admission", "Refusal"]
 
 RETRY_AFTER_MIN = 0.02
-RETRY_SPREAD = 0.5  # of the time stated; refused callers don't come back all at once
+RETRY_AFTER_JITTER = (
+    0.5  # of the time stated; refused callers don't come back all at once
+)
 
 
 @record
@@ -43,16 +45,16 @@
 
         self._pooling = self._node.system(Pooling)
 
-    def refuse_at(self, pool: EndpointPool, request: RequestRow) -> Refusal | None:
+    def check(self, pool: EndpointPool, request: RequestRow) -> Refusal | None:
         """Refuse a request that has to wait at an endpoint, and can't."""
         if pool.endpoint.leaving:
             why = f"{pool.address} is leaving"
-            return self._refusal(request, ErrorCode.ENDPOINT_REFUSED, why, 0.0)
-        refusal = self._refuse_full(request)
+            return self._refuse(request, ErrorCode.ENDPOINT_REFUSED, why, 0.0)
+        refusal = self._check_queue_length(request)
         if refusal is not None:
             return refusal
         wait = self.predicted_pool_wait(pool, request.request_class)
-        return self._refuse_late(request, wait, pool.address)
+        return self._check_deadline(request, wait, pool.address)
 
     def predicted_wait(self, database_key: str, class_name: str) -> float:
         """Return the shortest wait at a database's endpoints, in seconds."""
@@ -69,13 +71,15 @@
         """Return how long a new request of a class would wait, in seconds."""
         ahead = pool.queue.ahead(class_name)
         room = self._pooling.opener.room(pool)
-        if ahead < self._free(pool, room) or not (ahead or pool.connections):
+        if ahead < self._immediate_capacity(pool, room) or not (
+            ahead or pool.connections
+        ):
             return 0.0
         servers = min(len(pool.connections) + room, pool.statement_limit)
         return (ahead + 1) * pool.hold / max(1, servers)
 
     @staticmethod
-    def _free(pool: EndpointPool, room: int) -> int:
+    def _immediate_capacity(pool: EndpointPool, room: int) -> int:
         """Return how many requests need not wait for another one's end.
 
         How long requests kept connections says nothing of them. Refused by it, they
@@ -85,7 +89,7 @@
         free = idle + len(pool.opening) + room
         return min(free, pool.statement_limit - pool.active)
 
-    def _refuse_full(self, request: RequestRow) -> Refusal | None:
+    def _check_queue_length(self, request: RequestRow) -> Refusal | None:
         database = self.tables.databases.get(request.database)
         if database is None:
             return None
@@ -97,9 +101,9 @@
         # Half the queue has to be served before a place is likely to be free.
         wait = self.predicted_wait(request.database, request.request_class) / 2
         why = f"{limit} requests wait for {database.service}"
-        return self._refusal(request, ErrorCode.QUEUE_FULL, why, wait)
+        return self._refuse(request, ErrorCode.QUEUE_FULL, why, wait)
 
-    def _refuse_late(
+    def _check_deadline(
         self, request: RequestRow, wait: float, where: str
     ) -> Refusal | None:
         remaining = request.expires - self.now
@@ -108,12 +112,12 @@
         why = f"{wait:.3f}s to wait at {where}, {remaining:.3f}s left"
         # With as much time again, the request makes it once the line is so much
         # shorter.
-        return self._refusal(request, ErrorCode.QUEUE_FULL, why, wait - remaining)
+        return self._refuse(request, ErrorCode.QUEUE_FULL, why, wait - remaining)
 
-    def _refusal(
+    def _refuse(
         self, request: RequestRow, code: ErrorCode, why: str, wait: float
     ) -> Refusal:
-        spread = 1.0 + RETRY_SPREAD * self._node.random.random()
+        spread = 1.0 + RETRY_AFTER_JITTER * self._node.random.random()
         retry_after = max(RETRY_AFTER_MIN, wait) * spread
         self._node.count("turned_away", reason=code.name.lower())
         self._node.decide("refusal", request.database, f"{code.code} {why}")
--- a/mallowpass/core/systems/answers.py
+++ b/mallowpass/core/systems/answers.py
@@ -30,27 +30,27 @@
 # -- Counts -------------------------------------------------------------------
 
 RETRIES_COUNT = Count("retries")
-COUNTS_KEPT = 4096  # of so many services and kinds the counts are made once
+COUNT_CACHE_SIZE = 4096  # of so many services and kinds the counts are made once
 
 
-@lru_cache(COUNTS_KEPT)
+@lru_cache(COUNT_CACHE_SIZE)
 def read_count(replica: bool, database: str) -> Count:
     """Return the count of a read by who served it; `database` is a key."""
     role = "replica" if replica else "primary"
     return Count("reads", 1, (("role", role), ("service", service_of(database))))
 
 
-@lru_cache(COUNTS_KEPT)
+@lru_cache(COUNT_CACHE_SIZE)
 def _statement_count(outcome: Outcome, access: Access, database: str) -> Count:
     return Count(
         "statements",
         1,
-        (("outcome", outcome.value), *_seconds_attributes(access, database)),
+        (("outcome", outcome.value), *_statement_attributes(access, database)),
     )
 
 
-@lru_cache(COUNTS_KEPT)
-def _seconds_attributes(
+@lru_cache(COUNT_CACHE_SIZE)
+def _statement_attributes(
     access: Access, database: str
 ) -> tuple[tuple[str, str], tuple[str, str]]:
     return ("access", access.value), ("service", service_of(database))
@@ -121,20 +121,22 @@
         )
         self.send(session.stream, request.request_id, answer)
 
-    def final(self, request: RequestRow, answer: CallerAnswer) -> None:
+    def send_final(self, request: RequestRow, answer: CallerAnswer) -> None:
         """Send the final answer to a request's caller and to its copies'."""
-        self._answer(request.stream, request.request.request_id, answer)
+        self._finish_in_session(request.stream, request.request.request_id, answer)
         if request.followers is not None:
             for stream, request_id in request.followers:
-                self._answer(stream, request_id, answer)
+                self._finish_in_session(stream, request_id, answer)
         emit = self._node.emit
         seconds = self.now - request.arrived
         access, database = request.access, request.database
         emit(_statement_count(answer.outcome, access, database))
-        attributes = _seconds_attributes(access, database)
+        attributes = _statement_attributes(access, database)
         emit(Observe("statement_seconds", seconds, attributes))
 
-    def _answer(self, stream: int, request_id: str, answer: CallerAnswer) -> None:
+    def _finish_in_session(
+        self, stream: int, request_id: str, answer: CallerAnswer
+    ) -> None:
         session = self.tables.sessions.get(stream)
         if session is not None:
             session.requests.pop(request_id, None)
@@ -145,7 +147,7 @@
         session = self.tables.sessions.get(stream)
         if session is None:
             return
-        own = CallerAnswer(
+        addressed = CallerAnswer(
             request_id=request_id,
             outcome=answer.outcome,
             code=answer.code,
@@ -159,4 +161,4 @@
             go_elsewhere=self._draining.draining,
             repeated=answer.repeated,
         )
-        self._node.emit(AnswerCaller(stream, own))
+        self._node.emit(AnswerCaller(stream, addressed))
--- a/mallowpass/core/systems/concurrency.py
+++ b/mallowpass/core/systems/concurrency.py
@@ -8,10 +8,10 @@
 LIMIT_MIN = 1
 WINDOW_SAMPLES = 50
 WINDOW_SECONDS = 1.0
-TOLERANCE = 2.0  # times the uncontended latency
-SLACK = 0.015  # seconds of latency that are never held against an endpoint
-DECREASE = 0.8
-BASELINE_RISE = 0.2
+LATENCY_TOLERANCE = 2.0  # times the uncontended latency
+LATENCY_SLACK = 0.015  # seconds of latency that are never held against an endpoint
+DECREASE_FACTOR = 0.8
+BASELINE_WEIGHT = 0.2
 
 
 class ConcurrencyLimit:
@@ -21,15 +21,22 @@
     all; what waits here instead can still be refused, reordered or routed anew.
     """
 
-    __slots__ = ("_baseline", "_count", "_least", "_most", "_since", "limit")
+    __slots__ = (
+        "_baseline",
+        "_sample_count",
+        "_lowest_latency",
+        "_peak_active",
+        "_window_start",
+        "limit",
+    )
 
     def __init__(self) -> None:
         self.limit = INITIAL_LIMIT
         self._baseline = 0.0
-        self._since = float("-inf")
-        self._count = 0
-        self._least = float("inf")
-        self._most = 0
+        self._window_start = float("-inf")
+        self._sample_count = 0
+        self._lowest_latency = float("inf")
+        self._peak_active = 0
 
     @property
     def baseline(self) -> float:
@@ -38,12 +45,15 @@
 
     def record(self, now: float, latency: float, active: int) -> None:
         """Learn from one statement; `active` statements ran when it was answered."""
-        self._count += 1
-        if latency < self._least:
-            self._least = latency
-        if active > self._most:
-            self._most = active
-        if self._count < WINDOW_SAMPLES and now - self._since < WINDOW_SECONDS:
+        self._sample_count += 1
+        if latency < self._lowest_latency:
+            self._lowest_latency = latency
+        if active > self._peak_active:
+            self._peak_active = active
+        if (
+            self._sample_count < WINDOW_SAMPLES
+            and now - self._window_start < WINDOW_SECONDS
+        ):
             return
         self._finish_window(now)
 
@@ -55,23 +65,23 @@
         # The quickest statement of a window, not the mean: a few slow reports among
         # quick reads make the mean rise at an endpoint that is far from crowded, but
         # a crowded one is slow for each statement.
-        least = self._least
-        self._learn_baseline(least)
-        if least > TOLERANCE * self._baseline + SLACK:
-            crowd = min(self.limit, self._most)
-            self.limit = max(LIMIT_MIN, int(crowd * DECREASE))
-        elif self._most >= self.limit and self.limit < INITIAL_LIMIT:
+        lowest = self._lowest_latency
+        self._update_baseline(lowest)
+        if lowest > LATENCY_TOLERANCE * self._baseline + LATENCY_SLACK:
+            peak = min(self.limit, self._peak_active)
+            self.limit = max(LIMIT_MIN, int(peak * DECREASE_FACTOR))
+        elif self._peak_active >= self.limit and self.limit < INITIAL_LIMIT:
             self.limit += 1
-        self._since = now
-        self._count = 0
-        self._least = float("inf")
-        self._most = 0
+        self._window_start = now
+        self._sample_count = 0
+        self._lowest_latency = float("inf")
+        self._peak_active = 0
 
-    def _learn_baseline(self, least: float) -> None:
-        if not self._baseline or least < self._baseline:
-            self._baseline = least
-        elif self._most <= LIMIT_MIN:
+    def _update_baseline(self, lowest: float) -> None:
+        if not self._baseline or lowest < self._baseline:
+            self._baseline = lowest
+        elif self._peak_active <= LIMIT_MIN:
             # Statements became slower by themselves. That shows only while one runs
             # at a time: learnt in a crowd, the baseline would follow the crowd, and
             # the limit would never come down.
-            self._baseline += BASELINE_RISE * (least - self._baseline)
+            self._baseline += BASELINE_WEIGHT * (lowest - self._baseline)
--- a/mallowpass/core/systems/granting.py
+++ b/mallowpass/core/systems/granting.py
@@ -18,7 +18,7 @@
 
     def enqueue(self, pool: EndpointPool, request: RequestRow) -> None:
         """Queue a request, or refuse it at once."""
-        refusal = self._pooling.admission.refuse_at(pool, request)
+        refusal = self._pooling.admission.check(pool, request)
         if refusal is not None:
             self._pooling.requests.on_refused(
                 request, refusal.code, refusal.why, refusal.retry_after
@@ -61,8 +61,8 @@
     def _next_request(
         self, pool: EndpointPool, connection: ConnectionRow
     ) -> RequestRow | None:
-        without = self._classes_to_pass(pool, bool(connection.loan))
-        while (taken := pool.queue.pop(without)) is not None:
+        skipped = self._classes_to_skip(pool, bool(connection.loan))
+        while (taken := pool.queue.pop(skipped)) is not None:
             request, since = taken
             if request.expires > self.now:
                 self._node.observe("queue_seconds", self.now - since)
@@ -70,7 +70,7 @@
             self.refuse(request, ErrorCode.DEADLINE_PASSED, "expired in the queue")
         return None
 
-    def _classes_to_pass(self, pool: EndpointPool, borrowed: bool) -> frozenset[str]:
+    def _classes_to_skip(self, pool: EndpointPool, borrowed: bool) -> frozenset[str]:
         """Return the classes that this connection is not for."""
         patient = pool.patient
         if not patient:
--- a/mallowpass/core/systems/outcomes.py
+++ b/mallowpass/core/systems/outcomes.py
@@ -23,7 +23,7 @@
 
 FIRST_ATTEMPT = 1  # 0 would stand for "no attempt was fenced"
 LOOK_UP_TIMEOUT = 0.5  # seconds
-LOOK_UP_PAUSE = 0.05  # seconds between look-ups without a verdict
+LOOK_UP_INTERVAL = 0.05  # seconds between look-ups without a verdict
 
 
 @dataclass(slots=True, eq=False)
@@ -36,11 +36,11 @@
 
     request: RequestRow
     term: int
-    live: bool = True
+    is_current: bool = True
 
     def cancel(self) -> None:
         """Have the answer ignored."""
-        self.live = False
+        self.is_current = False
 
 
 class Outcomes(System):
@@ -79,11 +79,11 @@
         if primary is None or database.term < request.sent_term:
             return  # PrimaryChanged comes here again, or the deadline passes
         if primary.report is not None and not primary.report.outcome_lookup:
-            self._without_look_up(request)
+            self._resolve_without_record(request)
             return
-        self._ask(request, database.term, primary.address)
+        self._send_look_up(request, database.term, primary.address)
 
-    def _ask(self, request: RequestRow, term: int, address: str) -> None:
+    def _send_look_up(self, request: RequestRow, term: int, address: str) -> None:
         if request.waiter is not None:
             request.waiter.cancel()
         look_up = _LookUp(request, term)
@@ -92,7 +92,7 @@
         callback = partial(self._on_looked_up, look_up)
         self._liveness.control_call(address, call, callback, LOOK_UP_TIMEOUT)
 
-    def _without_look_up(self, request: RequestRow) -> None:
+    def _resolve_without_record(self, request: RequestRow) -> None:
         if request.idempotent:
             why = f"{request.detail}; it may run twice"
             self._requests.waiting.retry(request, ErrorCode.FAILING_OVER, why)
@@ -101,26 +101,26 @@
             self._requests.answer_unknown(request, why)
 
     def _on_looked_up(self, look_up: _LookUp, reply: ControlReply | None) -> None:
-        if not look_up.live:
+        if not look_up.is_current:
             return
         request = look_up.request
         database = self.tables.databases.get(request.database)
         if database is None or database.term != look_up.term:
             self.look_up(request)
         elif reply is None or reply.code is not EndpointCode.OK:
-            self._look_up_later(look_up)
+            self._schedule_look_up(look_up)
         elif reply.outcome is OutcomeState.RECORDED:
             self._on_recorded(look_up, reply)
         elif reply.outcome is OutcomeState.NOT_RECORDED:
             self._on_not_recorded(look_up, database)
         else:
-            self._look_up_later(look_up)
+            self._schedule_look_up(look_up)
 
-    def _look_up_later(self, look_up: _LookUp) -> None:
-        self.timers.after(LOOK_UP_PAUSE, self._look_up_again, look_up)
+    def _schedule_look_up(self, look_up: _LookUp) -> None:
+        self.timers.after(LOOK_UP_INTERVAL, self._look_up_again, look_up)
 
     def _look_up_again(self, look_up: _LookUp) -> None:
-        if look_up.live:
+        if look_up.is_current:
             self.look_up(look_up.request)
 
     def _on_recorded(self, look_up: _LookUp, reply: ControlReply) -> None:
@@ -140,18 +140,18 @@
         # of the sending is no exception: an earlier copy may have come through
         # another host. Normally the start is held long since.
         start = LogPosition(look_up.term, 1)
-        callback = partial(self._on_start_held, look_up)
+        callback = partial(self._on_term_start_held, look_up)
         self._liveness.wait_held(database, start, callback)
 
-    def _on_start_held(self, look_up: _LookUp, held: bool) -> None:
-        if not look_up.live:
+    def _on_term_start_held(self, look_up: _LookUp, held: bool) -> None:
+        if not look_up.is_current:
             return
         if held:
-            self._proven_not_run(look_up)
+            self._on_proven_not_run(look_up)
         else:
             self.look_up(look_up.request)
 
-    def _proven_not_run(self, look_up: _LookUp) -> None:
+    def _on_proven_not_run(self, look_up: _LookUp) -> None:
         request = look_up.request
         look_up.cancel()
         request.waiter = None
--- a/mallowpass/core/systems/reads.py
+++ b/mallowpass/core/systems/reads.py
@@ -34,12 +34,14 @@
 
 __all__ = ["Reads"]
 
-OVERDUE = 0.25  # seconds after which a read is tried elsewhere, at the earliest
+OVERDUE_MIN = 0.25  # seconds after which a read is tried elsewhere, at the earliest
 OVERDUE_FACTOR = 4.0  # times the member's usual latency
-LOOK = OVERDUE / 2  # seconds between looks; the connection is asked at the first
+CHECK_INTERVAL = (
+    OVERDUE_MIN / 2
+)  # seconds between looks; the connection is asked at the first
 
 # Codes that say nothing bad of the member: it is merely not the right one now.
-_NOT_THIS_MEMBER = frozenset({EndpointCode.WRONG_TERM, EndpointCode.LEAVING})
+_NO_FAULT_CODES = frozenset({EndpointCode.WRONG_TERM, EndpointCode.LEAVING})
 _FINAL_CODES = frozenset({EndpointCode.SQL_ERROR, EndpointCode.BAD_CALL})
 
 
@@ -49,7 +51,7 @@
     __slots__ = (
         "_floors",
         "_liveness",
-        "_overdue",
+        "_watchdog",
         "_pooling",
         "_requests",
         "_retries",
@@ -77,7 +79,7 @@
         self._routing = node.system(routing_module.Routing)
         self._sessions = node.system(sessions_module.Sessions)
         self._transactions = node.system(Transactions)
-        self._overdue = Watchdog(self.timers, LOOK, self._on_late)
+        self._watchdog = Watchdog(self.timers, CHECK_INTERVAL, self._on_check_due)
 
     # -- Routing -------------------------------------------------------------
 
@@ -94,14 +96,14 @@
                 return
             endpoint = self._routing.choose_fallback_read(request, database)
         if endpoint is not None:
-            self._waiting_of(request).pop(request.number, None)
-            self._overdue.renew(request.number)
+            self._waiting_reads(request).pop(request.number, None)
+            self._watchdog.renew(request.number)
             self._requests.acquire(request, endpoint.address)
         elif request.avoided and not request.behind:
             why = f"no member served it: {request.detail}"
             self._requests.waiting.retry(request, ErrorCode.ENDPOINT_REFUSED, why)
         else:
-            self._waiting_of(request)[request.number] = request
+            self._waiting_reads(request)[request.number] = request
             request.avoided = None
             self._requests.waiting.hold(
                 request, "no member has its floor, and no primary"
@@ -110,19 +112,19 @@
     def _wait(self, request: RequestRow, pause: float) -> None:
         request.state = RequestState.WAITING_FLOOR
         request.detail = "a replica is about to reach the floor"
-        self._waiting_of(request)[request.number] = request
-        self.timers.after(pause, self._on_waited, request)
+        self._waiting_reads(request)[request.number] = request
+        self.timers.after(pause, self._on_wait_ended, request)
 
-    def _on_waited(self, request: RequestRow) -> None:
-        waiting = self._waiting_of(request)
+    def _on_wait_ended(self, request: RequestRow) -> None:
+        waiting = self._waiting_reads(request)
         if request.state is RequestState.WAITING_FLOOR and request.number in waiting:
             request.avoided = None
             self.route(request)
 
-    def _waiting_of(self, request: RequestRow) -> dict[int, RequestRow]:
+    def _waiting_reads(self, request: RequestRow) -> dict[int, RequestRow]:
         return self._waiting.setdefault(request.database, {})
 
-    def reported(self, endpoint: EndpointRow) -> None:
+    def on_report(self, endpoint: EndpointRow) -> None:
         """Route waiting reads whose floor a member's report proves."""
         waiting = self._waiting.get(endpoint.database)
         if not waiting or endpoint.leaving:
@@ -145,7 +147,7 @@
             return
         request.state = RequestState.SENT
         if request.sent_at > request.arrived:
-            self._overdue.renew(request.number)
+            self._watchdog.renew(request.number)
         statement = request.request
         if isinstance(statement, BeginRequest):
             call = BeginCall(minimum=request.floor)
@@ -169,7 +171,7 @@
         elif not self._floors.is_satisfied(request, reply.applied):
             self._on_stale(request, connection, reply)
         elif not reply.last:
-            self._requests.send_part(request, self._part(request, reply))
+            self._requests.send_part(request, self._answer_part(request, reply))
         elif isinstance(request.request, BeginRequest):
             self._record(request, connection)
             self._transactions.opened(request, connection, reply)
@@ -179,7 +181,7 @@
             self._finish(request, reply)
 
     def _record(self, request: RequestRow, connection: ConnectionRow) -> None:
-        self._overdue.remove(request.number)
+        self._watchdog.remove(request.number)
         latency = self.now - request.sent_at
         self._requests.record(connection.address, latency, ok=True)
 
@@ -205,7 +207,7 @@
         )
         self._requests.finish(request, answer)
 
-    def _part(self, request: RequestRow, reply: EndpointReply) -> CallerAnswer:
+    def _answer_part(self, request: RequestRow, reply: EndpointReply) -> CallerAnswer:
         return CallerAnswer(
             request_id=request.request.request_id, outcome=None, rows=reply.rows
         )
@@ -222,7 +224,7 @@
             return
         if code is EndpointCode.BEHIND:
             request.behind += 1
-        elif code not in _NOT_THIS_MEMBER:
+        elif code not in _NO_FAULT_CODES:
             self._requests.record(connection.address, 0.0, ok=False)
         self.try_elsewhere(request, ErrorCode.ENDPOINT_REFUSED, why)
 
@@ -243,7 +245,7 @@
         self._node.decide("stale", request.request.request_id, why)
         self.try_elsewhere(request, ErrorCode.FLOOR_NOT_REACHED, why)
 
-    def _on_late(self, number: int) -> None:
+    def _on_check_due(self, number: int) -> None:
         """Read elsewhere when a member takes far longer than it usually does.
 
         Its connection may be silent for good. Without this, one sees each read on
@@ -253,31 +255,31 @@
         if request is None:
             return
         if request.state is RequestState.QUEUED:
-            self._on_queued_long(request)
+            self._check_queued(request)
         elif request.state is RequestState.SENT:
-            self._on_sent_long(request)
+            self._check_sent(request)
 
-    def _on_queued_long(self, request: RequestRow) -> None:
+    def _check_queued(self, request: RequestRow) -> None:
         pool = self._pooling.known_pool(request.address)
         if pool is None or pool.connections:
             return
-        if self.now - request.queued_at < OVERDUE:
-            self._overdue.add(request.number)
+        if self.now - request.queued_at < OVERDUE_MIN:
+            self._watchdog.add(request.number)
             return
         # Not a long queue, but a member that lets nobody in.
         self._pooling.cancel(request)
-        why = f"{request.address}: no connection opened in {OVERDUE}s"
+        why = f"{request.address}: no connection opened in {OVERDUE_MIN}s"
         self._requests.record(request.address, 0.0, ok=False)
         self.try_elsewhere(request, ErrorCode.CONNECTION_LOST, why)
 
-    def _on_sent_long(self, request: RequestRow) -> None:
+    def _check_sent(self, request: RequestRow) -> None:
         # Looked at first: it asks the connection, which has answered by the next look.
-        stays = self._is_left_to_finish(request) or request.parts_sent
-        if stays or not self._is_overdue(request):
-            self._overdue.add(request.number)
+        keeps_running = self._is_slow_statement(request) or request.parts_sent
+        if keeps_running or not self._is_overdue(request):
+            self._watchdog.add(request.number)
             return
         if self._retries.take_retry(request) is None:
-            self._overdue.add(request.number)
+            self._watchdog.add(request.number)
             return
         self._requests.record(request.address, 0.0, ok=False)
         self._requests.abandon_silent(request)
@@ -288,20 +290,20 @@
         self.try_elsewhere(request, ErrorCode.CONNECTION_LOST, why)
 
     def _is_overdue(self, request: RequestRow) -> bool:
-        return self._routing.takes_long(request, OVERDUE, OVERDUE_FACTOR)
+        return self._routing.is_overdue(request, OVERDUE_MIN, OVERDUE_FACTOR)
 
-    def _is_left_to_finish(self, request: RequestRow) -> bool:
+    def _is_slow_statement(self, request: RequestRow) -> bool:
         """Tell whether a statement is slow by itself, as far as one can tell.
 
         Begun anew at each look, a long report would run at every member in turn and
         end at none. One move is allowed: the member may be slow, not the statement.
         """
         connection = self.tables.connections.get(request.connection)
-        if connection is None or not self._pooling.answers(connection, LOOK):
+        if connection is None or not self._pooling.answers(connection, CHECK_INTERVAL):
             return False
         return request.moved or self._pooling.is_patient(request)
 
-    def turned_away(self, request: RequestRow, why: str, retry_after: float) -> None:
+    def on_queue_full(self, request: RequestRow, why: str, retry_after: float) -> None:
         """Read at another member than one with too long a line, or give up at once."""
         request.retry_after = min(request.retry_after, retry_after)
         if request.avoided is None:
@@ -314,7 +316,7 @@
         code = ErrorCode.QUEUE_FULL
         self._requests.answer_not_run(request, code, why, request.retry_after)
 
-    def lost(self, request: RequestRow, why: str) -> None:
+    def on_connection_lost(self, request: RequestRow, why: str) -> None:
         """Read again elsewhere after a connection was lost."""
         self.try_elsewhere(request, ErrorCode.CONNECTION_LOST, why)
 
--- a/mallowpass/core/systems/requests.py
+++ b/mallowpass/core/systems/requests.py
@@ -46,7 +46,7 @@
 
 RETRY_AFTER = 0.5  # seconds; advice to who waited in vain until its deadline
 
-_WAITING = frozenset(
+_WAITING_STATES = frozenset(
     {
         RequestState.WAITING_FLOOR,
         RequestState.QUEUED,
@@ -56,7 +56,7 @@
 )
 
 # Refusals of one endpoint's pool; another endpoint, or a later try, may serve.
-_REROUTED = frozenset(
+_REROUTED_CODES = frozenset(
     {
         ErrorCode.CONNECTION_LOST,
         ErrorCode.ENDPOINT_REFUSED,
@@ -117,7 +117,7 @@
         self.answers.start()
         self.waiting.start()
         node.subscribe(PrimaryChanged, self._on_primary_changed)
-        node.subscribe(EndpointReported, self._on_reported)
+        node.subscribe(EndpointReported, self._on_endpoint_reported)
         node.subscribe(DatabaseRemoved, self._on_database_removed)
 
     # -- Arrival -------------------------------------------------------------
@@ -130,7 +130,7 @@
             return
         key = database_key(session.service, request.database)
         if request.access is Access.WRITE:
-            if self.writes.join_running(session, request, key):
+            if self.writes.handle_duplicate(session, request, key):
                 return
             row = self.register(session, request, key, Access.WRITE)
             if row is not None:
@@ -198,7 +198,7 @@
         """Take an endpoint's reply in."""
         if request.transaction:
             self._transactions.on_reply(request, connection, reply)
-        elif not self._expects(request, connection):
+        elif not self._expects_reply_on(request, connection):
             # Its caller has an answer already, or gets it from another try.
             if reply.last:
                 self._pooling.release(connection)
@@ -207,7 +207,7 @@
         else:
             self.reads.on_reply(request, connection, reply)
 
-    def _expects(self, request: RequestRow, connection: ConnectionRow) -> bool:
+    def _expects_reply_on(self, request: RequestRow, connection: ConnectionRow) -> bool:
         sent = request.state is RequestState.SENT
         return sent and request.connection == connection.number
 
@@ -221,14 +221,14 @@
         if request.transaction:
             self._transactions.on_statement_lost(request, why)
             return
-        if not self._expects(request, connection):
+        if not self._expects_reply_on(request, connection):
             return
         request.connection = 0
         self.record(connection.address, 0.0, ok=False)
         if request.access is Access.WRITE:
             self.outcomes.resolve(request, f"connection lost: {why}")
         else:
-            self.reads.lost(request, why)
+            self.reads.on_connection_lost(request, why)
 
     def on_refused(
         self, request: RequestRow, code: str, why: str, retry_after: float
@@ -238,11 +238,11 @@
             return
         error = code_of(code)
         if error is ErrorCode.QUEUE_FULL and request.access is Access.READ:
-            self.reads.turned_away(request, why, retry_after)
-        elif error not in _REROUTED:
+            self.reads.on_queue_full(request, why, retry_after)
+        elif error not in _REROUTED_CODES:
             self.answer_not_run(request, error, why, retry_after)
         elif request.access is Access.WRITE:
-            self.writes.refused(request, error, why)
+            self.writes.on_refused(request, error, why)
         else:
             self.record(request.address, 0.0, ok=False)
             self.reads.try_elsewhere(request, error, why)
@@ -263,7 +263,7 @@
         request.connection = 0
         self._pooling.release(connection, reset=reset)
 
-    def abandon(self, request: RequestRow) -> None:
+    def abandon_connection(self, request: RequestRow) -> None:
         """Leave the connection that a request waits on to pooling."""
         connection = self.tables.connections.get(request.connection)
         request.connection = 0
@@ -275,7 +275,7 @@
         connection = self.tables.connections.get(request.connection)
         if connection is not None:
             self._pooling.suspect(connection)
-        self.abandon(request)
+        self.abandon_connection(request)
 
     def discard(self, request: RequestRow, why: str) -> None:
         """Close the connection that a request was sent on, if it still has one."""
@@ -307,23 +307,23 @@
         database = self.tables.databases.get(signal.database)
         if database is None:
             return
-        for request in self._snapshot(signal.database):
+        for request in self._active_requests(signal.database):
             if request.access is Access.WRITE and not request.transaction:
-                self.writes.primary_changed(request, database)
+                self.writes.on_primary_changed(request, database)
         self.waiting.release(signal.database)
 
-    def _on_reported(self, signal: EndpointReported) -> None:
+    def _on_endpoint_reported(self, signal: EndpointReported) -> None:
         endpoint = self.tables.endpoints.get(signal.address)
         if endpoint is not None:
-            self.reads.reported(endpoint)
+            self.reads.on_report(endpoint)
 
     def _on_database_removed(self, signal: DatabaseRemoved) -> None:
-        for request in self._snapshot(signal.database):
-            if request.state in _WAITING:
-                self._cancel(request)
+        for request in self._active_requests(signal.database):
+            if request.state in _WAITING_STATES:
+                self._cancel_queued(request)
                 self.answer_not_run(request, ErrorCode.UNKNOWN_DATABASE, "removed")
 
-    def _snapshot(self, database: str) -> Iterable[RequestRow]:
+    def _active_requests(self, database: str) -> Iterable[RequestRow]:
         return list(self._active.get(database, {}).values())
 
     # -- The end -------------------------------------------------------------
@@ -334,8 +334,8 @@
             request = self.tables.requests.get(number)
             if request is None or request.transaction or request.followers:
                 continue
-            if request.state in _WAITING or request.access is Access.READ:
-                self._cancel(request)
+            if request.state in _WAITING_STATES or request.access is Access.READ:
+                self._cancel_queued(request)
                 self.answer_not_run(
                     request, ErrorCode.UNKNOWN_SESSION, "the caller left"
                 )
@@ -350,7 +350,7 @@
             request_id=request.request.request_id,
             outcome=Outcome.DONE,
             rows=rows,
-            served_by=self._name_of(request.address),
+            served_by=self._endpoint_name(request.address),
             repeated=request.repeated,
         )
         self.finish(request, answer)
@@ -389,15 +389,15 @@
 
     def finish(self, request: RequestRow, answer: CallerAnswer) -> None:
         """Send the final answer and forget the request."""
-        self._close(request)
-        self.answers.final(request, answer)
+        self._remove(request)
+        self.answers.send_final(request, answer)
 
     def send_part(self, request: RequestRow, answer: CallerAnswer) -> None:
         """Send a part of an answer that goes on."""
         request.parts_sent += 1
         self.answers.send(request.stream, request.request.request_id, answer)
 
-    def _close(self, request: RequestRow) -> None:
+    def _remove(self, request: RequestRow) -> None:
         request.state = RequestState.FINISHED
         if request.timer is not None:
             request.timer.cancel()
@@ -412,7 +412,7 @@
         self.tables.requests.pop(request.number, None)
         if request.connection and not request.transaction:
             # It still owes a reply. Pooling waits for that before the next use.
-            self.abandon(request)
+            self.abandon_connection(request)
 
     def _raise_floors(self, request: RequestRow, position: LogPosition) -> None:
         streams = [request.stream]
@@ -422,7 +422,7 @@
             if session is not None:
                 self._sessions.raise_floor(session, request.database, position)
 
-    def _name_of(self, address: str) -> str:
+    def _endpoint_name(self, address: str) -> str:
         endpoint = self.tables.endpoints.get(address)
         return endpoint.name if endpoint is not None else ""
 
@@ -440,8 +440,8 @@
         elif state is RequestState.WAITING_FLOOR:
             code = ErrorCode.FLOOR_NOT_REACHED
             self.answer_not_run(request, code, request.detail, RETRY_AFTER)
-        elif state in _WAITING:
-            self._cancel(request)
+        elif state in _WAITING_STATES:
+            self._cancel_queued(request)
             code = ErrorCode.DEADLINE_PASSED
             self.answer_not_run(request, code, request.detail, RETRY_AFTER)
         elif isinstance(request.request, BeginRequest):
@@ -450,6 +450,6 @@
         else:
             self.answer_unknown(request, f"the deadline passed while {state.value}")
 
-    def _cancel(self, request: RequestRow) -> None:
+    def _cancel_queued(self, request: RequestRow) -> None:
         if request.state is RequestState.QUEUED:
             self._pooling.cancel(request)
--- a/mallowpass/core/systems/retries.py
+++ b/mallowpass/core/systems/retries.py
@@ -53,14 +53,14 @@
         A delay that ends past the deadline is refused too: the caller is told at
         once, not when its time is up.
         """
-        delay = self._delay(request.tries)
-        if self.now + delay >= request.expires or self.is_spent(request):
+        delay = self._backoff_delay(request.tries)
+        if self.now + delay >= request.expires or self.is_budget_spent(request):
             return None
         self._budget(service_of(request.database)).left -= 1.0
         request.tries += 1
         return delay
 
-    def is_spent(self, request: RequestRow) -> bool:
+    def is_budget_spent(self, request: RequestRow) -> bool:
         """Tell whether a request's service has no retry left."""
         return self._budget(service_of(request.database)).left < 1.0
 
@@ -70,7 +70,7 @@
             budget = self._budgets[service] = _Budget()
         return budget
 
-    def _delay(self, tries: int) -> float:
+    def _backoff_delay(self, tries: int) -> float:
         tuning = self._node.tuning
         least, most = tuning.retry_backoff_min, tuning.retry_backoff_max
         return self._node.backoff(tries, least, most)
--- a/mallowpass/core/systems/routing.py
+++ b/mallowpass/core/systems/routing.py
@@ -22,25 +22,27 @@
 LATENCY_SAME_REGION = 0.004
 LATENCY_OTHER_REGION = 0.030
 LATENCY_WEIGHT = 0.2  # of the newest sample in the moving average
-MEASURED_FOR = 2.0  # seconds after which an unused member's average is forgotten
+LATENCY_TIME_TO_LIVE = (
+    2.0  # seconds after which an unused member's average is forgotten
+)
 NO_SHARE_COST = 0.1  # seconds, of a member that this host has no connections for
-NO_SHARE_ROOM = 0.1
-UNHEARD_COST = 0.05  # seconds, of a member whose control stream is broken
-WAIT_MIN = 0.003  # seconds between two looks at members that are behind
+NO_SHARE_CAPACITY = 0.1
+CONTROL_LOST_COST = 0.05  # seconds, of a member whose control stream is broken
+REPLICA_WAIT_MIN = 0.003  # seconds between two looks at members that are behind
 # Ejection.
 EJECTION_ERRORS = 3  # in a row
-EJECTION_MIN = 0.5  # seconds; doubles with each ejection in a row
-EJECTION_MAX = 30.0
-TRIAL = 1.0  # seconds after which a trial without a result counts no more
+EJECTION_TIME_MIN = 0.5  # seconds; doubles with each ejection in a row
+EJECTION_TIME_MAX = 30.0
+TRIAL_TIMEOUT = 1.0  # seconds after which a trial without a result counts no more
 SLOW_FACTOR = 8.0  # times the best other member's average
 SLOW_LATENCY_MIN = 0.1  # seconds; never ejected as slow below this
 
 
 @dataclass(slots=True)
-class _Health:
+class _MemberHealth:
     """Hold what only routing knows of a member."""
 
-    expected: float  # seconds; by place alone
+    expected_latency: float  # seconds; by place alone
     measured_at: float = float("-inf")
     ejections: int = 0
     trial_until: float = float("-inf")  # one request tries it after an ejection
@@ -53,7 +55,7 @@
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
-        self._health: dict[str, _Health] = {}
+        self._health: dict[str, _MemberHealth] = {}
 
     def start(self) -> None:
         """Find the systems that are asked."""
@@ -76,14 +78,14 @@
         for endpoint in database.endpoints.values():
             if not self._is_replica(endpoint, database):
                 continue
-            if not self._usable(endpoint, request):
+            if not self._is_usable(endpoint, request):
                 continue
             cost = self._cost(endpoint)
             if cost < lowest and self._has_floor(endpoint, request):
                 best = endpoint
                 lowest = cost
         if best is not None:
-            self._note_trial(best)
+            self._start_trial(best)
         return best
 
     def choose_any_read(self, request: RequestRow) -> EndpointRow | None:
@@ -106,27 +108,27 @@
         for endpoint in database.endpoints.values():
             if not self._is_replica(endpoint, database):
                 continue
-            if self._is_sound(endpoint) and not self._is_failed(endpoint, request):
+            if self._is_healthy(endpoint) and not self._has_failed(endpoint, request):
                 reach = self._liveness.predicted_reach(endpoint, request.floor)
                 if reach is not None and reach < shortest:
                     shortest = reach
-        return max(shortest, WAIT_MIN) if shortest < left else 0.0
+        return max(shortest, REPLICA_WAIT_MIN) if shortest < left else 0.0
 
     def choose_fallback_read(
         self, request: RequestRow, database: DatabaseRow
     ) -> EndpointRow | None:
         """Return the primary, or else an ejected replica that has the floor."""
         primary = database.primary_row
-        if primary is not None and self._open_to(primary, request):
+        if primary is not None and self._is_open_to(primary, request):
             return primary
-        able = [
+        usable = [
             endpoint
             for endpoint in database.endpoints.values()
-            if self._open_to(endpoint, request)
+            if self._is_open_to(endpoint, request)
             and self._liveness.reached(endpoint, request.floor)
         ]
-        replicas = [row for row in able if self._is_replica(row, database)]
-        return next(iter(replicas or able), None)
+        replicas = [row for row in usable if self._is_replica(row, database)]
+        return next(iter(replicas or usable), None)
 
     # -- Writes --------------------------------------------------------------
 
@@ -155,10 +157,10 @@
                 self._eject(endpoint, health, f"{endpoint.errors} errors in a row")
 
     def _record_success(
-        self, endpoint: EndpointRow, health: _Health, latency: float
+        self, endpoint: EndpointRow, health: _MemberHealth, latency: float
     ) -> None:
         endpoint.errors = 0
-        if self.now - health.measured_at > MEASURED_FOR:
+        if self.now - health.measured_at > LATENCY_TIME_TO_LIVE:
             endpoint.latency = latency
         else:
             endpoint.latency += LATENCY_WEIGHT * (latency - endpoint.latency)
@@ -168,7 +170,7 @@
         else:
             health.ejections = 0
 
-    def _is_slow(self, endpoint: EndpointRow, health: _Health) -> bool:
+    def _is_slow(self, endpoint: EndpointRow, health: _MemberHealth) -> bool:
         database = self.tables.databases.get(endpoint.database)
         if database is None or self._is_primary(endpoint):
             return False
@@ -184,13 +186,15 @@
         ]
         best = min(others, default=None)
         return best is not None and endpoint.latency > SLOW_FACTOR * (
-            best + health.expected
+            best + health.expected_latency
         )
 
-    def _eject(self, endpoint: EndpointRow, health: _Health, why: str) -> None:
+    def _eject(self, endpoint: EndpointRow, health: _MemberHealth, why: str) -> None:
         # A member that fails keeps failing for a while: one would see a share of
         # all reads fail, again and again. Growing times keep that share small.
-        pause = self._node.backoff(health.ejections, EJECTION_MIN, EJECTION_MAX)
+        pause = self._node.backoff(
+            health.ejections, EJECTION_TIME_MIN, EJECTION_TIME_MAX
+        )
         health.ejections = min(health.ejections + 1, 10)
         endpoint.ejected_until = self.now + pause
         text = f"ejected for {pause:.3f}s: {why}"
@@ -203,7 +207,7 @@
             why=why,
         )
 
-    def takes_long(self, request: RequestRow, least: float, factor: float) -> bool:
+    def is_overdue(self, request: RequestRow, least: float, factor: float) -> bool:
         """Tell whether a statement takes `factor` times the usual, and `least` s."""
         endpoint = self.tables.endpoints.get(request.address)
         usual = endpoint.latency if endpoint is not None else 0.0
@@ -223,18 +227,18 @@
         database = self.tables.databases.get(endpoint.database)
         return database is not None and database.primary == endpoint.address
 
-    def _open_to(self, endpoint: EndpointRow, request: RequestRow) -> bool:
+    def _is_open_to(self, endpoint: EndpointRow, request: RequestRow) -> bool:
         if endpoint.leaving:
             return False
         return request.avoided is None or endpoint.address not in request.avoided
 
-    def _is_failed(self, endpoint: EndpointRow, request: RequestRow) -> bool:
-        return not request.behind and not self._open_to(endpoint, request)
+    def _has_failed(self, endpoint: EndpointRow, request: RequestRow) -> bool:
+        return not request.behind and not self._is_open_to(endpoint, request)
 
-    def _usable(self, endpoint: EndpointRow, request: RequestRow) -> bool:
-        return self._open_to(endpoint, request) and self._is_sound(endpoint)
+    def _is_usable(self, endpoint: EndpointRow, request: RequestRow) -> bool:
+        return self._is_open_to(endpoint, request) and self._is_healthy(endpoint)
 
-    def _is_sound(self, endpoint: EndpointRow) -> bool:
+    def _is_healthy(self, endpoint: EndpointRow) -> bool:
         if endpoint.leaving:
             return False
         if endpoint.ejected_until > self.now:
@@ -248,42 +252,44 @@
             return True
         reach = self._liveness.predicted_reach(endpoint, request.floor)
         # It checks the floor when the call arrives, half a round trip from now.
-        return reach is not None and reach <= self._latency(endpoint) / 2
+        return reach is not None and reach <= self._latency_estimate(endpoint) / 2
 
     def _cost(self, endpoint: EndpointRow) -> float:
-        latency = self._latency(endpoint)
+        latency = self._latency_estimate(endpoint)
         pool = self._pooling.known_pool(endpoint.address)
         if pool is None:
             return latency
         if not endpoint.control_open:
-            latency += UNHEARD_COST
+            latency += CONTROL_LOST_COST
         load = pool.active + len(pool.queue)
         # Without a share it takes a loan first, and loans may not come.
-        room = pool.share or NO_SHARE_ROOM
+        room = pool.share or NO_SHARE_CAPACITY
         return latency * (1.0 + load / room) + (0.0 if pool.share else NO_SHARE_COST)
 
-    def _latency(self, endpoint: EndpointRow) -> float:
+    def _latency_estimate(self, endpoint: EndpointRow) -> float:
         health = self._health_of(endpoint)
-        if self.now - health.measured_at > MEASURED_FOR:
-            return health.expected
+        if self.now - health.measured_at > LATENCY_TIME_TO_LIVE:
+            return health.expected_latency
         return endpoint.latency
 
     def _is_measured(self, endpoint: EndpointRow) -> bool:
-        return self.now - self._health_of(endpoint).measured_at <= MEASURED_FOR
+        return self.now - self._health_of(endpoint).measured_at <= LATENCY_TIME_TO_LIVE
 
-    def _note_trial(self, endpoint: EndpointRow) -> None:
+    def _start_trial(self, endpoint: EndpointRow) -> None:
         health = self._health_of(endpoint)
         if health.ejections:
-            health.trial_until = self.now + TRIAL
+            health.trial_until = self.now + TRIAL_TIMEOUT
 
-    def _health_of(self, endpoint: EndpointRow) -> _Health:
+    def _health_of(self, endpoint: EndpointRow) -> _MemberHealth:
         health = self._health.get(endpoint.address)
         if health is None:
-            health = _Health(self._expected(endpoint.member.failure_domain))
+            health = _MemberHealth(
+                self._expected_latency(endpoint.member.failure_domain)
+            )
             self._health[endpoint.address] = health
         return health
 
-    def _expected(self, failure_domain: str) -> float:
+    def _expected_latency(self, failure_domain: str) -> float:
         identity = self._node.identity
         if failure_domain == identity.failure_domain:
             return LATENCY_SAME_DOMAIN
--- a/mallowpass/core/systems/sessionfloors.py
+++ b/mallowpass/core/systems/sessionfloors.py
@@ -14,7 +14,7 @@
 
 __all__ = ["SessionFloors"]
 
-LEARNT_MAX = 2  # times that a read's floor is learnt for its age, at most
+LEARN_COUNT_MAX = 2  # times that a read's floor is learnt for its age, at most
 
 
 class SessionFloors(System):
@@ -53,11 +53,11 @@
         if age is None:
             return
         database = self.tables.databases[request.database]
-        aged = self._liveness.age_floor(database, age)
-        if aged is None:
+        aged_floor = self._liveness.age_floor(database, age)
+        if aged_floor is None:
             request.fresh_floor = True
-        elif aged > request.floor:
-            request.floor = aged
+        elif aged_floor > request.floor:
+            request.floor = aged_floor
 
     def _accepted_age(self, request: RequestRow) -> float | None:
         if request.access is Access.WRITE:
@@ -93,7 +93,7 @@
         request.floor = max(request.floor, position)
         age = self._accepted_age(request)
         if age is not None and self.now - request.floor_at > age:
-            request.learnt = LEARNT_MAX  # another one would be too old again
+            request.learnt = LEARN_COUNT_MAX  # another one would be too old again
         self._requests.route(request)
 
     def handle_lost_floor(self, request: RequestRow) -> bool:
@@ -115,10 +115,10 @@
         self.learn(request)
         return True
 
-    def _is_dropped(self, database: DatabaseRow, place: LogPosition) -> bool:
-        if not 0 < place.term < database.term:
+    def _is_dropped(self, database: DatabaseRow, position: LogPosition) -> bool:
+        if not 0 < position.term < database.term:
             return False
-        return self._liveness.floor_lost(database, place)
+        return self._liveness.floor_lost(database, position)
 
     def refresh(self, request: RequestRow) -> bool:
         """Tell whether the floor still meets the age after the wait so far."""
@@ -128,15 +128,15 @@
         if request.learnt and self.now - request.floor_at <= age:
             return True
         database = self.tables.databases[request.database]
-        aged = self._liveness.age_floor(database, age)
-        if aged is not None:
-            request.floor = max(request.floor, aged)
+        aged_floor = self._liveness.age_floor(database, age)
+        if aged_floor is not None:
+            request.floor = max(request.floor, aged_floor)
             return True
         # Any floor that was learnt for a read holds all that was acknowledged before
         # it arrived. An age shorter than learning and queueing take is met by none:
         # the read would learn until its deadline.
         request.fresh_floor = True
-        return request.learnt >= LEARNT_MAX
+        return request.learnt >= LEARN_COUNT_MAX
 
     # -- Checking ------------------------------------------------------------
 
@@ -146,8 +146,8 @@
         # guess: without this a lagging replica's answer would hide the session's
         # own writes from it.
         return all(
-            self._contains(request, applied, place)
-            for place in (request.floor, *request.seen)
+            self._contains(request, applied, position)
+            for position in (request.floor, *request.seen)
         )
 
     def _contains(
--- a/mallowpass/core/systems/sessions.py
+++ b/mallowpass/core/systems/sessions.py
@@ -31,21 +31,21 @@
 from mallowpass.core.tables import SessionRow
 from mallowpass.errors import ErrorCode, MallowpassError
 
-__all__ = ["Sessions", "lost_key"]
+__all__ = ["Sessions", "lost_floor_key"]
 
-REQUESTS_MAX = 1024  # in flight of one session
+SESSION_REQUESTS_MAX = 1024  # in flight of one session
 RETRY_AFTER = 0.5  # seconds; advice to who met a limit of this host
 
 # Floors that a promotion dropped stand beside the newest ones, under names that no
 # database can have: so they travel in the same token, also through older hosts.
-_LOST = "/lost"
+_LOST_SUFFIX = "/lost"
 
-_COME_BACK = frozenset({ErrorCode.SESSION_LIMIT, ErrorCode.DRAINING})
+_RETRY_LATER_CODES = frozenset({ErrorCode.SESSION_LIMIT, ErrorCode.DRAINING})
 
 
-def lost_key(database_key: str) -> str:
+def lost_floor_key(database_key: str) -> str:
     """Return the name of what a session saw of a database and a promotion dropped."""
-    return database_key + _LOST
+    return database_key + _LOST_SUFFIX
 
 
 class Sessions(System):
@@ -89,7 +89,7 @@
             return
         older, newer = sorted((floor, position))
         if self._is_lost(database_key, older, newer):
-            self._put_floor(session, lost_key(database_key), older)
+            self._put_floor(session, lost_floor_key(database_key), older)
         self._put_floor(session, database_key, newer)
 
     @staticmethod
@@ -111,7 +111,7 @@
         self, session: SessionRow, database_key: str
     ) -> tuple[LogPosition, ...]:
         """Return the places that the session's reads must contain, newest first."""
-        keys = (database_key, lost_key(database_key))
+        keys = (database_key, lost_floor_key(database_key))
         return tuple(session.floors[key] for key in keys if key in session.floors)
 
     def token(self, session: SessionRow) -> bytes:
@@ -128,38 +128,40 @@
     def _on_disconnected(self, event: CallerDisconnected) -> None:
         session = self.tables.sessions.get(event.stream)
         if session is not None:
-            self._end(session)
+            self._end_session(session)
 
     def _on_requested(self, event: CallerRequested) -> None:
         session = self.tables.sessions.get(event.stream)
         if session is None:
             return
         request = event.request
-        code = self._finding(session, request)
+        code = self._refusal_code(session, request)
         if code is not None:
             self._refuse(session, request, code)
             return
         try:
-            self._take_token(session, request.token)
+            self._merge_token(session, request.token)
         except MallowpassError as error:
             self._refuse(session, request, error.error_code, str(error))
             return
         self._dispatch(request, session)
 
-    def _finding(self, session: SessionRow, request: CallerRequest) -> ErrorCode | None:
+    def _refusal_code(
+        self, session: SessionRow, request: CallerRequest
+    ) -> ErrorCode | None:
         if not request.request_id:
             return ErrorCode.INVALID_FIELD
         if not session.service and not isinstance(request, OpenRequest | CloseRequest):
             return ErrorCode.UNKNOWN_SESSION
         if self._draining.closing and not isinstance(request, CloseRequest):
             return ErrorCode.DRAINING
-        if len(session.requests) >= REQUESTS_MAX:
+        if len(session.requests) >= SESSION_REQUESTS_MAX:
             return ErrorCode.SESSION_LIMIT
         if len(self.tables.requests) >= self._node.tuning.requests_in_flight:
             return ErrorCode.SESSION_LIMIT
         return None
 
-    def _take_token(self, session: SessionRow, token: bytes) -> None:
+    def _merge_token(self, session: SessionRow, token: bytes) -> None:
         if not token or token == session.token:
             return
         floors = decode_token(self._node.identity.token_key, token)
@@ -175,14 +177,14 @@
 
     @_handle.register
     def _(self, request: OpenRequest, session: SessionRow) -> None:
-        code = self._open_finding(session, request)
+        code = self._open_refusal_code(session, request)
         if code is not None:
             self._refuse(session, request, code)
             return
         session.service = request.service
         session.caller = request.caller
         session.request_class = request.request_class
-        self._done(session, request)
+        self._answer_done(session, request)
 
     @_handle.register
     def _(self, request: ExecuteRequest, session: SessionRow) -> None:
@@ -205,11 +207,11 @@
 
     @_handle.register
     def _(self, request: CloseRequest, session: SessionRow) -> None:
-        self._done(session, request)
-        self._end(session)
+        self._answer_done(session, request)
+        self._end_session(session)
         self._node.emit(CloseCaller(session.stream))
 
-    def _open_finding(
+    def _open_refusal_code(
         self, session: SessionRow, request: OpenRequest
     ) -> ErrorCode | None:
         if session.service or not request.caller:
@@ -224,7 +226,7 @@
             return ErrorCode.UNKNOWN_SERVICE
         return None
 
-    def _end(self, session: SessionRow) -> None:
+    def _end_session(self, session: SessionRow) -> None:
         self._transactions.roll_back_all(session.stream)
         del self.tables.sessions[session.stream]
         self._requests.abandon_session(session)
@@ -238,10 +240,10 @@
         code: ErrorCode,
         message: str = "",
     ) -> None:
-        after = RETRY_AFTER if code in _COME_BACK else 0.0
+        after = RETRY_AFTER if code in _RETRY_LATER_CODES else 0.0
         self._requests.answers.refuse(session, request, code, message, after)
 
-    def _done(self, session: SessionRow, request: CallerRequest) -> None:
+    def _answer_done(self, session: SessionRow, request: CallerRequest) -> None:
         name = request.request_id
         answer = CallerAnswer(request_id=name, outcome=Outcome.DONE)
         self._requests.answers.send(session.stream, name, answer)
--- a/mallowpass/core/systems/waiting.py
+++ b/mallowpass/core/systems/waiting.py
@@ -11,18 +11,20 @@
 
 __all__ = ["Waiting"]
 
-RECHECK = 0.1  # seconds between looks at what is held, should a signal be missed
+RECHECK_INTERVAL = (
+    0.1  # seconds between looks at what is held, should a signal be missed
+)
 
 
 class Waiting(System):
     """Hold requests, and let them go on in order of arrival; a part of Requests."""
 
-    __slots__ = ("_held", "_rechecked", "_requests", "_retries", "_routing")
+    __slots__ = ("_held", "_recheck_scheduled", "_requests", "_retries", "_routing")
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
         self._held: dict[str, dict[int, RequestRow]] = {}  # by database key
-        self._rechecked: set[str] = set()  # database keys that have a timer
+        self._recheck_scheduled: set[str] = set()  # database keys that have a timer
 
     def start(self) -> None:
         """Find the systems that are asked."""
@@ -42,9 +44,9 @@
         request.detail = why
         key = request.database
         self._held.setdefault(key, {})[request.number] = request
-        if key not in self._rechecked:
-            self._rechecked.add(key)
-            self.timers.after(RECHECK, self._recheck, key)
+        if key not in self._recheck_scheduled:
+            self._recheck_scheduled.add(key)
+            self.timers.after(RECHECK_INTERVAL, self._recheck, key)
 
     def forget(self, request: RequestRow) -> None:
         """Let go of a finished request."""
@@ -68,9 +70,9 @@
     def _recheck(self, database: str) -> None:
         self.release(database)
         if self._held.get(database):
-            self.timers.after(RECHECK, self._recheck, database)
+            self.timers.after(RECHECK_INTERVAL, self._recheck, database)
         else:
-            self._rechecked.discard(database)
+            self._recheck_scheduled.discard(database)
 
     # -- Before a retry ------------------------------------------------------
 
@@ -88,14 +90,14 @@
         text = f"{why}; again in {delay:.3f}s"
         self._node.decide("retry", request.request.request_id, text)
         request.state = RequestState.BACKOFF
-        self.timers.after(delay, self._again, request, request.tries)
+        self.timers.after(delay, self._on_backoff_ended, request, request.tries)
 
     def _give_up(self, request: RequestRow, code: ErrorCode, why: str) -> None:
-        if self._retries.is_spent(request):
+        if self._retries.is_budget_spent(request):
             code = ErrorCode.RETRY_BUDGET_SPENT
         self._requests.answer_not_run(request, code, why, self._retries.retry_after)
 
-    def _again(self, request: RequestRow, tries: int) -> None:
+    def _on_backoff_ended(self, request: RequestRow, tries: int) -> None:
         if request.state is RequestState.BACKOFF and request.tries == tries:
             request.avoided = None
             self._requests.route(request)
--- a/mallowpass/core/systems/writes.py
+++ b/mallowpass/core/systems/writes.py
@@ -40,12 +40,14 @@
 
 __all__ = ["Writes"]
 
-OVERDUE = 0.5  # seconds after which a write is looked up, at the earliest
+OVERDUE_MIN = 0.5  # seconds after which a write is looked up, at the earliest
 OVERDUE_FACTOR = 8.0  # times the primary's usual latency
-LOOK = OVERDUE / 2  # seconds between looks; the connection is asked at the first
-FENCED_MAX = 16  # refusals for a fenced attempt before a request is given up
+CHECK_INTERVAL = (
+    OVERDUE_MIN / 2
+)  # seconds between looks; the connection is asked at the first
+FENCED_TRIES_MAX = 16  # refusals for a fenced attempt before a request is given up
 
-_RETRIED = frozenset(
+_RETRIED_CODES = frozenset(
     {
         EndpointCode.BEHIND,
         EndpointCode.TOO_MANY_CONNECTIONS,
@@ -53,7 +55,7 @@
         EndpointCode.CONFLICT,
     }
 )
-_HELD = frozenset({EndpointCode.WRONG_TERM, EndpointCode.LEAVING})
+_HELD_CODES = frozenset({EndpointCode.WRONG_TERM, EndpointCode.LEAVING})
 
 
 class Writes(System):
@@ -62,7 +64,7 @@
     __slots__ = (
         "_failover",
         "_liveness",
-        "_overdue",
+        "_watchdog",
         "_pooling",
         "_recent",
         "_requests",
@@ -79,7 +81,7 @@
 
     def start(self) -> None:
         """Find the systems that are asked."""
-        self._overdue = Watchdog(self.timers, LOOK, self._on_late)
+        self._watchdog = Watchdog(self.timers, CHECK_INTERVAL, self._on_check_due)
         from mallowpass.core.systems.requests import Requests
         from mallowpass.core.systems.transactions import Transactions
 
@@ -112,7 +114,7 @@
         else:
             self.route(request)
 
-    def join_running(
+    def handle_duplicate(
         self, session: SessionRow, request: ExecuteRequest, key: str
     ) -> bool:
         """Join a copy of an unrepeatable write to its run; tell whether it is done.
@@ -127,7 +129,7 @@
             self.attach_duplicate(running, session, request)
             return True
         digest = digest_of_statement(key, request)
-        return self._was_reused(session, request, name, digest)
+        return self._refuse_if_reused(session, request, name, digest)
 
     def refuse_reused_begin(
         self, session: SessionRow, request: BeginRequest, key: str
@@ -137,9 +139,9 @@
         Its commit would be answered from the other's record, and not run.
         """
         name = record_id(session.caller, request.request_id)
-        return self._was_reused(session, request, name, digest_of_begin(key))
+        return self._refuse_if_reused(session, request, name, digest_of_begin(key))
 
-    def _was_reused(
+    def _refuse_if_reused(
         self, session: SessionRow, request: CallerRequest, name: str, digest: bytes
     ) -> bool:
         if not self._recent.is_reused(name, digest):
@@ -152,7 +154,7 @@
     ) -> None:
         """Have a copy of a request in flight answered from the one run."""
         row = self.tables.requests[running]
-        if not self._is_copy(row, session, request):
+        if not self._is_duplicate(row, session, request):
             self._requests.answers.refuse(session, request, ErrorCode.REQUEST_ID_REUSED)
             return
         session.requests[request.request_id] = running
@@ -161,7 +163,7 @@
         row.followers.append((session.stream, request.request_id))
         self._node.decide("join", request.request_id, "joined its copy in flight")
 
-    def _is_copy(
+    def _is_duplicate(
         self, row: RequestRow, session: SessionRow, request: ExecuteRequest
     ) -> bool:
         first = row.request
@@ -200,7 +202,7 @@
             self.route(request)
             return
         request.state = RequestState.SENT
-        self._overdue.renew(request.number)
+        self._watchdog.renew(request.number)
         request.sent_term = database.term
         self._pooling.send(connection, self._call(request))
 
@@ -261,15 +263,15 @@
         self._requests.waiting.retry(request, ErrorCode.FLOOR_NOT_REACHED, why)
 
     def _record(self, request: RequestRow, connection: ConnectionRow) -> None:
-        self._overdue.remove(request.number)
+        self._watchdog.remove(request.number)
         latency = self.now - request.sent_at
         self._requests.record(connection.address, latency, ok=True)
 
     def watch_commit(self, request: RequestRow) -> None:
         """Look a commit up if its answer is late, as with a write."""
-        self._overdue.renew(request.number)
+        self._watchdog.renew(request.number)
 
-    def _on_late(self, number: int) -> None:
+    def _on_check_due(self, number: int) -> None:
         """Look a write up when its answer is late and its connection seems silent.
 
         A connection may be silent for good while the primary is well: one sees
@@ -283,32 +285,34 @@
         connection = self.tables.connections.get(request.connection)
         if connection is None:
             return
-        if self._pooling.answers(connection, LOOK) or not self._is_overdue(request):
-            self._overdue.add(number)
+        if self._pooling.answers(connection, CHECK_INTERVAL) or not self._is_overdue(
+            request
+        ):
+            self._watchdog.add(number)
         elif request.transaction:
             self._on_commit_overdue(request)
         elif self._retries.take_retry(request) is None:
-            self._overdue.add(number)
+            self._watchdog.add(number)
         else:
             # Paid now: a primary that pauses makes many writes overdue at once, and
             # those that the budget does not reach are better left waiting.
             request.prepaid = True
             self._requests.abandon_silent(request)
-            self._requests.outcomes.resolve(request, self._lateness(request))
+            self._requests.outcomes.resolve(request, self._overdue_reason(request))
 
     def _is_overdue(self, request: RequestRow) -> bool:
-        return self._routing.takes_long(request, OVERDUE, OVERDUE_FACTOR)
+        return self._routing.is_overdue(request, OVERDUE_MIN, OVERDUE_FACTOR)
 
     def _on_commit_overdue(self, request: RequestRow) -> None:
         # A fenced commit is not sent again: its whole transaction is lost. So only if
         # the primary is heard elsewhere, which it is not while it stands still.
         endpoint = self.tables.endpoints.get(request.address)
-        if endpoint is None or endpoint.heard_at <= self.now - LOOK:
-            self._overdue.add(request.number)
+        if endpoint is None or endpoint.heard_at <= self.now - CHECK_INTERVAL:
+            self._watchdog.add(request.number)
             return
-        self._transactions.commit_overdue(request, self._lateness(request))
+        self._transactions.commit_overdue(request, self._overdue_reason(request))
 
-    def _lateness(self, request: RequestRow) -> str:
+    def _overdue_reason(self, request: RequestRow) -> str:
         return f"no answer in {self.now - request.sent_at:.3f}s"
 
     def await_majority(
@@ -351,18 +355,18 @@
         code = reply.code
         why = f"{request.address}: {code.name} {reply.message}".rstrip()
         if code is EndpointCode.FENCED:
-            self._after_fence(request, reply)
-        elif code in _HELD:
-            self._after_wrong_term(request, why)
-        elif code in _RETRIED:
+            self._on_fenced(request, reply)
+        elif code in _HELD_CODES:
+            self._on_wrong_term(request, why)
+        elif code in _RETRIED_CODES:
             self._requests.waiting.retry(request, ErrorCode.ENDPOINT_REFUSED, why)
         else:
             self._requests.answer_not_run(request, code_of_refusal(reply), why)
 
-    def _after_fence(self, request: RequestRow, reply: EndpointReply) -> None:
+    def _on_fenced(self, request: RequestRow, reply: EndpointReply) -> None:
         # An earlier copy was given up and fenced. This attempt's number stands
         # under the fence too; a higher one is a new run, and the only one.
-        if request.tries >= FENCED_MAX:
+        if request.tries >= FENCED_TRIES_MAX:
             why = f"fenced {request.tries} times"
             self._requests.answer_not_run(request, ErrorCode.ENDPOINT_REFUSED, why)
             return
@@ -370,7 +374,7 @@
         request.attempt = max(reply.attempt, request.attempt) + 1
         self.route(request)
 
-    def _after_wrong_term(self, request: RequestRow, why: str) -> None:
+    def _on_wrong_term(self, request: RequestRow, why: str) -> None:
         database = self.tables.databases.get(request.database)
         if database is None or database.term != request.sent_term:
             self._requests.route(request)
@@ -378,7 +382,7 @@
             # Its reports will say so soon. Sent again now it would be refused again.
             self._requests.waiting.hold(request, why)
 
-    def refused(self, request: RequestRow, code: ErrorCode, why: str) -> None:
+    def on_refused(self, request: RequestRow, code: ErrorCode, why: str) -> None:
         """Find another way for a write that got no connection."""
         if code is ErrorCode.FAILING_OVER:
             self.route(request)
@@ -392,7 +396,7 @@
 
     # -- Promotions ----------------------------------------------------------
 
-    def primary_changed(self, request: RequestRow, database: DatabaseRow) -> None:
+    def on_primary_changed(self, request: RequestRow, database: DatabaseRow) -> None:
         """Move a write that counted on an earlier primary."""
         state = request.state
         if state is RequestState.QUEUED:
