--- a/mallowpass/core/systems/answers.py
+++ b/mallowpass/core/systems/answers.py
@@ -1,4 +1,4 @@
-"""What callers are told: codes, outcomes, tokens, and how answers are counted."""
+"""Answers to callers: codes, outcomes, session tokens and metrics."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
 # -- Counts -------------------------------------------------------------------
 
 RETRIES_COUNT = Count("retries")
-COUNT_CACHE_SIZE = 4096  # of so many services and kinds the counts are made once
+COUNT_CACHE_SIZE = 4096  # combinations of labels whose counts are cached
 
 
 @lru_cache(COUNT_CACHE_SIZE)
 def read_count(replica: bool, database: str) -> Count:
-    """Return the count of a read by who served it; `database` is a key."""
+    """Return the count of a read by its member's role; `database` is a key."""
     role = "replica" if replica else "primary"
     return Count("reads", 1, (("role", role), ("service", service_of(database))))
 
@@ -61,18 +61,18 @@
 
 def record_id(caller: str, request_id: str) -> str:
     """Return the id that an endpoint records for a caller's request."""
-    # Escaped: caller "a/b" with id "c" must not meet caller "a" with id "b/c".
+    # Escaped, as caller "a/b" with id "c" must differ from caller "a" with id "b/c".
     name = caller.replace("%", "%25").replace("/", "%2F").replace("~", "%7E")
     return f"{name}/{request_id}"
 
 
 def code_of(code: str) -> ErrorCode:
-    """Return the entry of a code given by its number or its name."""
+    """Return the error code with the given number or name."""
     return ErrorCode.__members__.get(code) or ErrorCode.by_code(code)
 
 
 def code_of_refusal(reply: EndpointReply) -> ErrorCode:
-    """Return the code for a statement that the endpoint refused for good."""
+    """Return the error code for a statement that must not be retried."""
     if reply.code is not EndpointCode.SQL_ERROR:
         return ErrorCode.ENDPOINT_REFUSED
     message = reply.message.lower()
@@ -87,12 +87,12 @@
 
 
 class Answers(System):
-    """Send answers with the session's token, and count them; a part of Requests."""
+    """Send answers with the session's token and count them; a part of Requests."""
 
     __slots__ = ("_draining", "_sessions")
 
     def start(self) -> None:
-        """Find the systems that are asked."""
+        """Look up the systems that this one calls."""
         from mallowpass.core.systems.draining import Draining
         from mallowpass.core.systems.sessions import Sessions
 
@@ -108,7 +108,7 @@
         retry_after: float = 0.0,
         outcome: Outcome = Outcome.NOT_RUN,
     ) -> None:
-        """Answer a request that got no row."""
+        """Refuse a request that has no row."""
         text = message or code.meaning
         self._node.count("refused", code=code.code)
         self._node.decide("refuse", request.request_id, f"{code.code} {text}")
@@ -122,7 +122,7 @@
         self.send(session.stream, request.request_id, answer)
 
     def send_final(self, request: RequestRow, answer: CallerAnswer) -> None:
-        """Send the final answer to a request's caller and to its copies'."""
+        """Send the final answer to a request and to its duplicates."""
         self._finish_in_session(request.stream, request.request.request_id, answer)
         if request.followers is not None:
             for stream, request_id in request.followers:
@@ -143,7 +143,7 @@
             self.send(stream, request_id, answer)
 
     def send(self, stream: int, request_id: str, answer: CallerAnswer) -> None:
-        """Send an answer, or a part of one, with the stream's own token."""
+        """Send an answer, or a part of one, with the token of the stream's session."""
         session = self.tables.sessions.get(stream)
         if session is None:
             return
--- a/mallowpass/core/systems/outcomes.py
+++ b/mallowpass/core/systems/outcomes.py
@@ -1,4 +1,8 @@
-"""What became of a write that nobody answered for: looked up, fenced, resolved."""
+"""The resolution of writes whose outcome is unknown.
+
+The primary is asked for the record of the write and fences the attempt in the same
+call. The write is then acknowledged from its record, sent again, or answered.
+"""
 
 from __future__ import annotations
 
@@ -21,17 +25,17 @@
 
 __all__ = ["FIRST_ATTEMPT", "Outcomes"]
 
-FIRST_ATTEMPT = 1  # 0 would stand for "no attempt was fenced"
+FIRST_ATTEMPT = 1  # 0 means that no attempt was fenced
 LOOK_UP_TIMEOUT = 0.5  # seconds
-LOOK_UP_INTERVAL = 0.05  # seconds between look-ups without a verdict
+LOOK_UP_INTERVAL = 0.05  # seconds until a look-up without a result is repeated
 
 
 @dataclass(slots=True, eq=False)
 class _LookUp:
-    """Hold one question for a request's outcome; a newer one takes its place.
+    """A look-up of a request's outcome, which a newer look-up supersedes.
 
-    A verdict on an earlier attempt, or of an earlier term, must not count for a
-    write that was sent again since.
+    A result for an earlier attempt or from an earlier term must not count for a write
+    that was sent again since.
     """
 
     request: RequestRow
@@ -39,7 +43,7 @@
     is_current: bool = True
 
     def cancel(self) -> None:
-        """Have the answer ignored."""
+        """Ignore the reply to this look-up."""
         self.is_current = False
 
 
@@ -49,16 +53,16 @@
     __slots__ = ("_liveness", "_requests")
 
     def start(self) -> None:
-        """Find the systems that are asked."""
+        """Look up the systems that this one calls."""
         from mallowpass.core.systems.requests import Requests
 
         self._liveness = self._node.system(liveness_module.Liveness)
         self._requests = self._node.system(Requests)
 
     def resolve(self, request: RequestRow, why: str) -> None:
-        """Find out whether a write ran, and see to it that it runs no more."""
+        """Find out whether a write ran, and prevent it from running later."""
         if isinstance(request.request, BeginRequest):
-            # Nothing of it can stay: no commit was sent.
+            # A transaction has no lasting effect before its commit.
             self._requests.waiting.retry(request, ErrorCode.CONNECTION_LOST, why)
             return
         request.state = RequestState.RESOLVING
@@ -68,7 +72,7 @@
         self.look_up(request)
 
     def look_up(self, request: RequestRow) -> None:
-        """Ask the primary for the record, once there is one to ask."""
+        """Ask the primary for the record of a write, once a primary is known."""
         if request.state is not RequestState.RESOLVING:
             return
         database = self.tables.databases.get(request.database)
@@ -77,7 +81,7 @@
             return
         primary = database.primary_row
         if primary is None or database.term < request.sent_term:
-            return  # PrimaryChanged comes here again, or the deadline passes
+            return  # repeated upon PrimaryChanged, unless the deadline passes first
         if primary.report is not None and not primary.report.outcome_lookup:
             self._resolve_without_record(request)
             return
@@ -94,10 +98,10 @@
 
     def _resolve_without_record(self, request: RequestRow) -> None:
         if request.idempotent:
-            why = f"{request.detail}; it may run twice"
+            why = f"{request.detail}; an idempotent write may run twice"
             self._requests.waiting.retry(request, ErrorCode.FAILING_OVER, why)
         else:
-            why = f"{request.detail}; the endpoint keeps no record"
+            why = f"{request.detail}; the endpoint keeps no records of outcomes"
             self._requests.answer_unknown(request, why)
 
     def _on_looked_up(self, look_up: _LookUp, reply: ControlReply | None) -> None:
@@ -134,11 +138,12 @@
         )
 
     def _on_not_recorded(self, look_up: _LookUp, database: DatabaseRow) -> None:
-        # The log of this term has no record. That is proof once a majority holds the
-        # start of the term: before, the next promotion could still choose an earlier
-        # primary's log, record and all, after the caller was told NOT_RUN. The term
-        # of the sending is no exception: an earlier copy may have come through
-        # another host. Normally the start is held long since.
+        # The log of this term has no record of the write. Once a majority holds the
+        # start of the term, this proves that the write did not run. Until then the next
+        # promotion could choose an earlier primary's log that has the record, after the
+        # caller was answered NOT_RUN. The term in which the write was sent is no
+        # exception: a duplicate may have run earlier through another host. Usually a
+        # majority holds the start of the term already.
         start = LogPosition(look_up.term, 1)
         callback = partial(self._on_term_start_held, look_up)
         self._liveness.wait_held(database, start, callback)
@@ -156,7 +161,7 @@
         look_up.cancel()
         request.waiter = None
         subject = request.request.request_id
-        self._node.decide("resolve", subject, "not recorded, and fenced")
+        self._node.decide("resolve", subject, "not recorded; the attempt is fenced")
         why = f"proven not run: {request.detail}"
         if isinstance(request.request, CommitRequest):
             code = ErrorCode.TRANSACTION_ROLLED_BACK
@@ -167,7 +172,8 @@
         prepaid = request.prepaid
         request.prepaid = False
         if prepaid or database is None or database.term > request.sent_term:
-            # Once for each promotion: no budget is needed to bound that.
+            # The retry is paid for, or is the only one for this promotion, which
+            # bounds the number of retries without the budget.
             self._requests.route(request)
         else:
             self._requests.waiting.retry(request, ErrorCode.FAILING_OVER, why)
--- a/mallowpass/core/systems/reads.py
+++ b/mallowpass/core/systems/reads.py
@@ -1,4 +1,7 @@
-"""Reads outside transactions: floors, members, answers checked before they leave."""
+"""Reads outside transactions: routing, sending and checking of answers.
+
+An answer is forwarded only if the log position it was made from contains the floor.
+"""
 
 from __future__ import annotations
 
@@ -34,19 +37,21 @@
 
 __all__ = ["Reads"]
 
-OVERDUE_MIN = 0.25  # seconds after which a read is tried elsewhere, at the earliest
-OVERDUE_FACTOR = 4.0  # times the member's usual latency
-CHECK_INTERVAL = (
-    OVERDUE_MIN / 2
-)  # seconds between looks; the connection is asked at the first
+# A read is retried at another member once it takes OVERDUE_MIN seconds and
+# OVERDUE_FACTOR times the member's usual latency.
+OVERDUE_MIN = 0.25
+OVERDUE_FACTOR = 4.0
+# Seconds between two checks of a read in flight. The first check sends a keep-alive on
+# its connection.
+CHECK_INTERVAL = OVERDUE_MIN / 2
 
-# Codes that say nothing bad of the member: it is merely not the right one now.
+# Refusals that do not count as errors of the member.
 _NO_FAULT_CODES = frozenset({EndpointCode.WRONG_TERM, EndpointCode.LEAVING})
 _FINAL_CODES = frozenset({EndpointCode.SQL_ERROR, EndpointCode.BAD_CALL})
 
 
 class Reads(System):
-    """Serve reads from any member that proves the floor; a part of Requests."""
+    """Serve reads from any member that has reached the floor; a part of Requests."""
 
     __slots__ = (
         "_floors",
@@ -66,7 +71,7 @@
         self._waiting: dict[str, dict[int, RequestRow]] = {}  # by database key
 
     def start(self) -> None:
-        """Find the systems that are asked."""
+        """Look up the systems that this one calls."""
         from mallowpass.core.systems.requests import Requests
         from mallowpass.core.systems.transactions import Transactions
 
@@ -84,7 +89,7 @@
     # -- Routing -------------------------------------------------------------
 
     def route(self, request: RequestRow) -> None:
-        """Send a read to the best member, or have it wait for one."""
+        """Queue a read at the best member, or have it wait until a member can serve."""
         database = self.tables.databases[request.database]
         if self._floors.handle_lost_floor(request):
             return
@@ -100,18 +105,18 @@
             self._watchdog.renew(request.number)
             self._requests.acquire(request, endpoint.address)
         elif request.avoided and not request.behind:
-            why = f"no member served it: {request.detail}"
+            why = f"no member served the read: {request.detail}"
             self._requests.waiting.retry(request, ErrorCode.ENDPOINT_REFUSED, why)
         else:
             self._waiting_reads(request)[request.number] = request
             request.avoided = None
             self._requests.waiting.hold(
-                request, "no member has its floor, and no primary"
+                request, "no primary is known, and no replica has reached the floor"
             )
 
     def _wait(self, request: RequestRow, pause: float) -> None:
         request.state = RequestState.WAITING_FLOOR
-        request.detail = "a replica is about to reach the floor"
+        request.detail = "waits for a replica to reach the floor"
         self._waiting_reads(request)[request.number] = request
         self.timers.after(pause, self._on_wait_ended, request)
 
@@ -125,7 +130,7 @@
         return self._waiting.setdefault(request.database, {})
 
     def on_report(self, endpoint: EndpointRow) -> None:
-        """Route waiting reads whose floor a member's report proves."""
+        """Route the waiting reads whose floor a member has reached by its report."""
         waiting = self._waiting.get(endpoint.database)
         if not waiting or endpoint.leaving:
             return
@@ -140,7 +145,7 @@
     # -- Sending -------------------------------------------------------------
 
     def send(self, request: RequestRow, connection: ConnectionRow) -> None:
-        """Send a read on the connection that it got."""
+        """Send a read on the connection that was granted to it."""
         if self.now > request.arrived and not self._floors.refresh(request):
             self._requests.release(request, connection)
             self._floors.learn(request)
@@ -165,7 +170,7 @@
     def on_reply(
         self, request: RequestRow, connection: ConnectionRow, reply: EndpointReply
     ) -> None:
-        """Pass an answer on that proves the floor; find another one otherwise."""
+        """Forward an answer that contains the floor; else try another member."""
         if reply.code is not EndpointCode.OK:
             self._on_refusal(request, connection, reply)
         elif not self._floors.is_satisfied(request, reply.applied):
@@ -233,8 +238,8 @@
     ) -> None:
         applied, floor = reply.applied, request.floor
         why = (
-            f"{connection.address}: answer of {applied.term}:{applied.position}"
-            f" is below the floor {floor.term}:{floor.position}"
+            f"{connection.address}: log position {applied.term}:{applied.position} of"
+            f" the answer does not contain the floor {floor.term}:{floor.position}"
         )
         if reply.last:
             began = isinstance(request.request, BeginRequest)
@@ -246,10 +251,10 @@
         self.try_elsewhere(request, ErrorCode.FLOOR_NOT_REACHED, why)
 
     def _on_check_due(self, number: int) -> None:
-        """Read elsewhere when a member takes far longer than it usually does.
+        """Retry a read elsewhere when its member takes far longer than usual.
 
-        Its connection may be silent for good. Without this, one sees each read on
-        it last until pooling gives the connection up, seconds later.
+        A connection may have become unresponsive without being closed. Each read on
+        it would otherwise last until the pool closes the connection, seconds later.
         """
         request = self.tables.requests.get(number)
         if request is None:
@@ -266,14 +271,15 @@
         if self.now - request.queued_at < OVERDUE_MIN:
             self._watchdog.add(request.number)
             return
-        # Not a long queue, but a member that lets nobody in.
+        # The request does not wait for other requests: the member opens no connection.
         self._pooling.cancel(request)
         why = f"{request.address}: no connection opened in {OVERDUE_MIN}s"
         self._requests.record(request.address, 0.0, ok=False)
         self.try_elsewhere(request, ErrorCode.CONNECTION_LOST, why)
 
     def _check_sent(self, request: RequestRow) -> None:
-        # Looked at first: it asks the connection, which has answered by the next look.
+        # Evaluated first: it sends a keep-alive on the connection, which a responsive
+        # member has answered by the next check.
         keeps_running = self._is_slow_statement(request) or request.parts_sent
         if keeps_running or not self._is_overdue(request):
             self._watchdog.add(request.number)
@@ -293,10 +299,11 @@
         return self._routing.is_overdue(request, OVERDUE_MIN, OVERDUE_FACTOR)
 
     def _is_slow_statement(self, request: RequestRow) -> bool:
-        """Tell whether a statement is slow by itself, as far as one can tell.
+        """Return whether the statement rather than its member seems to be slow.
 
-        Begun anew at each look, a long report would run at every member in turn and
-        end at none. One move is allowed: the member may be slow, not the statement.
+        A long report that was restarted at each check would run at every member in
+        turn and finish at none. One retry at another member is allowed, as the member
+        may be slow; none for requests of patient classes.
         """
         connection = self.tables.connections.get(request.connection)
         if connection is None or not self._pooling.answers(connection, CHECK_INTERVAL):
@@ -304,7 +311,7 @@
         return request.moved or self._pooling.is_patient(request)
 
     def on_queue_full(self, request: RequestRow, why: str, retry_after: float) -> None:
-        """Read at another member than one with too long a line, or give up at once."""
+        """Try another member than one with a full queue; refuse if there is none."""
         request.retry_after = min(request.retry_after, retry_after)
         if request.avoided is None:
             request.avoided = set()
@@ -317,13 +324,14 @@
         self._requests.answer_not_run(request, code, why, request.retry_after)
 
     def on_connection_lost(self, request: RequestRow, why: str) -> None:
-        """Read again elsewhere after a connection was lost."""
+        """Retry a read elsewhere after its connection was lost."""
         self.try_elsewhere(request, ErrorCode.CONNECTION_LOST, why)
 
     def try_elsewhere(self, request: RequestRow, code: ErrorCode, why: str) -> None:
-        """Try the next member; after all members, pause."""
+        """Try the next member; back off once all members were tried."""
         if request.parts_sent:
-            # The caller has parts of one answer: those of another would not fit.
+            # The caller has received parts of this answer, which parts of another
+            # answer cannot complete: it may be of another log position.
             self._requests.answer_unknown(request, f"the answer broke off: {why}")
             return
         request.detail = why
--- a/mallowpass/core/systems/requests.py
+++ b/mallowpass/core/systems/requests.py
@@ -1,7 +1,9 @@
-"""Callers' requests from arrival to answer: what all kinds of them share.
+"""The life of a caller's request, from arrival to answer.
 
-Reads, writes and the resolution of outcomes stand in modules of their own; a
-request's row says which of them it is with.
+This module holds what all kinds of requests share: registering a request, forwarding
+replies of endpoints, answering and enforcing the deadline. Reads, writes, floors and
+the resolution of unknown outcomes have modules of their own. `RequestRow.state` says
+what a request waits for.
 """
 
 from __future__ import annotations
@@ -44,8 +46,10 @@
 
 __all__ = ["Requests"]
 
-RETRY_AFTER = 0.5  # seconds; advice to who waited in vain until its deadline
+# Seconds after which a caller should retry a request that waited until its deadline.
+RETRY_AFTER = 0.5
 
+# A request in one of these states can be cancelled and answered as not run.
 _WAITING_STATES = frozenset(
     {
         RequestState.WAITING_FLOOR,
@@ -55,7 +59,8 @@
     }
 )
 
-# Refusals of one endpoint's pool; another endpoint, or a later try, may serve.
+# Refusals by the connection pool of one endpoint. Another endpoint or a later attempt
+# may serve the request.
 _REROUTED_CODES = frozenset(
     {
         ErrorCode.CONNECTION_LOST,
@@ -66,7 +71,7 @@
 
 
 class Requests(System):
-    """Own the request rows; take them in, answer them, give them up in time."""
+    """Own the request rows: register, answer and expire requests."""
 
     __slots__ = (
         "_active",
@@ -98,11 +103,11 @@
 
     @property
     def in_flight(self) -> int:
-        """Return how many requests have no answer yet."""
+        """Return the number of requests without a final answer."""
         return self._in_flight
 
     def start(self) -> None:
-        """Subscribe to what moves waiting requests on."""
+        """Subscribe to the signals that let waiting requests proceed."""
         node = self._node
         self._failover = node.system(failover_module.Failover)
         self._pooling = node.system(pooling_module.Pooling)
@@ -123,7 +128,7 @@
     # -- Arrival -------------------------------------------------------------
 
     def execute(self, session: SessionRow, request: ExecuteRequest) -> None:
-        """Take in a statement that stands alone."""
+        """Run a statement outside transactions."""
         running = session.requests.get(request.request_id)
         if running is not None:
             self.writes.attach_duplicate(running, session, request)
@@ -143,7 +148,7 @@
     def register(
         self, session: SessionRow, request: CallerRequest, key: str, access: Access
     ) -> RequestRow | None:
-        """Make a request's row; None when it was refused on arrival."""
+        """Create a request's row; return None if the request was refused."""
         service = self.tables.services.get(session.service)
         if service is None or service.service is None:
             self.answers.refuse(session, request, ErrorCode.UNKNOWN_SERVICE)
@@ -181,7 +186,7 @@
     def on_connection_granted(
         self, request: RequestRow, connection: ConnectionRow
     ) -> None:
-        """Use a connection for a request that was queued for it."""
+        """Send a queued request on the connection that was granted to it."""
         if request.state is not RequestState.QUEUED:
             self._pooling.release(connection)
             return
@@ -195,11 +200,11 @@
     def on_reply(
         self, request: RequestRow, connection: ConnectionRow, reply: EndpointReply
     ) -> None:
-        """Take an endpoint's reply in."""
+        """Pass an endpoint's reply on to the handler of the request's kind."""
         if request.transaction:
             self._transactions.on_reply(request, connection, reply)
         elif not self._expects_reply_on(request, connection):
-            # Its caller has an answer already, or gets it from another try.
+            # The caller has its answer already, or gets it from another attempt.
             if reply.last:
                 self._pooling.release(connection)
         elif request.access is Access.WRITE:
@@ -214,7 +219,7 @@
     def on_connection_lost(
         self, request: RequestRow, connection: ConnectionRow, why: str
     ) -> None:
-        """Find out what becomes of a request whose connection is gone."""
+        """Resolve or retry a request whose connection was lost."""
         database = self.tables.databases.get(request.database)
         if database is not None and connection.address == database.primary:
             self._failover.suspicion(connection.address, why)
@@ -233,7 +238,7 @@
     def on_refused(
         self, request: RequestRow, code: str, why: str, retry_after: float
     ) -> None:
-        """Find another way for a request that got no connection, or give it up."""
+        """Reroute, retry or refuse a request that was granted no connection."""
         if request.state is not RequestState.QUEUED:
             return
         error = code_of(code)
@@ -250,7 +255,7 @@
     # -- Connections ---------------------------------------------------------
 
     def acquire(self, request: RequestRow, address: str) -> None:
-        """Queue for a connection to an endpoint."""
+        """Queue a request for a connection to an endpoint."""
         request.state = RequestState.QUEUED
         request.address = address
         request.queued_at = self.now
@@ -259,42 +264,45 @@
     def release(
         self, request: RequestRow, connection: ConnectionRow, reset: bool = False
     ) -> None:
-        """Give a connection back; `reset` when a transaction is open on it."""
+        """Return a connection to the pool.
+
+        `reset` has the pool roll back a transaction that is open on the connection.
+        """
         request.connection = 0
         self._pooling.release(connection, reset=reset)
 
     def abandon_connection(self, request: RequestRow) -> None:
-        """Leave the connection that a request waits on to pooling."""
+        """Return the connection of a request that no longer waits for its reply."""
         connection = self.tables.connections.get(request.connection)
         request.connection = 0
         if connection is not None:
             self._pooling.release(connection)
 
     def abandon_silent(self, request: RequestRow) -> None:
-        """Leave a connection that seems silent to pooling, and have others checked."""
+        """Abandon an unresponsive connection; have the pool check the others."""
         connection = self.tables.connections.get(request.connection)
         if connection is not None:
             self._pooling.suspect(connection)
         self.abandon_connection(request)
 
     def discard(self, request: RequestRow, why: str) -> None:
-        """Close the connection that a request was sent on, if it still has one."""
+        """Close the connection that a request was sent on, if there still is one."""
         connection = self.tables.connections.get(request.connection)
         request.connection = 0
         if connection is not None:
             self._pooling.discard(connection, why)
 
     def record(self, address: str, latency: float, ok: bool) -> None:
-        """Note what a statement's trip to an endpoint came to."""
+        """Record a statement's latency at an endpoint in seconds, or its failure."""
         endpoint = self.tables.endpoints.get(address)
         if endpoint is not None:
             self._routing.record(endpoint, latency, ok)
 
     def route(self, request: RequestRow) -> None:
-        """Send a request on its way, whatever it waited for."""
+        """Route a request by the present state of its database."""
         if request.database not in self.tables.databases:
             self.answer_not_run(
-                request, ErrorCode.UNKNOWN_DATABASE, "removed meanwhile"
+                request, ErrorCode.UNKNOWN_DATABASE, "the database was removed"
             )
         elif request.access is Access.WRITE:
             self.writes.route(request)
@@ -326,10 +334,14 @@
     def _active_requests(self, database: str) -> Iterable[RequestRow]:
         return list(self._active.get(database, {}).values())
 
-    # -- The end -------------------------------------------------------------
+    # -- Answers -------------------------------------------------------------
 
     def abandon_session(self, session: SessionRow) -> None:
-        """Drop what an ended session has waiting; what was sent runs on."""
+        """Cancel the waiting requests and reads of a session that ended.
+
+        Writes that were sent run on, as do requests that have duplicates. Requests of
+        transactions end with their transactions.
+        """
         for number in list(session.requests.values()):
             request = self.tables.requests.get(number)
             if request is None or request.transaction or request.followers:
@@ -343,7 +355,7 @@
     def answer_done(
         self, request: RequestRow, rows: Any, position: LogPosition
     ) -> None:
-        """Answer a write or commit that ran and stays."""
+        """Answer a write or commit that ran and that a majority holds."""
         self._raise_floors(request, position)
         self._retries.record_success(service_of(request.database))
         answer = CallerAnswer(
@@ -358,12 +370,12 @@
     def answer_not_run(
         self, request: RequestRow, code: ErrorCode, why: str, retry_after: float = 0.0
     ) -> None:
-        """Answer a request that did not run and will not."""
+        """Answer a request that did not run and will not run."""
         self._node.count("refused", code=code.code)
         self._fail(request, Outcome.NOT_RUN, code, why, retry_after)
 
     def answer_unknown(self, request: RequestRow, why: str) -> None:
-        """Answer a request of which nobody knows whether it ran."""
+        """Answer a request that may or may not have run."""
         self._fail(request, Outcome.UNKNOWN, ErrorCode.OUTCOME_UNKNOWN, why)
 
     def _fail(
@@ -388,12 +400,12 @@
         self.finish(request, answer)
 
     def finish(self, request: RequestRow, answer: CallerAnswer) -> None:
-        """Send the final answer and forget the request."""
+        """Send the final answer and remove the request."""
         self._remove(request)
         self.answers.send_final(request, answer)
 
     def send_part(self, request: RequestRow, answer: CallerAnswer) -> None:
-        """Send a part of an answer that goes on."""
+        """Send a part of an answer that is not the last one."""
         request.parts_sent += 1
         self.answers.send(request.stream, request.request.request_id, answer)
 
@@ -411,7 +423,8 @@
         self.writes.forget(request)
         self.tables.requests.pop(request.number, None)
         if request.connection and not request.transaction:
-            # It still owes a reply. Pooling waits for that before the next use.
+            # The endpoint has yet to reply. The pool waits for the reply before it uses
+            # the connection again.
             self.abandon_connection(request)
 
     def _raise_floors(self, request: RequestRow, position: LogPosition) -> None:
@@ -426,7 +439,7 @@
         endpoint = self.tables.endpoints.get(address)
         return endpoint.name if endpoint is not None else ""
 
-    # -- Giving up -----------------------------------------------------------
+    # -- Deadlines -----------------------------------------------------------
 
     def _on_deadline(self, request: RequestRow) -> None:
         state = request.state
--- a/mallowpass/core/systems/routing.py
+++ b/mallowpass/core/systems/routing.py
@@ -1,7 +1,8 @@
-"""Which member of a database group serves a statement.
+"""The choice of the member of a database group that serves a statement.
 
-Reports and predictions choose the candidate. They never decide what is correct:
-the floor travels with the call, and the answer's own position is checked.
+The choice rests on reports and predictions of log positions, which may be out of date.
+Correctness does not depend on them: the floor is sent with the call, and the position
+of the answer is checked.
 """
 
 from __future__ import annotations
@@ -17,39 +18,40 @@
 
 __all__ = ["Routing"]
 
-# What a statement is expected to take (seconds) at a member that was not used lately.
+# Times in seconds.
+# Expected latency of a statement at a member that was not used recently.
 LATENCY_SAME_DOMAIN = 0.002
 LATENCY_SAME_REGION = 0.004
 LATENCY_OTHER_REGION = 0.030
-LATENCY_WEIGHT = 0.2  # of the newest sample in the moving average
-LATENCY_TIME_TO_LIVE = (
-    2.0  # seconds after which an unused member's average is forgotten
-)
-NO_SHARE_COST = 0.1  # seconds, of a member that this host has no connections for
+LATENCY_WEIGHT = 0.2  # weight of the newest sample in the moving average
+LATENCY_TIME_TO_LIVE = 2.0  # the average of a member not used for this time is ignored
+# Cost, and capacity in connections, of a member that this host has no share of.
+NO_SHARE_COST = 0.1
 NO_SHARE_CAPACITY = 0.1
-CONTROL_LOST_COST = 0.05  # seconds, of a member whose control stream is broken
-REPLICA_WAIT_MIN = 0.003  # seconds between two looks at members that are behind
-# Ejection.
-EJECTION_ERRORS = 3  # in a row
-EJECTION_TIME_MIN = 0.5  # seconds; doubles with each ejection in a row
+CONTROL_LOST_COST = 0.05  # cost of a member whose control stream is lost
+REPLICA_WAIT_MIN = 0.003  # least wait for a replica that has not reached a floor
+# Ejection of members that fail or are slow.
+EJECTION_ERRORS = 3  # consecutive errors that eject a member
+EJECTION_TIME_MIN = 0.5  # doubles with each consecutive ejection
 EJECTION_TIME_MAX = 30.0
-TRIAL_TIMEOUT = 1.0  # seconds after which a trial without a result counts no more
-SLOW_FACTOR = 8.0  # times the best other member's average
-SLOW_LATENCY_MIN = 0.1  # seconds; never ejected as slow below this
+TRIAL_TIMEOUT = 1.0  # a trial without a result is ignored after this time
+SLOW_FACTOR = 8.0  # multiple of the best other replica's latency that ejects a replica
+SLOW_LATENCY_MIN = 0.1  # a member is not ejected as slow below this latency
 
 
 @dataclass(slots=True)
 class _MemberHealth:
-    """Hold what only routing knows of a member."""
+    """The health of a member, as far as only routing uses it."""
 
-    expected_latency: float  # seconds; by place alone
-    measured_at: float = float("-inf")
-    ejections: int = 0
-    trial_until: float = float("-inf")  # one request tries it after an ejection
+    expected_latency: float  # seconds, by failure domain and region
+    measured_at: float = float("-inf")  # time of the last latency sample
+    ejections: int = 0  # consecutive ones
+    # After an ejection, one request tries the member; no other does until this time.
+    trial_until: float = float("-inf")
 
 
 class Routing(System):
-    """Choose members by proof of position, latency, load and place."""
+    """Choose members by log position, latency, load and failure domain."""
 
     __slots__ = ("_health", "_liveness", "_pooling")
 
@@ -58,7 +60,7 @@
         self._health: dict[str, _MemberHealth] = {}
 
     def start(self) -> None:
-        """Find the systems that are asked."""
+        """Look up the systems that this one calls; subscribe to database changes."""
         self._liveness = self._node.system(liveness_module.Liveness)
         self._pooling = self._node.system(pooling_module.Pooling)
         self._node.subscribe(DatabaseChanged, self._on_database_changed)
@@ -72,7 +74,7 @@
     def choose_read(
         self, request: RequestRow, database: DatabaseRow
     ) -> EndpointRow | None:
-        """Return the best replica that has the floor, or will when asked."""
+        """Return the best replica that has reached the floor when the call arrives."""
         best = None
         lowest = float("inf")
         for endpoint in database.endpoints.values():
@@ -89,7 +91,7 @@
         return best
 
     def choose_any_read(self, request: RequestRow) -> EndpointRow | None:
-        """Return the best replica, or else the primary, without waiting for either."""
+        """Return the best replica, or else a fallback, without any wait."""
         database = self.tables.databases.get(request.database)
         if database is None:
             return None
@@ -97,9 +99,10 @@
         return best or self.choose_fallback_read(request, database)
 
     def replica_wait(self, request: RequestRow, database: DatabaseRow) -> float:
-        """Return how long to wait for a replica, 0 when that doesn't pay; seconds.
+        """Return how many seconds to wait for a replica, 0 if no wait is worthwhile.
 
-        A member that said it is behind counts too: it is asked again after the wait.
+        A member that refused the read as behind counts too: the read is sent there
+        again after the wait.
         """
         left = request.arrived + self._node.tuning.replica_wait - self.now
         if left <= 0:
@@ -117,7 +120,7 @@
     def choose_fallback_read(
         self, request: RequestRow, database: DatabaseRow
     ) -> EndpointRow | None:
-        """Return the primary, or else an ejected replica that has the floor."""
+        """Return the primary, or else an ejected replica that has reached the floor."""
         primary = database.primary_row
         if primary is not None and self._is_open_to(primary, request):
             return primary
@@ -133,7 +136,7 @@
     # -- Writes --------------------------------------------------------------
 
     def choose_write(self, database: DatabaseRow) -> EndpointRow | None:
-        """Return the primary, None while writes have to be held."""
+        """Return the primary, or None while writes have to be held."""
         primary = database.primary_row
         if primary is None or primary.leaving:
             return None
@@ -141,10 +144,10 @@
             return None
         return primary
 
-    # -- What came of it -----------------------------------------------------
+    # -- Results of statements -----------------------------------------------
 
     def record(self, endpoint: EndpointRow, latency: float, ok: bool) -> None:
-        """Take in one statement's latency in seconds, or its failure."""
+        """Record the latency of a statement in seconds, or its failure."""
         health = self._health_of(endpoint)
         health.trial_until = float("-inf")
         if ok:
@@ -152,7 +155,7 @@
         else:
             endpoint.errors += 1
             if self._is_primary(endpoint):
-                return  # whether it still leads is for the members to say
+                return  # a primary is replaced by failover, never ejected
             if endpoint.errors >= EJECTION_ERRORS or health.ejections:
                 self._eject(endpoint, health, f"{endpoint.errors} errors in a row")
 
@@ -174,8 +177,8 @@
         database = self.tables.databases.get(endpoint.database)
         if database is None or self._is_primary(endpoint):
             return False
-        # Only replicas that could take over: heavy statements make all of them slow,
-        # and to eject the last would send its reads to the primary.
+        # Compared with the replicas in use only. Heavy statements make all replicas
+        # slow, and ejecting the last one would send its reads to the primary.
         others = [
             other.latency
             for other in database.endpoints.values()
@@ -190,8 +193,8 @@
         )
 
     def _eject(self, endpoint: EndpointRow, health: _MemberHealth, why: str) -> None:
-        # A member that fails keeps failing for a while: one would see a share of
-        # all reads fail, again and again. Growing times keep that share small.
+        # A member that fails usually keeps failing for a while. Without growing
+        # ejection times, a share of all reads would fail repeatedly.
         pause = self._node.backoff(
             health.ejections, EJECTION_TIME_MIN, EJECTION_TIME_MAX
         )
@@ -208,18 +211,21 @@
         )
 
     def is_overdue(self, request: RequestRow, least: float, factor: float) -> bool:
-        """Tell whether a statement takes `factor` times the usual, and `least` s."""
+        """Return whether a statement took `least` seconds and `factor` times the usual.
+
+        The usual latency is the moving average of the statement's member.
+        """
         endpoint = self.tables.endpoints.get(request.address)
         usual = endpoint.latency if endpoint is not None else 0.0
         return self.now - request.sent_at >= max(least, factor * usual)
 
-    # -- Judging a member ----------------------------------------------------
+    # -- Members -------------------------------------------------------------
 
     def _is_replica(self, endpoint: EndpointRow, database: DatabaseRow) -> bool:
         if endpoint.address == database.primary:
             return False
-        # A primary that is suspected is none any more, and most likely silent: the
-        # reads of a whole failover would be sent there first.
+        # A suspected primary is not the group's primary any more, but most likely
+        # unresponsive: the reads of a whole failover would be sent there first.
         report = endpoint.report
         return report is None or report.role is not Role.PRIMARY
 
@@ -244,14 +250,14 @@
         if endpoint.ejected_until > self.now:
             return False
         health = self._health_of(endpoint)
-        # One trial request at a time: a flood would fail as a whole.
+        # One trial request at a time: if the member still fails, only that one fails.
         return not health.ejections or health.trial_until <= self.now
 
     def _has_floor(self, endpoint: EndpointRow, request: RequestRow) -> bool:
         if self._liveness.reached(endpoint, request.floor):
             return True
         reach = self._liveness.predicted_reach(endpoint, request.floor)
-        # It checks the floor when the call arrives, half a round trip from now.
+        # The member checks the floor when the call arrives, half a round trip from now.
         return reach is not None and reach <= self._latency_estimate(endpoint) / 2
 
     def _cost(self, endpoint: EndpointRow) -> float:
@@ -262,7 +268,8 @@
         if not endpoint.control_open:
             latency += CONTROL_LOST_COST
         load = pool.active + len(pool.queue)
-        # Without a share it takes a loan first, and loans may not come.
+        # Without a share, connections must be borrowed from other hosts first, which
+        # may have none to lend.
         room = pool.share or NO_SHARE_CAPACITY
         return latency * (1.0 + load / room) + (0.0 if pool.share else NO_SHARE_COST)
 
--- a/mallowpass/core/systems/writes.py
+++ b/mallowpass/core/systems/writes.py
@@ -1,4 +1,9 @@
-"""Writes outside transactions: sent to one primary, acknowledged by a majority."""
+"""Writes outside transactions, and the beginning of transactions that may write.
+
+A write is sent to the primary and acknowledged once a majority of members holds it. It
+carries an id and an attempt number, which the endpoint records with the write and can
+fence.
+"""
 
 from __future__ import annotations
 
@@ -40,13 +45,16 @@
 
 __all__ = ["Writes"]
 
-OVERDUE_MIN = 0.5  # seconds after which a write is looked up, at the earliest
-OVERDUE_FACTOR = 8.0  # times the primary's usual latency
-CHECK_INTERVAL = (
-    OVERDUE_MIN / 2
-)  # seconds between looks; the connection is asked at the first
-FENCED_TRIES_MAX = 16  # refusals for a fenced attempt before a request is given up
+# A write's outcome is looked up once it takes OVERDUE_MIN seconds and OVERDUE_FACTOR
+# times the primary's usual latency.
+OVERDUE_MIN = 0.5
+OVERDUE_FACTOR = 8.0
+# Seconds between two checks of a write in flight. The first check sends a keep-alive on
+# its connection.
+CHECK_INTERVAL = OVERDUE_MIN / 2
+FENCED_TRIES_MAX = 16  # tries after which a request whose attempts are fenced fails
 
+# Refusals after which a write is retried with backoff.
 _RETRIED_CODES = frozenset(
     {
         EndpointCode.BEHIND,
@@ -55,11 +63,12 @@
         EndpointCode.CONFLICT,
     }
 )
+# Refusals after which a write waits for a primary.
 _HELD_CODES = frozenset({EndpointCode.WRONG_TERM, EndpointCode.LEAVING})
 
 
 class Writes(System):
-    """Run writes at most once, and acknowledge what stays; a part of Requests."""
+    """Run writes at most once, acknowledge durable ones; a part of Requests."""
 
     __slots__ = (
         "_failover",
@@ -76,11 +85,12 @@
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
-        self._running: dict[str, int] = {}  # record id -> row, of unrepeatable ones
+        # Record id -> row number of the unrepeatable writes in progress.
+        self._running: dict[str, int] = {}
         self._recent = RecentRequests(node.tables.recent_outcomes)
 
     def start(self) -> None:
-        """Find the systems that are asked."""
+        """Look up the systems that this one calls."""
         self._watchdog = Watchdog(self.timers, CHECK_INTERVAL, self._on_check_due)
         from mallowpass.core.systems.requests import Requests
         from mallowpass.core.systems.transactions import Transactions
@@ -97,7 +107,7 @@
     # -- Arrival -------------------------------------------------------------
 
     def submit(self, request: RequestRow, session: SessionRow) -> None:
-        """Give a write the id that the endpoint records, and route it."""
+        """Assign the id that the endpoint records with a write, and route the write."""
         statement = request.request
         request.attempt = FIRST_ATTEMPT
         if isinstance(statement, ExecuteRequest) and not statement.unrepeatable:
@@ -109,7 +119,7 @@
             request.record_id = record_id(session.caller, statement.request_id)
             self._running[request.record_id] = request.number
         if isinstance(statement, BeginRequest):
-            # Its reads come from the primary, which may have been replaced.
+            # The transaction reads from the primary, which may have been replaced.
             self._requests.floors.route_with_floor(request)
         else:
             self.route(request)
@@ -117,9 +127,11 @@
     def handle_duplicate(
         self, session: SessionRow, request: ExecuteRequest, key: str
     ) -> bool:
-        """Join a copy of an unrepeatable write to its run; tell whether it is done.
+        """Handle a write whose id is in use; return whether it was handled.
 
-        Copies of one caller may come over several of its sessions.
+        A duplicate of an unrepeatable write in progress gets the answer of that write.
+        A caller may send duplicates over several sessions. A statement is refused if a
+        different one ran under the same id.
         """
         if not request.unrepeatable:
             return False
@@ -134,9 +146,10 @@
     def refuse_reused_begin(
         self, session: SessionRow, request: BeginRequest, key: str
     ) -> bool:
-        """Refuse a begin whose id was another request's; tell whether it is done.
+        """Refuse a begin whose id another request used; return whether it was refused.
 
-        Its commit would be answered from the other's record, and not run.
+        The endpoint would answer the commit from the other request's record without
+        running it.
         """
         name = record_id(session.caller, request.request_id)
         return self._refuse_if_reused(session, request, name, digest_of_begin(key))
@@ -152,7 +165,7 @@
     def attach_duplicate(
         self, running: int, session: SessionRow, request: ExecuteRequest
     ) -> None:
-        """Have a copy of a request in flight answered from the one run."""
+        """Have a duplicate of a request in progress answered with that request."""
         row = self.tables.requests[running]
         if not self._is_duplicate(row, session, request):
             self._requests.answers.refuse(session, request, ErrorCode.REQUEST_ID_REUSED)
@@ -161,7 +174,9 @@
         if row.followers is None:
             row.followers = []
         row.followers.append((session.stream, request.request_id))
-        self._node.decide("join", request.request_id, "joined its copy in flight")
+        self._node.decide(
+            "join", request.request_id, "answered with its duplicate in progress"
+        )
 
     def _is_duplicate(
         self, row: RequestRow, session: SessionRow, request: ExecuteRequest
@@ -177,25 +192,26 @@
         )
 
     def forget(self, request: RequestRow) -> None:
-        """Let go of a finished write's id."""
+        """Remove a finished write from those in progress."""
         if self._running.get(request.record_id) == request.number:
             del self._running[request.record_id]
 
     # -- Routing and sending -------------------------------------------------
 
     def route(self, request: RequestRow) -> None:
-        """Queue a write at the primary, or hold it until there is one."""
+        """Queue a write at the primary, or hold it until a primary is known."""
         database = self.tables.databases[request.database]
         endpoint = self._routing.choose_write(database)
         if endpoint is None:
             self._requests.waiting.hold(
-                request, f"no primary takes writes, {database.state}"
+                request,
+                f"no primary accepts writes; the group is {database.state.value}",
             )
         else:
             self._requests.acquire(request, endpoint.address)
 
     def send(self, request: RequestRow, connection: ConnectionRow) -> None:
-        """Send a write in the term of the primary that it got a connection to."""
+        """Send a write in the primary's term on the connection granted to it."""
         database = self.tables.databases[request.database]
         if connection.address != database.primary:
             self._requests.release(request, connection)
@@ -229,7 +245,7 @@
     def on_reply(
         self, request: RequestRow, connection: ConnectionRow, reply: EndpointReply
     ) -> None:
-        """Wait for a majority to hold what ran; act on what did not run."""
+        """Wait for a majority to hold a write that ran; handle refusals."""
         code = reply.code
         if code is EndpointCode.OK and isinstance(request.request, BeginRequest):
             self._on_begun(request, connection, reply)
@@ -244,7 +260,9 @@
             request.repeated = True
             self.await_majority(request, reply.applied, reply.rows)
         elif code is EndpointCode.INTERNAL:
-            self._requests.outcomes.resolve(request, f"the endpoint: {reply.message}")
+            self._requests.outcomes.resolve(
+                request, f"internal error of {connection.address}: {reply.message}"
+            )
         else:
             self._on_refusal(request, reply)
 
@@ -259,7 +277,7 @@
         self._pooling.release(connection, reset=True)
         if self._requests.floors.handle_lost_floor(request):
             return
-        why = f"{connection.address} lacks data that the session has seen"
+        why = f"{connection.address} has not reached the session's floor"
         self._requests.waiting.retry(request, ErrorCode.FLOOR_NOT_REACHED, why)
 
     def _record(self, request: RequestRow, connection: ConnectionRow) -> None:
@@ -268,16 +286,16 @@
         self._requests.record(connection.address, latency, ok=True)
 
     def watch_commit(self, request: RequestRow) -> None:
-        """Look a commit up if its answer is late, as with a write."""
+        """Look up the outcome of a commit once it is overdue, as for a write."""
         self._watchdog.renew(request.number)
 
     def _on_check_due(self, number: int) -> None:
-        """Look a write up when its answer is late and its connection seems silent.
+        """Look up the outcome of an overdue write whose connection is unresponsive.
 
-        A connection may be silent for good while the primary is well: one sees
-        single writes take as long as pooling gives a connection to answer. The
-        look-up fences it, so that it can't run after it is sent again. A slow write
-        must not be fenced: sent again, it would be as slow, and never finish.
+        A connection may become unresponsive while the primary works. Each write on it
+        would otherwise last until the pool closes the connection. The look-up fences
+        the write, so that the first attempt cannot run after the write is sent again. A
+        slow write must not be fenced: sent again it would be as slow, and never finish.
         """
         request = self.tables.requests.get(number)
         if request is None or request.state is not RequestState.SENT:
@@ -294,8 +312,9 @@
         elif self._retries.take_retry(request) is None:
             self._watchdog.add(number)
         else:
-            # Paid now: a primary that pauses makes many writes overdue at once, and
-            # those that the budget does not reach are better left waiting.
+            # The retry is taken from the budget before the look-up. A pause of the
+            # primary makes many writes overdue at once; those that exceed the budget
+            # wait on, as a fenced write that cannot be retried would fail.
             request.prepaid = True
             self._requests.abandon_silent(request)
             self._requests.outcomes.resolve(request, self._overdue_reason(request))
@@ -304,8 +323,9 @@
         return self._routing.is_overdue(request, OVERDUE_MIN, OVERDUE_FACTOR)
 
     def _on_commit_overdue(self, request: RequestRow) -> None:
-        # A fenced commit is not sent again: its whole transaction is lost. So only if
-        # the primary is heard elsewhere, which it is not while it stands still.
+        # A fenced commit is not sent again, so the look-up may cost the transaction. It
+        # is done only if the primary was heard from on other connections since the last
+        # check, which excludes a pause of the primary.
         endpoint = self.tables.endpoints.get(request.address)
         if endpoint is None or endpoint.heard_at <= self.now - CHECK_INTERVAL:
             self._watchdog.add(request.number)
@@ -320,18 +340,20 @@
     ) -> None:
         """Acknowledge a write once a majority holds it in the primary's term.
 
-        A primary that was replaced answers OK as well, until it learns of it: its
-        write is dropped later. Only a majority's reports tell the two apart.
+        A replaced primary answers OK as well until it learns of its replacement, and
+        the write is dropped later. Only the reports of a majority show whether a write
+        is durable.
         """
         database = self.tables.databases.get(request.database)
         if database is None:
-            self._requests.answer_unknown(request, "the database was removed meanwhile")
+            self._requests.answer_unknown(request, "the database was removed")
             return
         request.position = position
         request.answer_rows = rows
         request.state = RequestState.HOLDING
-        # Recorded in an earlier term, it stays once a majority holds anything of the
-        # term in which it was found: that log contains it.
+        # A write that was recorded in an earlier term is durable once a majority holds
+        # an entry of the term in which the record was found: the log of that term
+        # contains the write.
         term = max(position.term, request.sent_term)
         awaited = LogPosition(term, position.position)
         waiter = self._liveness.wait_held(
@@ -348,7 +370,7 @@
             self._requests.answer_done(request, request.answer_rows, request.position)
         else:
             term = request.sent_term
-            why = f"term {term} was over before a majority held it"
+            why = f"term {term} ended before a majority held the write"
             self._requests.outcomes.resolve(request, why)
 
     def _on_refusal(self, request: RequestRow, reply: EndpointReply) -> None:
@@ -364,10 +386,11 @@
             self._requests.answer_not_run(request, code_of_refusal(reply), why)
 
     def _on_fenced(self, request: RequestRow, reply: EndpointReply) -> None:
-        # An earlier copy was given up and fenced. This attempt's number stands
-        # under the fence too; a higher one is a new run, and the only one.
+        # An earlier attempt was abandoned and fenced, and the fence covers this
+        # attempt's number too. An attempt with a higher number can run, and only that
+        # one can.
         if request.tries >= FENCED_TRIES_MAX:
-            why = f"fenced {request.tries} times"
+            why = f"{request.tries} attempts were fenced"
             self._requests.answer_not_run(request, ErrorCode.ENDPOINT_REFUSED, why)
             return
         request.tries += 1
@@ -379,16 +402,18 @@
         if database is None or database.term != request.sent_term:
             self._requests.route(request)
         else:
-            # Its reports will say so soon. Sent again now it would be refused again.
+            # The member knows of a later term, which its reports will show soon. The
+            # same write would be refused again until then.
             self._requests.waiting.hold(request, why)
 
     def on_refused(self, request: RequestRow, code: ErrorCode, why: str) -> None:
-        """Find another way for a write that got no connection."""
+        """Reroute, hold or retry a write that was granted no connection."""
         if code is ErrorCode.FAILING_OVER:
             self.route(request)
         elif code is ErrorCode.CONNECTION_LOST:
-            # The primary may be down. Held, it needs no budget: with one, a service
-            # would be refused its writes just when a promotion is about to come.
+            # The primary may be down. Holding the write takes nothing from the retry
+            # budget: a service would otherwise spend its budget, and have its writes
+            # refused, shortly before a promotion.
             self._failover.suspicion(request.address, why)
             self._requests.waiting.hold(request, why)
         else:
@@ -397,7 +422,7 @@
     # -- Promotions ----------------------------------------------------------
 
     def on_primary_changed(self, request: RequestRow, database: DatabaseRow) -> None:
-        """Move a write that counted on an earlier primary."""
+        """Requeue or resolve a write that depends on an earlier primary."""
         state = request.state
         if state is RequestState.QUEUED:
             if request.address != database.primary:
@@ -406,6 +431,8 @@
         elif state is RequestState.SENT:
             if database.primary and database.term > request.sent_term:
                 self._requests.discard(request, "its term is over")
-                self._requests.outcomes.resolve(request, "its term is over")
+                self._requests.outcomes.resolve(
+                    request, f"term {request.sent_term} has ended"
+                )
         elif state is RequestState.RESOLVING:
             self._requests.outcomes.look_up(request)
