--- a/mallowpass/core/systems/__init__.py
+++ b/mallowpass/core/systems/__init__.py
@@ -1,1 +1,1 @@
-"""The systems of a node; each owns some decisions and the rows they stand in."""
+"""The systems of a node; each owns some decisions, and the rows that record them."""
--- a/mallowpass/core/systems/admission.py
+++ b/mallowpass/core/systems/admission.py
@@ -1,7 +1,8 @@
-"""Refuse at once what could not be served in time, and say when to come back.
+"""Admission control: refuse requests that cannot be served by their deadlines.
 
-A request refused here did not run. Kept in line it would take its caller's time
-and, once sent too late, an endpoint's as well.
+A refused request did not run, and its caller learns when to retry. A request that
+queued in vain would cost the time of its caller and, once sent too late, capacity of an
+endpoint as well.
 """
 
 from __future__ import annotations
@@ -15,15 +16,15 @@
 
 __all__ = ["Admission", "Refusal"]
 
-RETRY_AFTER_MIN = 0.02
-RETRY_AFTER_JITTER = (
-    0.5  # of the time stated; refused callers don't come back all at once
-)
+RETRY_AFTER_MIN = 0.02  # seconds
+# Share of the stated time that is added at random, so that refused callers do not all
+# retry at once.
+RETRY_AFTER_JITTER = 0.5
 
 
 @record
 class Refusal:
-    """Tell why a request is not taken; `retry_after` in seconds."""
+    """Describe why a request is refused; `retry_after` is in seconds."""
 
     code: str
     why: str
@@ -31,7 +32,7 @@
 
 
 class Admission(System):
-    """Decide whether a request may wait."""
+    """Decide whether a request may queue for a connection."""
 
     __slots__ = ("_pooling",)
 
@@ -40,13 +41,13 @@
         self._pooling = None
 
     def start(self) -> None:
-        """Find the pools, which start later."""
+        """Look up the system of the connection pools."""
         from mallowpass.core.systems.pooling import Pooling
 
         self._pooling = self._node.system(Pooling)
 
     def check(self, pool: EndpointPool, request: RequestRow) -> Refusal | None:
-        """Refuse a request that has to wait at an endpoint, and can't."""
+        """Return why a request must not queue at an endpoint, None if it may."""
         if pool.endpoint.leaving:
             why = f"{pool.address} is leaving"
             return self._refuse(request, ErrorCode.ENDPOINT_REFUSED, why, 0.0)
@@ -57,7 +58,7 @@
         return self._check_deadline(request, wait, pool.address)
 
     def predicted_wait(self, database_key: str, class_name: str) -> float:
-        """Return the shortest wait at a database's endpoints, in seconds."""
+        """Return the shortest predicted wait at a database's endpoints, in seconds."""
         database = self.tables.databases.get(database_key)
         if database is None:
             return 0.0
@@ -68,7 +69,7 @@
         return min(waits, default=0.0)
 
     def predicted_pool_wait(self, pool: EndpointPool, class_name: str) -> float:
-        """Return how long a new request of a class would wait, in seconds."""
+        """Return the predicted wait of a new request of a class, in seconds."""
         ahead = pool.queue.ahead(class_name)
         room = self._pooling.opener.room(pool)
         if ahead < self._immediate_capacity(pool, room) or not (
@@ -80,10 +81,11 @@
 
     @staticmethod
     def _immediate_capacity(pool: EndpointPool, room: int) -> int:
-        """Return how many requests need not wait for another one's end.
+        """Return how many requests can start without waiting for another to end.
 
-        How long requests kept connections says nothing of them. Refused by it, they
-        would never teach a shorter time: one long transaction would close an idle host.
+        The average time that requests kept connections does not apply to them. If it
+        did, one long transaction would have an idle host refuse all later requests,
+        and the average would never fall, as refused requests do not lower it.
         """
         idle = len(pool.idle) + len(pool.idle_borrowed)
         free = idle + len(pool.opening) + room
@@ -98,7 +100,7 @@
         limit = service.queue_length if service is not None else DEFAULT_QUEUE_LENGTH
         if self._pooling.waiting_for_service(database.service) < limit:
             return None
-        # Half the queue has to be served before a place is likely to be free.
+        # Half of the queue has to be served before a place is likely to be free.
         wait = self.predicted_wait(request.database, request.request_class) / 2
         why = f"{limit} requests wait for {database.service}"
         return self._refuse(request, ErrorCode.QUEUE_FULL, why, wait)
@@ -110,8 +112,8 @@
         if wait < remaining:
             return None
         why = f"{wait:.3f}s to wait at {where}, {remaining:.3f}s left"
-        # With as much time again, the request makes it once the line is so much
-        # shorter.
+        # After the time stated, the wait has become as much shorter: a retry with the
+        # same time left can be served.
         return self._refuse(request, ErrorCode.QUEUE_FULL, why, wait - remaining)
 
     def _refuse(
--- a/mallowpass/core/systems/concurrency.py
+++ b/mallowpass/core/systems/concurrency.py
@@ -1,24 +1,32 @@
-"""Limit how many statements run at once at an endpoint, by measured latency."""
+"""Adaptive limit of the statements that run concurrently at an endpoint.
+
+The limit follows the latency that was measured, by additive increase and multiplicative
+decrease.
+"""
 
 from __future__ import annotations
 
 __all__ = ["ConcurrencyLimit"]
 
-INITIAL_LIMIT = 1 << 10  # above every share: unlimited until latency says otherwise
+INITIAL_LIMIT = 1 << 10  # above every share: no limit until latency rises
 LIMIT_MIN = 1
+# A window ends after this number of samples or this time, whichever comes first.
 WINDOW_SAMPLES = 50
 WINDOW_SECONDS = 1.0
-LATENCY_TOLERANCE = 2.0  # times the uncontended latency
-LATENCY_SLACK = 0.015  # seconds of latency that are never held against an endpoint
+# The limit is lowered when latency exceeds LATENCY_TOLERANCE times the baseline plus
+# LATENCY_SLACK seconds.
+LATENCY_TOLERANCE = 2.0
+LATENCY_SLACK = 0.015
 DECREASE_FACTOR = 0.8
-BASELINE_WEIGHT = 0.2
+BASELINE_WEIGHT = 0.2  # weight of a window in a rising baseline
 
 
 class ConcurrencyLimit:
-    """Lower the limit while latency is far above its minimum, raise it by one else.
+    """A limit that is lowered while latency is far above its baseline, else raised.
 
-    An endpoint that is asked for more than it can do at once only gets slower for
-    all; what waits here instead can still be refused, reordered or routed anew.
+    An endpoint that is sent more statements than it can run at once becomes slower for
+    all of them. Requests that queue in the proxy instead can still be refused,
+    reordered or rerouted.
     """
 
     __slots__ = (
@@ -40,11 +48,14 @@
 
     @property
     def baseline(self) -> float:
-        """Return the latency without contention, in seconds; 0 while unknown."""
+        """Return the latency without contention in seconds, 0 while unknown."""
         return self._baseline
 
     def record(self, now: float, latency: float, active: int) -> None:
-        """Learn from one statement; `active` statements ran when it was answered."""
+        """Record a statement's latency in seconds.
+
+        `active` is the number of statements that ran when it was answered.
+        """
         self._sample_count += 1
         if latency < self._lowest_latency:
             self._lowest_latency = latency
@@ -58,13 +69,13 @@
         self._finish_window(now)
 
     def note_overload(self, active: int) -> None:
-        """Learn that the endpoint refused a statement as one too many."""
+        """Lower the limit after the endpoint refused one of `active` statements."""
         self.limit = max(LIMIT_MIN, min(self.limit, active - 1))
 
     def _finish_window(self, now: float) -> None:
-        # The quickest statement of a window, not the mean: a few slow reports among
-        # quick reads make the mean rise at an endpoint that is far from crowded, but
-        # a crowded one is slow for each statement.
+        # The lowest latency of a window is used instead of the mean. A few slow reports
+        # among quick reads raise the mean although the endpoint is not overloaded,
+        # whereas an overloaded endpoint is slow for each statement.
         lowest = self._lowest_latency
         self._update_baseline(lowest)
         if lowest > LATENCY_TOLERANCE * self._baseline + LATENCY_SLACK:
@@ -81,7 +92,7 @@
         if not self._baseline or lowest < self._baseline:
             self._baseline = lowest
         elif self._peak_active <= LIMIT_MIN:
-            # Statements became slower by themselves. That shows only while one runs
-            # at a time: learnt in a crowd, the baseline would follow the crowd, and
-            # the limit would never come down.
+            # Statements have become slower without contention, which can be observed
+            # only while one runs at a time. A baseline that rose under contention would
+            # follow the load, and the limit would never be lowered.
             self._baseline += BASELINE_WEIGHT * (lowest - self._baseline)
--- a/mallowpass/core/systems/granting.py
+++ b/mallowpass/core/systems/granting.py
@@ -1,4 +1,4 @@
-"""Queue requests for connections, grant in fair order, and give back what waits."""
+"""The queues of requests for connections: weighted fair grants, and refusals."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Granting(PoolPart):
-    """Decide which waiting request gets a free connection."""
+    """Decide which queued request gets a free connection."""
 
     __slots__ = ()
 
@@ -31,9 +31,9 @@
         self.dispatch(pool)
 
     def dispatch(self, pool: EndpointPool) -> None:
-        """Grant what can be granted and open what is needed."""
-        # A grant may end at once in a release, which comes back here: without this
-        # mark, a long queue would be a deep recursion.
+        """Grant free connections to queued requests, and open more if needed."""
+        # A grant may release its connection at once, which calls this method again.
+        # Without the flag, a long queue would cause a deep recursion.
         if pool.pumping:
             return
         pool.pumping = True
@@ -71,22 +71,22 @@
         return None
 
     def _classes_to_skip(self, pool: EndpointPool, borrowed: bool) -> frozenset[str]:
-        """Return the classes that this connection is not for."""
+        """Return the request classes that must not get this connection."""
         patient = pool.patient
         if not patient:
             return patient
         if borrowed and pool.usable:
             return patient
-        # While others wait, weights decide and patient classes get their floor. When
-        # none waits, the last free connection stays free for one to come: it would
-        # else wait for a whole slow statement.
+        # While requests of other classes wait, weights decide, so that patient classes
+        # get their share. While none waits, the last free connection is kept for the
+        # next one, which would otherwise wait for a whole slow statement.
         last = not pool.idle and not pool.idle_borrowed
         if last and pool.active and not pool.queue.waits_outside(patient):
             return patient
         return frozenset()
 
     def learn_cost(self, pool: EndpointPool, connection: ConnectionRow) -> None:
-        """Learn how long the connection's request kept it."""
+        """Record how long the connection's request kept the connection."""
         request = self.tables.requests.get(connection.request)
         if request is not None:
             seconds = self.now - connection.last_used
@@ -95,7 +95,7 @@
     def refuse(
         self, request: RequestRow, code: ErrorCode, why: str, retry_after: float = 0.0
     ) -> None:
-        """Give a request back to the request path."""
+        """Refuse a queued request."""
         self._node.count("turned_away", reason=code.name.lower())
         self._node.decide("refusal", request.database, f"{code.code} {why}")
         self._pooling.requests.on_refused(request, code.code, why, retry_after)
@@ -103,14 +103,14 @@
     def refuse_all(
         self, pool: EndpointPool, code: ErrorCode, why: str, retry_after: float
     ) -> None:
-        """Give back all that wait."""
+        """Refuse all queued requests."""
         for request in pool.queue.drain():
             self.refuse(request, code, why, retry_after)
 
     def refuse_by_access(
         self, pool: EndpointPool, access: Access, code: ErrorCode, why: str
     ) -> None:
-        """Give back the reads or the writes that wait; visits each."""
+        """Refuse all queued reads, or all queued writes; visits each request."""
         waiting = pool.queue.waiting_requests()
         for request in [entry for entry in waiting if entry.access is access]:
             if pool.queue.cancel(request.number):
--- a/mallowpass/core/systems/retries.py
+++ b/mallowpass/core/systems/retries.py
@@ -1,8 +1,8 @@
-"""When a request that did not succeed may be tried again.
+"""Retries of requests, limited by a budget for each service.
 
-A service earns retries by its successes. Without that bound an outage multiplies
-the load just when the endpoints can take least: one sees several times the usual
-statements, all of them refused.
+A service earns retries by successful requests. Without the budget, retries would
+multiply the load during an outage, when endpoints can serve the least: they would
+receive several times the usual number of statements and refuse them all.
 """
 
 from __future__ import annotations
@@ -15,13 +15,14 @@
 
 __all__ = ["Retries"]
 
-BUDGET_MAX = 100.0  # retries that a quiet service has at hand
-RETRY_AFTER_MIN = 0.1  # seconds; advice to a caller whose service spent its budget
+BUDGET_MAX = 100.0  # retries that a service can save up
+# Seconds at least after which a caller should retry once its service's budget is spent.
+RETRY_AFTER_MIN = 0.1
 
 
 @dataclass(slots=True)
 class _Budget:
-    """Hold the retries that a service has earned and not used."""
+    """The retries that a service has earned and not used."""
 
     left: float = BUDGET_MAX
 
@@ -37,21 +38,21 @@
 
     @property
     def retry_after(self) -> float:
-        """Return when a caller refused for lack of budget should come back."""
+        """Return the seconds after which a refused caller should retry."""
         return max(RETRY_AFTER_MIN, self._node.tuning.retry_backoff_max)
 
     def record_success(self, service: str) -> None:
-        """Credit a service with a success."""
+        """Credit a service with a successful request."""
         budget = self._budget(service)
         share = self._node.tuning.retry_share
         if budget.left < BUDGET_MAX:
             budget.left = min(BUDGET_MAX, budget.left + share)
 
     def take_retry(self, request: RequestRow) -> float | None:
-        """Return the delay before the next try in seconds, None when refused.
+        """Take a retry from the budget; return its delay in seconds, None if refused.
 
-        A delay that ends past the deadline is refused too: the caller is told at
-        once, not when its time is up.
+        A retry that would start after the request's deadline is refused too, so that
+        the caller gets its answer at once.
         """
         delay = self._backoff_delay(request.tries)
         if self.now + delay >= request.expires or self.is_budget_spent(request):
@@ -61,7 +62,7 @@
         return delay
 
     def is_budget_spent(self, request: RequestRow) -> bool:
-        """Tell whether a request's service has no retry left."""
+        """Return whether the service of a request has no retry left."""
         return self._budget(service_of(request.database)).left < 1.0
 
     def _budget(self, service: str) -> _Budget:
--- a/mallowpass/core/systems/sessionfloors.py
+++ b/mallowpass/core/systems/sessionfloors.py
@@ -1,4 +1,8 @@
-"""The floor of a request: what its answer must contain, and whether it does."""
+"""Floors of requests: the log position that an answer must contain.
+
+A floor is the newest position that the session has seen, raised to the position that
+the accepted age requires. A floor that is not known here is learnt from a majority.
+"""
 
 from __future__ import annotations
 
@@ -14,16 +18,16 @@
 
 __all__ = ["SessionFloors"]
 
-LEARN_COUNT_MAX = 2  # times that a read's floor is learnt for its age, at most
+LEARN_COUNT_MAX = 2  # times at most that the floor of a read is learnt for its age
 
 
 class SessionFloors(System):
-    """Join session floors with accepted ages, and check them; a part of Requests."""
+    """Derive floors from sessions and accepted ages; check them; a part of Requests."""
 
     __slots__ = ("_liveness", "_requests", "_retries", "_sessions")
 
     def start(self) -> None:
-        """Find the systems that are asked."""
+        """Look up the systems that this one calls."""
         from mallowpass.core.systems.requests import Requests
 
         self._liveness = self._node.system(liveness_module.Liveness)
@@ -31,10 +35,10 @@
         self._retries = self._node.system(retries_module.Retries)
         self._sessions = self._node.system(sessions_module.Sessions)
 
-    # -- Setting -------------------------------------------------------------
+    # -- Setting floors ------------------------------------------------------
 
     def route_with_floor(self, request: RequestRow) -> None:
-        """Set a floor, learn it where it is unknown, and route the request."""
+        """Set a request's floor, learn it if unknown, and route the request."""
         self._set(request)
         if request.fresh_floor:
             self.learn(request)
@@ -45,8 +49,8 @@
         session = self.tables.sessions.get(request.stream)
         if session is not None:
             request.seen = self._sessions.seen_positions(session, request.database)
-        # A session that has no floor here may still have written, through another
-        # host and under a token that it lost: it would not see its own record.
+        # A session without a floor may have written through another host and lost its
+        # token. A read below an assumed floor could lack that write.
         request.fresh_floor = not request.seen
         request.floor = max(request.seen, default=ZERO_POSITION)
         age = self._accepted_age(request)
@@ -61,7 +65,7 @@
 
     def _accepted_age(self, request: RequestRow) -> float | None:
         if request.access is Access.WRITE:
-            return None  # a transaction that may write runs on the primary anyway
+            return None  # a transaction that may write always runs on the primary
         declared = None
         database = self.tables.databases[request.database]
         row = self.tables.services.get(database.service)
@@ -76,7 +80,7 @@
     def learn(self, request: RequestRow) -> None:
         """Learn a floor from a majority, then route the request."""
         request.state = RequestState.WAITING_FLOOR
-        request.detail = "the session's floor is being learnt"
+        request.detail = "waits for its floor to be learnt from a majority"
         request.floor_at = self.now
         request.learnt += 1
         database = self.tables.databases[request.database]
@@ -86,30 +90,36 @@
         if request.state is not RequestState.WAITING_FLOOR:
             return
         if position is None:
-            why = "no majority of members told its positions"
+            why = "no majority of members reported its log position"
             after = self._retries.retry_after
             self._requests.answer_not_run(request, ErrorCode.MINORITY_SIDE, why, after)
             return
         request.floor = max(request.floor, position)
         age = self._accepted_age(request)
         if age is not None and self.now - request.floor_at > age:
-            request.learnt = LEARN_COUNT_MAX  # another one would be too old again
+            # A floor learnt once more would be too old again.
+            request.learnt = LEARN_COUNT_MAX
         self._requests.route(request)
 
     def handle_lost_floor(self, request: RequestRow) -> bool:
-        """Tell whether a promotion dropped the floor; if so, deal with the request."""
+        """Handle a floor that a promotion discarded; return whether there was one.
+
+        A request whose session saw the discarded part of the log is answered
+        FLOOR_LOST. A discarded floor that came from an age or a majority is learnt
+        again.
+        """
         database = self.tables.databases[request.database]
-        # Each by itself: the age's or a learnt floor may be of the newest term, and
-        # says nothing of what the session saw before.
+        # Each position is checked by itself. The request's floor may come from an age
+        # or a majority, be of the newest term, and not contain what the session saw.
         for seen in request.seen:
             if self._is_dropped(database, seen):
-                why = f"seen up to {seen.term}:{seen.position}"
+                why = f"the session has seen log position {seen.term}:{seen.position}"
                 self._requests.answer_not_run(request, ErrorCode.FLOOR_LOST, why)
                 return True
         if not self._is_dropped(database, request.floor):
             return False
-        # Only the age's or a learnt floor was in the part that a promotion dropped;
-        # nobody was answered from there.
+        # Only a floor from an age or a majority was in the discarded part of the log.
+        # The session has received no answer from there.
         request.floor = max(request.seen, default=ZERO_POSITION)
         request.fresh_floor = True
         self.learn(request)
@@ -121,7 +131,10 @@
         return self._liveness.floor_lost(database, position)
 
     def refresh(self, request: RequestRow) -> bool:
-        """Tell whether the floor still meets the age after the wait so far."""
+        """Raise the floor to what the accepted age requires by now.
+
+        Returns False if the floor has to be learnt again for that.
+        """
         age = self._accepted_age(request)
         if age is None:
             return True
@@ -132,19 +145,19 @@
         if aged_floor is not None:
             request.floor = max(request.floor, aged_floor)
             return True
-        # Any floor that was learnt for a read holds all that was acknowledged before
-        # it arrived. An age shorter than learning and queueing take is met by none:
-        # the read would learn until its deadline.
+        # A floor that was learnt for a read contains all that was acknowledged before
+        # the read arrived. No floor meets an age that is shorter than the time that
+        # learning and queueing take: the read would learn floors until its deadline.
         request.fresh_floor = True
         return request.learnt >= LEARN_COUNT_MAX
 
-    # -- Checking ------------------------------------------------------------
+    # -- Checking answers ----------------------------------------------------
 
     def is_satisfied(self, request: RequestRow, applied: LogPosition) -> bool:
-        """Tell whether what an answer was made from contains the floor."""
-        # The last check before an answer leaves. Whatever chose the member was a
-        # guess: without this a lagging replica's answer would hide the session's
-        # own writes from it.
+        """Return whether the log up to position `applied` contains the floor."""
+        # The last check before an answer is sent. The member was chosen by predictions:
+        # without this check, the answer of a lagging replica could lack the session's
+        # own writes.
         return all(
             self._contains(request, applied, position)
             for position in (request.floor, *request.seen)
@@ -157,8 +170,8 @@
             return False
         if applied.term == floor.term or not floor.term:
             return True
-        # By the log that the answer is from: its term may be one whose primary is not
-        # known here, and where it began may not be known yet.
+        # Decided by the log that the answer is from. The primary of its term, and the
+        # position where the term started, may not be known here yet.
         database = self.tables.databases.get(request.database)
         return database is not None and self._liveness.contains(
             database, applied, floor
--- a/mallowpass/core/systems/sessions.py
+++ b/mallowpass/core/systems/sessions.py
@@ -1,4 +1,4 @@
-"""Callers' sessions: what they have seen, and where their requests go."""
+"""Sessions of callers: their floors and tokens, and the dispatch of their requests."""
 
 from __future__ import annotations
 
@@ -33,33 +33,33 @@
 
 __all__ = ["Sessions", "lost_floor_key"]
 
-SESSION_REQUESTS_MAX = 1024  # in flight of one session
-RETRY_AFTER = 0.5  # seconds; advice to who met a limit of this host
+SESSION_REQUESTS_MAX = 1024  # requests in flight of one session
+RETRY_AFTER = 0.5  # seconds after which a caller refused by a limit should retry
 
-# Floors that a promotion dropped stand beside the newest ones, under names that no
-# database can have: so they travel in the same token, also through older hosts.
+# A floor that a promotion discarded is kept beside the newest floor, under a key that
+# no database can have. It is part of the same token, which older hosts pass on too.
 _LOST_SUFFIX = "/lost"
 
 _RETRY_LATER_CODES = frozenset({ErrorCode.SESSION_LIMIT, ErrorCode.DRAINING})
 
 
 def lost_floor_key(database_key: str) -> str:
-    """Return the name of what a session saw of a database and a promotion dropped."""
+    """Return the key of a session's floor that a promotion discarded."""
     return database_key + _LOST_SUFFIX
 
 
 class Sessions(System):
-    """Own the session rows; the only subscriber of what callers send."""
+    """Own the session rows; dispatch all requests of callers."""
 
     __slots__ = ("_dispatch", "_draining", "_liveness", "_requests", "_transactions")
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
-        # Bound once: singledispatchmethod makes a new function at each look-up.
+        # Bound once, as singledispatchmethod makes a new function at each access.
         self._dispatch = self._handle
 
     def start(self) -> None:
-        """Subscribe to what callers do."""
+        """Subscribe to the events of callers."""
         node = self._node
         self._draining = node.system(draining_module.Draining)
         self._liveness = node.system(liveness_module.Liveness)
@@ -72,16 +72,17 @@
     # -- For other systems ---------------------------------------------------
 
     def session(self, stream: int) -> SessionRow | None:
-        """Return a stream's session, None when it ended."""
+        """Return the session of a stream, None if it has ended."""
         return self.tables.sessions.get(stream)
 
     def raise_floor(
         self, session: SessionRow, database_key: str, position: LogPosition
     ) -> None:
-        """Have a session's later reads contain at least this position.
+        """Require a session's later reads to contain at least this position.
 
-        Of two places the newer one is the floor. The other one is in its log, unless
-        a promotion dropped it: then both are kept, for the session has yet to be told.
+        The newer one of two positions is the floor. The log up to it contains the
+        older one, unless a promotion discarded that: both are kept in this case, so
+        that the session's next read is answered FLOOR_LOST.
         """
         floor = session.floors.get(database_key)
         if floor is None:
@@ -110,12 +111,12 @@
     def seen_positions(
         self, session: SessionRow, database_key: str
     ) -> tuple[LogPosition, ...]:
-        """Return the places that the session's reads must contain, newest first."""
+        """Return the positions that the session's reads must contain, newest first."""
         keys = (database_key, lost_floor_key(database_key))
         return tuple(session.floors[key] for key in keys if key in session.floors)
 
     def token(self, session: SessionRow) -> bytes:
-        """Return the session's token, signed anew only when a floor rose."""
+        """Return the session's token, encoded anew only after a floor rose."""
         if not session.token:
             session.token = encode_token(self._node.identity.token_key, session.floors)
         return session.token
@@ -215,7 +216,7 @@
         self, session: SessionRow, request: OpenRequest
     ) -> ErrorCode | None:
         if session.service or not request.caller:
-            # Without a caller's name, request ids of two callers could meet.
+            # The caller's name is required, as request ids are unique per caller only.
             return ErrorCode.INVALID_FIELD
         if self._draining.draining:
             return ErrorCode.DRAINING
@@ -231,7 +232,7 @@
         del self.tables.sessions[session.stream]
         self._requests.abandon_session(session)
 
-    # -- Answers of its own --------------------------------------------------
+    # -- Answers -------------------------------------------------------------
 
     def _refuse(
         self,
--- a/mallowpass/core/systems/tokens.py
+++ b/mallowpass/core/systems/tokens.py
@@ -1,7 +1,7 @@
-"""Session tokens: a session's floors, carried and given back by its caller.
+"""Session tokens: the floors of a session, which its caller sends with each request.
 
-Hosts keep nothing, so the token is all that follows a session from host to host.
-It is signed: a forged floor could make a session skip its own writes.
+Hosts do not share sessions, so only the token follows a session from host to host. The
+token is signed, as a forged floor could make the session miss its own writes.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def encode_token(key: bytes, floors: Mapping[str, LogPosition]) -> bytes:
-    """Return the signed token of the floors, which stand by database key."""
+    """Return the signed token of floors, which are given by database key."""
     body = _VERSION + cbor2.dumps(
         [[name, floor.term, floor.position] for name, floor in floors.items()]
     )
@@ -34,7 +34,10 @@
 
 
 def decode_token(key: bytes, token: bytes) -> dict[str, LogPosition]:
-    """Return a token's floors; AuthenticationError unless this fleet signed it."""
+    """Return the floors of a token.
+
+    Raises AuthenticationError if the token was not signed with the fleet's key.
+    """
     signature = token[:_SIGNATURE_LENGTH]
     body = token[_SIGNATURE_LENGTH:]
     if len(token) > TOKEN_LENGTH_MAX or body[:1] != _VERSION:
--- a/mallowpass/core/systems/waiting.py
+++ b/mallowpass/core/systems/waiting.py
@@ -1,4 +1,4 @@
-"""Requests that can't go on now: held for a primary, or paused before a retry."""
+"""Requests that wait: for a primary, or for the backoff before a retry."""
 
 from __future__ import annotations
 
@@ -11,33 +11,32 @@
 
 __all__ = ["Waiting"]
 
-RECHECK_INTERVAL = (
-    0.1  # seconds between looks at what is held, should a signal be missed
-)
+# Seconds between checks of held requests, in case a signal was missed.
+RECHECK_INTERVAL = 0.1
 
 
 class Waiting(System):
-    """Hold requests, and let them go on in order of arrival; a part of Requests."""
+    """Hold requests and release them in order of arrival; a part of Requests."""
 
     __slots__ = ("_held", "_recheck_scheduled", "_requests", "_retries", "_routing")
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
         self._held: dict[str, dict[int, RequestRow]] = {}  # by database key
-        self._recheck_scheduled: set[str] = set()  # database keys that have a timer
+        self._recheck_scheduled: set[str] = set()  # database keys
 
     def start(self) -> None:
-        """Find the systems that are asked."""
+        """Look up the systems that this one calls."""
         from mallowpass.core.systems.requests import Requests
 
         self._requests = self._node.system(Requests)
         self._retries = self._node.system(retries_module.Retries)
         self._routing = self._node.system(routing_module.Routing)
 
-    # -- For a primary -------------------------------------------------------
+    # -- Holding for a primary -----------------------------------------------
 
     def hold(self, request: RequestRow, why: str) -> None:
-        """Keep a request until a primary takes it, or its deadline passes."""
+        """Hold a request until a primary can serve it or its deadline passes."""
         if request.detail != why:
             self._node.decide("hold", request.request.request_id, why)
         request.state = RequestState.HELD
@@ -49,13 +48,13 @@
             self.timers.after(RECHECK_INTERVAL, self._recheck, key)
 
     def forget(self, request: RequestRow) -> None:
-        """Let go of a finished request."""
+        """Remove a finished request from those held."""
         held = self._held.get(request.database)
         if held:
             held.pop(request.number, None)
 
     def release(self, database: str) -> None:
-        """Let all go on that a database's primary can take now."""
+        """Route a database's held requests if its primary accepts writes."""
         row = self.tables.databases.get(database)
         held = self._held.get(database)
         if not held or row is None or self._routing.choose_write(row) is None:
@@ -74,12 +73,12 @@
         else:
             self._recheck_scheduled.discard(database)
 
-    # -- Before a retry ------------------------------------------------------
+    # -- Retrying with backoff -----------------------------------------------
 
     def retry(self, request: RequestRow, code: ErrorCode, why: str) -> None:
-        """Try a request again after a pause, or give it up at once.
+        """Retry a request after a backoff, or refuse it at once.
 
-        Only for what is proven not to have run, or may run twice.
+        The request must be proven not to have run, or be idempotent.
         """
         request.detail = why
         delay = self._retries.take_retry(request)
@@ -87,7 +86,7 @@
             self._give_up(request, code, why)
             return
         self._node.emit(RETRIES_COUNT)
-        text = f"{why}; again in {delay:.3f}s"
+        text = f"{why}; retried in {delay:.3f}s"
         self._node.decide("retry", request.request.request_id, text)
         request.state = RequestState.BACKOFF
         self.timers.after(delay, self._on_backoff_ended, request, request.tries)
