--- a/tests/core/systems/test_admission.py
+++ b/tests/core/systems/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of mallowpass.core.systems.admission."""
+"""Admission: requests that cannot be served by their deadlines are refused at once."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def _serve(host: PoolHost, statements: int) -> None:
-    """Have statements take STATEMENT seconds each, one after another."""
+    """Run statements of STATEMENT seconds, one after another."""
     for _ in range(statements):
         host.request()
         host.open_all()
@@ -22,10 +22,10 @@
 
 
 def test_a_request_that_cannot_be_served_in_time_is_refused_at_once():
-    """
-    Symptom: callers wait until their deadline and then hear that nothing ran.
-    Sequence: ten statements of 0.2 s wait for one connection; one more has 1 s.
-    Cause: requests queued without a look at how long the line is.
+    """Callers wait until their deadlines to learn that their requests did not run.
+
+    Ten statements of 0.2 s wait for one connection when a request with a deadline of 1
+    s arrives. Requests were queued without a prediction of their wait.
     """
     host = PoolHost(limit=4)
     _serve(host, 3)
@@ -42,11 +42,11 @@
 
 @pytest.mark.parametrize("before", ["nothing", "in flight", "opening"])
 def test_a_request_with_room_for_a_connection_is_not_refused(before: str):
-    """
-    Symptom: an idle host refuses each request of 3 s for good.
-    Sequence: transactions kept connections for 9 s; then a request comes alone, or
-    beside another one, and a connection could be opened.
-    Cause: how long others kept connections was taken for the wait for a new one.
+    """An idle host refuses each request with a deadline of 3 s.
+
+    Transactions kept connections for 9 s. Then a request arrives alone, or beside one
+    more, and a connection could be opened. The time that others kept connections was
+    taken for the wait for a new one.
     """
     host = PoolHost(limit=8)
     host.pool.hold = 9.0
@@ -61,10 +61,10 @@
 
 
 def test_a_request_at_a_host_without_a_share_may_wait_for_a_loan():
-    """
-    Symptom: a host without a share refuses each request of 3 s for good.
-    Sequence: requests on borrowed connections took 9 s, and the loan is over.
-    Cause: nothing is open that they could keep, yet their time was counted.
+    """A host without a share refuses each request with a deadline of 3 s.
+
+    Requests on borrowed connections took 9 s, and the loan has ended. No connection is
+    open to which that time applies.
     """
     host = PoolHost(limit=8)
     host.pool.lent, host.pool.hold = host.pool.own, 9.0
@@ -73,7 +73,7 @@
     assert len(host.pool.queue) == 1
 
 
-def test_a_request_without_room_for_a_connection_waits_for_another_to_end():
+def test_a_request_without_room_for_a_connection_has_to_wait_for_another():
     host = PoolHost(limit=4)
     host.request()
     host.open_all()
@@ -82,7 +82,7 @@
     assert len(host.requests.refused) == 1
 
 
-def test_it_pays_to_come_back_after_the_time_stated():
+def test_a_retry_after_the_stated_time_is_served():
     host = PoolHost(limit=4)
     _serve(host, 3)
     for _ in range(10):
@@ -100,7 +100,7 @@
     assert again.number in [number for number, _ in host.requests.replies]
 
 
-def test_a_service_keeps_as_many_waiting_as_its_queue_is_long():
+def test_a_service_queues_no_more_requests_than_its_queue_length():
     host = PoolHost(limit=4, queue_length=5)
     _serve(host, 1)
     for _ in range(8):
@@ -138,7 +138,7 @@
     assert code == ErrorCode.ENDPOINT_REFUSED.code
 
 
-def test_an_endpoint_that_says_busy_is_sent_less():
+def test_a_busy_endpoint_is_sent_fewer_statements():
     host = PoolHost(limit=32)
     for _ in range(4):
         host.request()
@@ -149,10 +149,10 @@
 
 
 def test_quick_refusals_are_not_taken_for_uncontended_statements():
-    """
-    Symptom: an idle endpoint is sent one statement at a time.
-    Sequence: a replica that is behind refuses quickly, catches up, then serves.
-    Cause: the refusals' latency taken for that of a statement without contention.
+    """An idle endpoint is sent one statement at a time.
+
+    A replica that is behind refuses quickly, catches up, then serves. The latency of
+    the refusals was taken for that of statements without contention.
     """
     host = PoolHost(limit=32)
     host.request()
--- a/tests/core/systems/test_reads.py
+++ b/tests/core/systems/test_reads.py
@@ -1,4 +1,4 @@
-"""Reads: no answer leaves that the session's floor is not contained in."""
+"""Reads: no answer is forwarded that does not contain the session's floor."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     return path
 
 
-def test_read_is_served_by_a_replica_that_has_the_floor():
+def test_read_is_served_by_a_replica_that_has_reached_the_floor():
     path = _path()
     path.read(1, "look")
     assert path.sent.connection.address == "127.0.0.1:2"
@@ -28,10 +28,10 @@
 
 
 def test_stale_answer_is_dropped_and_read_elsewhere():
-    """Symptom: a caseworker's own claim is missing from the next read.
-    Sequence: a report of m2 proves (1, 5); m2 restarts from an older log and answers
-    from (1, 4).
-    Cause: the report chose the member; only the answer tells what it was made from.
+    """A session's own write is missing from its next read.
+
+    m2 reports (1, 5), restarts from an older log and answers from (1, 4). The report
+    chose the member, but only the answer's position shows what the answer contains.
     """
     path = _path(floor=(1, 5))
     path.report("m2", (1, 5))
@@ -45,10 +45,12 @@
     assert path.answer().rows == "fresh"
 
 
-def test_answer_of_a_later_term_that_dropped_the_floor_is_not_passed_on():
-    """Symptom: data that a session has seen is gone, and nobody says so.
-    Sequence: the session saw (1, 9); term 2 starts at 7; a member of term 2 has (2, 8).
-    Cause: (2, 8) is above (1, 9) by its term, but its log does not contain it.
+def test_answer_of_a_later_term_that_discarded_the_floor_is_not_forwarded():
+    """Data that a session has seen is gone, without FLOOR_LOST.
+
+    The session saw (1, 9), term 2 starts at 7, and a member of term 2 has reached
+    (2, 8). That position is above (1, 9) by its term, but its log does not contain
+    (1, 9).
     """
     path = _path(floor=(1, 9))
     path.report("m2", (1, 9))
@@ -65,9 +67,10 @@
 
 
 def test_write_in_the_next_term_does_not_hide_a_lost_floor():
-    """Symptom: a claim that was shown is gone, and the session is never told.
-    Sequence: the session saw (1, 9); term 2 starts at 7; it writes, then reads.
-    Cause: the write's place (2, 8) is above the floor and would take its place.
+    """Data that a session has seen is gone, without FLOOR_LOST.
+
+    The session saw (1, 9), term 2 starts at 7, and the session writes before it reads.
+    The position (2, 8) of the write is above the floor and would replace it.
     """
     path = _path(floor=(1, 9))
     path.promote("m2", term=2, start=7)
@@ -79,10 +82,11 @@
     assert path.answer().code == ErrorCode.FLOOR_LOST.code
 
 
-def test_answer_of_a_term_that_is_not_known_here_proves_nothing():
-    """Symptom: a read in the second of a promotion misses the session's own write.
-    Sequence: m2 follows term 3 before its report says so, and answers from (3, 2).
-    Cause: whether (1, 5) is in term 3's log depends on where that term started.
+def test_answer_of_an_unknown_term_is_not_forwarded():
+    """A read during a promotion lacks the session's own write.
+
+    m2 follows term 3 before its report says so, and answers from (3, 2). Whether the
+    log of term 3 contains (1, 5) depends on where term 3 started.
     """
     path = _path(floor=(1, 5))
     path.report("m2", (1, 5))
@@ -92,9 +96,10 @@
 
 
 def test_session_without_a_floor_learns_it_from_a_majority():
-    """Symptom: a caller that lost its token doesn't see the receipt it posted.
-    Sequence: it writes through one host, loses the token, reads through another.
-    Cause: no floor known is not the same as nothing written.
+    """A caller that lost its token does not see what it wrote.
+
+    It writes through one host and reads through another one without the token. An
+    unknown floor does not mean that the session has written nothing.
     """
     path = RequestPath()
     path.open(1)
@@ -108,7 +113,7 @@
     assert path.liveness.learning == []
 
 
-def test_read_with_unknown_floor_is_refused_at_once_on_the_minority_side():
+def test_read_with_an_unknown_floor_is_refused_at_once_without_a_majority():
     path = RequestPath()
     path.open(1)
     path.read(1, "look")
@@ -119,10 +124,10 @@
 
 @pytest.mark.parametrize("is_recorded", [True, False])
 def test_floor_of_the_newest_term_does_not_hide_a_lost_one(is_recorded):
-    """Symptom: a read is DONE and lacks what its session has seen.
-    Sequence: the session saw (1, 9); term 2 starts at 7; it reads with an age, whose
-    floor is (2, 8), by a record or learnt for the read.
-    Cause: the highest of the floors stood for all of them.
+    """A read is DONE and lacks what its session has seen.
+
+    The session saw (1, 9) and term 2 starts at 7. The read accepts an age, for which
+    the floor (2, 8) is known or learnt. Only the highest floor was checked.
     """
     path = _path(floor=(1, 9))
     path.promote("m2", term=2, start=7)
@@ -133,10 +138,11 @@
     assert path.answer().code == ErrorCode.FLOOR_LOST.code
 
 
-def test_answer_that_has_the_learnt_floor_but_not_the_sessions_is_not_passed_on():
-    """Symptom: a read is DONE and lacks what its session has seen.
-    Sequence: as above, and the new primary is not heard before the answer comes.
-    Cause: of the answer's position only the highest floor was checked.
+def test_answer_with_the_learnt_floor_but_not_the_sessions_is_not_forwarded():
+    """A read is DONE and lacks what its session has seen.
+
+    As above, but the new primary's first report comes after the answer. The position of
+    the answer was compared with the highest floor only.
     """
     path = _path(floor=(1, 9))
     path.report("m2", (2, 8))
@@ -147,10 +153,11 @@
     assert path.answered("look") == []
 
 
-def test_age_shorter_than_a_round_trip_is_met_by_what_is_learnt_for_the_read():
-    """Symptom: a read with an accepted age of 0 s is NOT_RUN at its deadline.
-    Sequence: a floor is learnt for it; its age has passed when the answers are there.
-    Cause: learnt again, it was too old again, until the end.
+def test_age_shorter_than_a_round_trip_is_met_by_a_floor_learnt_for_the_read():
+    """A read with an accepted age of 0 s is NOT_RUN at its deadline.
+
+    A floor that was learnt for the read was older than the age as soon as it was known,
+    so the floor was learnt again until the deadline.
     """
     path = _path()
     path.read(1, "look", accepted_age=0.0)
@@ -160,7 +167,7 @@
     assert path.answer().outcome is Outcome.DONE
 
 
-def test_floor_is_learnt_again_for_a_read_that_queued_but_not_for_ever():
+def test_floor_is_learnt_again_only_once_for_a_read_that_queued():
     path = _path()
     path.pooling.granting = False
     path.read(1, "look", accepted_age=0.5)
@@ -176,9 +183,9 @@
 
 
 def test_stricter_of_declared_and_stated_age_counts():
-    """Symptom: a portal's site list is older than its service declares.
-    Sequence: the service accepts 2 s, the statement 60 s.
-    Cause: either one alone would let the looser of the two through.
+    """A read is older than its service declares.
+
+    The service accepts 2 s, the statement 60 s. The lower of the two has to apply.
     """
     path = _path()
     row = path.node.tables.services[SERVICE]
@@ -192,9 +199,10 @@
 
 
 def test_age_counts_from_when_a_queued_read_is_sent():
-    """Symptom: a read that accepts one second shows data of four.
-    Sequence: its floor is set on arrival; it waits three seconds for a connection.
-    Cause: the age is that of the data when it is read, not when it was asked for.
+    """A read that accepts an age of one second returns data that is four seconds old.
+
+    Its floor is set on arrival, and it queues for three seconds. The age applies to the
+    time at which the read is sent.
     """
     path = _path()
     path.pooling.granting = False
@@ -206,10 +214,11 @@
     assert path.sent.call.minimum == LogPosition(1, 6)
 
 
-def test_floor_of_an_answer_holds_for_later_reads_on_any_host():
-    """Symptom: a claim's status goes back to an older one on reload.
-    Sequence: a read shows (1, 9); the next goes through another host.
-    Cause: the floor has to travel in the token, also for what was only read.
+def test_floor_of_an_answer_applies_to_later_reads_on_any_host():
+    """Data goes back to an older state when the caller reads again.
+
+    A read returns (1, 9), and the next read goes through another host. The token has to
+    carry the position of reads as well as of writes.
     """
     path = _path()
     path.read(1, "look")
@@ -221,7 +230,7 @@
     assert other.sent.connection.address == "127.0.0.1:1"
 
 
-def test_read_waits_for_a_replica_that_is_about_to_have_the_floor():
+def test_read_waits_for_a_replica_that_is_about_to_reach_the_floor():
     path = _path(floor=(1, 5))
     path.liveness.reach["m2"] = 0.02
     path.read(1, "look")
@@ -230,10 +239,11 @@
     assert path.sent.connection.address == "127.0.0.1:2"
 
 
-def test_members_that_are_behind_are_asked_again_for_a_while():
-    """Symptom: all reads right after a write crowd the primary.
-    Sequence: both replicas lag by some milliseconds more than was predicted.
-    Cause: the primary is asked although a replica would have the floor soon.
+def test_members_that_are_behind_are_tried_again_for_a_while():
+    """All reads right after a write are sent to the primary.
+
+    Both replicas lag some milliseconds more than predicted, and the primary was used
+    although a replica would have reached the floor soon.
     """
     path = _path()
     path.read(1, "look")
@@ -249,9 +259,10 @@
 
 
 def test_answer_that_broke_off_is_not_continued_from_another_member():
-    """Symptom: a tariff history has rows twice, or of two different moments.
-    Sequence: two parts were passed on, then the connection is lost.
-    Cause: parts of one answer can't be completed with those of another.
+    """An answer has rows twice, or rows of two log positions.
+
+    Two parts were forwarded before the connection was lost. The parts of one answer
+    cannot be completed with those of another.
     """
     path = _path()
     path.read(1, "look", chunk_rows=10)
@@ -262,7 +273,7 @@
     assert path.answer().outcome is Outcome.UNKNOWN
 
 
-def test_part_of_a_stale_answer_is_not_passed_on():
+def test_part_of_a_stale_answer_is_not_forwarded():
     path = _path(floor=(1, 5))
     path.report("m2", (1, 5))
     path.read(1, "look", chunk_rows=10)
@@ -271,10 +282,11 @@
     assert path.pooling.discarded
 
 
-def test_late_reply_reaches_nobody():
-    """Symptom: a caller gets an answer after it was told the outcome.
-    Sequence: the read's deadline passes; the endpoint's reply comes afterwards.
-    Cause: the connection still carries the reply, whoever uses it next.
+def test_late_reply_is_not_forwarded():
+    """A caller gets an answer after the outcome.
+
+    The read's deadline passes before the endpoint replies. The reply arrives on a
+    connection that may serve another request.
     """
     path = _path()
     path.read(1, "look", deadline=0.2)
@@ -286,10 +298,11 @@
     assert len(path.answered("look")) == 1
 
 
-def test_read_on_a_silent_connection_is_tried_elsewhere():
-    """Symptom: single reads take seconds while the member answers all others.
-    Sequence: something between the ends loses track of one connection.
-    Cause: nothing ever breaks it; waiting for its answer waits for the deadline.
+def test_read_on_an_unresponsive_connection_is_retried_elsewhere():
+    """Single reads take seconds while the member answers all others.
+
+    A network device has lost track of one connection, which is never closed. Waiting
+    for the reply would last until the deadline.
     """
     path = _path()
     path.read(1, "look")
@@ -302,9 +315,10 @@
 
 @pytest.mark.parametrize(("patient", "runs"), [(False, 2), (True, 1)])
 def test_long_report_is_left_to_finish(patient, runs):
-    """Symptom: a long report runs at every member in turn, and ends at none.
-    Sequence: each member takes longer than usual; the report begins anew elsewhere.
-    Cause: a statement that is slow by itself was taken for a slow member each time.
+    """A long report runs at every member in turn and finishes at none.
+
+    A statement that is slow by itself was taken for a slow member each time, and was
+    restarted at the next one.
     """
     path = _path()
     path.pooling.answering = True
@@ -316,7 +330,7 @@
     assert path.answer().outcome is Outcome.DONE
 
 
-def test_moved_read_on_a_connection_that_goes_silent_moves_again():
+def test_retried_read_whose_connection_becomes_unresponsive_is_retried_again():
     path = _path()
     path.pooling.answering = True
     path.read(1, "report", deadline=60.0)
@@ -326,7 +340,7 @@
     assert len(path.pooling.sent) == 3
 
 
-def test_read_without_budget_is_looked_at_again():
+def test_overdue_read_is_retried_once_the_budget_allows_it():
     path = _path()
     path.retries._budget("claims-core").left = 0.0
     path.read(1, "look")
@@ -336,10 +350,11 @@
     assert len(path.pooling.sent) == 2
 
 
-def test_read_with_too_long_a_line_at_one_member_is_served_by_another():
-    """Symptom: reads are refused for a full queue while other members stand idle.
-    Sequence: the best replica's line is too long for the deadline; the primary's not.
-    Cause: one member's refusal was the answer.
+def test_read_with_a_full_queue_at_one_member_is_served_by_another():
+    """Reads are refused for a full queue while other members are idle.
+
+    The queue of the best replica is too long for the deadline, that of the primary is
+    not. The refusal of one member was taken for the final answer.
     """
     path = _path()
     path.pooling.full = {"127.0.0.1:2": 0.4, "127.0.0.1:3": 0.2}
@@ -349,7 +364,7 @@
     assert path.answer().outcome is Outcome.DONE
 
 
-def test_read_with_too_long_a_line_at_all_members_is_refused_with_the_least_time():
+def test_read_with_full_queues_at_all_members_is_refused_with_the_least_time():
     path = _path()
     path.pooling.full = {f"127.0.0.1:{n}": s for n, s in ((1, 0.3), (2, 0.1), (3, 0.2))}
     path.read(1, "look")
@@ -363,14 +378,14 @@
     assert [dict(e.attributes)["code"] for e in refused] == [answer.code]
 
 
-def test_write_with_too_long_a_line_is_refused():
+def test_write_with_a_full_queue_at_the_primary_is_refused():
     path = _path()
     path.pooling.full = {"127.0.0.1:1": 0.1}
     path.write(1, "file")
     assert path.answer().code == ErrorCode.QUEUE_FULL.code
 
 
-def test_read_queued_at_a_member_that_lets_nobody_in_moves_on():
+def test_read_queued_at_a_member_without_connections_is_retried_elsewhere():
     path = _path()
     path.pooling.granting = path.pooling.connected = False
     path.read(1, "look")
@@ -378,10 +393,11 @@
     assert path.pooling.queue[0][1] == "127.0.0.1:3"
 
 
-def test_lost_floor_that_nobody_was_answered_from_is_learnt_again():
-    """Symptom: after a failover a session gets FLOOR_LOST though it lost nothing.
-    Sequence: the learnt floor (1, 9) was in the part that the promotion dropped.
-    Cause: a floor learnt from a majority may hold entries that no majority had.
+def test_discarded_floor_that_no_answer_contained_is_learnt_again():
+    """A session gets FLOOR_LOST after a failover though it lost nothing.
+
+    The learnt floor (1, 9) was in the part of the log that the promotion discarded. A
+    floor that was learnt from a majority may cover entries that no majority held.
     """
     path = RequestPath()
     path.open(1)
@@ -394,7 +410,7 @@
     assert path.sent.call.minimum == LogPosition(2, 7)
 
 
-def test_read_needs_no_primary_when_a_replica_has_the_floor():
+def test_read_needs_no_primary_if_a_replica_has_reached_the_floor():
     path = _path()
     path.lose_primary()
     path.read(1, "look")
--- a/tests/core/systems/test_retries.py
+++ b/tests/core/systems/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries: paid for by successes, spread in time, never past the deadline."""
+"""Retries: limited by a budget, spread by jitter, never past the deadline."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 from tests.fakes.requestpath import RequestPath
 
 
-def test_retries_cannot_outgrow_the_successes():
-    """Symptom: an endpoint that is short of room gets several times its load.
-    Sequence: it refuses everything; each refusal is tried again.
-    Cause: without a budget retries multiply what an outage has left.
+def test_retries_are_limited_by_successes():
+    """An endpoint short of capacity is sent several times its usual load.
+
+    It refuses all statements, and each refusal is retried. Without a budget, retries
+    multiply the load of an outage.
     """
     path = RequestPath()
     path.open_known()
--- a/tests/core/systems/test_routing.py
+++ b/tests/core/systems/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing: near, idle and sound members first; one trial for those that failed."""
+"""Routing: near, idle and healthy members first, one trial after an ejection."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def _path() -> RequestPath:
-    """Return a request path with one read queued, to be routed again and again."""
+    """Return a request path with one read queued, which is routed repeatedly."""
     path = RequestPath()
     path.open_known()
     path.pooling.granting = False
@@ -15,58 +15,60 @@
     return path
 
 
-def _choose(path: RequestPath) -> str:
+def _choose_read(path: RequestPath) -> str:
     request = path.pooling.queue[0][0]
     endpoint = path.routing.choose_read(request, path.database)
     return endpoint.address if endpoint is not None else ""
 
 
 def test_nearest_replica_is_chosen():
-    assert _choose(_path()) == "127.0.0.1:2"
+    assert _choose_read(_path()) == "127.0.0.1:2"
 
 
-def test_measured_latency_counts_more_than_place():
+def test_measured_latency_counts_more_than_failure_domain():
     path = _path()
     path.routing.record(path.endpoint("m2"), 0.05, ok=True)
-    assert _choose(path) == "127.0.0.1:3"
+    assert _choose_read(path) == "127.0.0.1:3"
     path.advance(5.0)
-    assert _choose(path) == "127.0.0.1:2"
+    assert _choose_read(path) == "127.0.0.1:2"
 
 
-def test_failing_member_gets_one_trial_after_a_pause():
-    """Symptom: a share of all reads fails, again and again.
-    Sequence: a member fails each statement, at once, so that it looks idle.
-    Cause: tried again by all at once, it fails all of them at once.
+def test_ejected_member_gets_one_trial_request():
+    """A share of all reads fails repeatedly.
+
+    A member that fails each statement at once looks idle. If all reads tried the member
+    again at once, all of them would fail.
     """
     path = _path()
     for _ in range(EJECTION_ERRORS):
         path.routing.record(path.endpoint("m2"), 0.0, ok=False)
-    assert _choose(path) == "127.0.0.1:3"
+    assert _choose_read(path) == "127.0.0.1:3"
     path.advance(1.0)
-    assert [_choose(path), _choose(path)] == ["127.0.0.1:2", "127.0.0.1:3"]
+    assert [_choose_read(path), _choose_read(path)] == ["127.0.0.1:2", "127.0.0.1:3"]
     path.routing.record(path.endpoint("m2"), 0.0, ok=False)
     pause = path.endpoint("m2").ejected_until - path.now
     assert pause >= 0.5
     path.advance(pause + 0.1)
-    assert _choose(path) == "127.0.0.1:2"
+    assert _choose_read(path) == "127.0.0.1:2"
     path.routing.record(path.endpoint("m2"), 0.001, ok=True)
-    assert [_choose(path), _choose(path)] == ["127.0.0.1:2", "127.0.0.1:2"]
+    assert [_choose_read(path), _choose_read(path)] == ["127.0.0.1:2", "127.0.0.1:2"]
 
 
-def test_trial_without_a_result_does_not_keep_a_member_out():
+def test_trial_without_a_result_does_not_prolong_an_ejection():
     path = _path()
     for _ in range(EJECTION_ERRORS):
         path.routing.record(path.endpoint("m2"), 0.0, ok=False)
     path.advance(1.0)
-    assert [_choose(path), _choose(path)] == ["127.0.0.1:2", "127.0.0.1:3"]
+    assert [_choose_read(path), _choose_read(path)] == ["127.0.0.1:2", "127.0.0.1:3"]
     path.advance(1.1)
-    assert _choose(path) == "127.0.0.1:2"
+    assert _choose_read(path) == "127.0.0.1:2"
 
 
 def test_last_replica_is_not_ejected_for_being_slow():
-    """Symptom: heavy reads crowd the primary.
-    Sequence: reconciliation makes all replicas slow, one after the other.
-    Cause: slowness is judged against members that take over; the last has none.
+    """Heavy reads overload the primary.
+
+    They make all replicas slow, one after the other. A replica is slow in comparison
+    with replicas that can take over, and the last one has none.
     """
     path = _path()
     path.routing.record(path.endpoint("m3"), 0.001, ok=True)
@@ -81,7 +83,7 @@
 def test_leaving_members_get_no_work():
     path = _path()
     path.endpoint("m2").leaving = True
-    assert _choose(path) == "127.0.0.1:3"
+    assert _choose_read(path) == "127.0.0.1:3"
     path.endpoint("m1").leaving = True
     assert path.routing.choose_write(path.database) is None
     path.endpoint("m3").leaving = True
@@ -89,13 +91,13 @@
     assert path.routing.choose_fallback_read(request, path.database) is None
 
 
-def test_ejected_replica_serves_when_there_is_nobody_else():
+def test_ejected_replica_serves_if_no_other_member_can():
     path = _path()
     path.lose_primary()
     for name in ("m2", "m3"):
         for _ in range(EJECTION_ERRORS):
             path.routing.record(path.endpoint(name), 0.0, ok=False)
-    assert _choose(path) == ""
+    assert _choose_read(path) == ""
     request = path.pooling.queue[0][0]
     endpoint = path.routing.choose_fallback_read(request, path.database)
     assert endpoint is path.endpoint("m2")
--- a/tests/core/systems/test_sessions.py
+++ b/tests/core/systems/test_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions: what is refused on arrival, and what a token carries over."""
+"""Sessions: refusals on arrival, and floors that tokens carry between hosts."""
 
 from __future__ import annotations
 
@@ -31,9 +31,10 @@
 
 
 def test_older_token_does_not_lower_a_floor():
-    """Symptom: a caller's own claim is missing from its next read.
-    Sequence: it sends requests without waiting, with the token it had before.
-    Cause: the newest answer's floor is known here, though not in that token.
+    """A session's own write is missing from its next read.
+
+    The caller sends pipelined requests with an older token. The floor of the newest
+    answer is known to the host, though it is not in that token.
     """
     path = RequestPath()
     path.open_known()
@@ -46,11 +47,13 @@
     assert path.sent.call.minimum == LogPosition(1, 9)
 
 
-def test_token_holds_what_was_written_beside_what_was_lost():
-    """Symptom: a caller roams with the token of its write and does not see it.
-    Sequence: it saw (1, 9); term 2 starts at 7; its write is (2, 8); it reads through
-    a host that still takes m1 of term 1 for the primary, then through another one.
-    Cause: a lost floor was kept in the newest one's place, so that it can be told.
+def test_token_carries_the_newest_floor_beside_a_discarded_one():
+    """A caller does not see its own write through another host.
+
+    It saw (1, 9), term 2 starts at 7, and its write is at (2, 8). It reads through a
+    host for which m1 of term 1 is still the primary, then through a third host. The
+    discarded floor, which is kept for FLOOR_LOST, had taken the place of the newest
+    one.
     """
     path = RequestPath()
     path.open_known(floor=(1, 9))
@@ -70,11 +73,11 @@
     assert third.answer(5).code == ErrorCode.FLOOR_LOST.code
 
 
-def test_old_primarys_answer_after_a_write_in_the_next_term_is_not_forgotten():
-    """Symptom: what a read showed is gone, and the session is never told.
-    Sequence: a read of (1, 9) is answered after a write of the same session was done
-    at (2, 8), in a term that starts at 7.
-    Cause: (1, 9) is below (2, 8), but is not in its log.
+def test_late_answer_of_the_old_primary_is_kept_as_a_discarded_floor():
+    """Data that a session has seen is gone, without FLOOR_LOST.
+
+    A read of (1, 9) is answered after a write of the same session was done at (2, 8),
+    in a term that starts at 7. (1, 9) is below (2, 8), but not in the log of (2, 8).
     """
     path = RequestPath()
     path.open_known()
@@ -90,7 +93,7 @@
     assert path.answer().code == ErrorCode.FLOOR_LOST.code
 
 
-def test_draining_host_takes_no_sessions_but_serves_those_it_has():
+def test_draining_host_accepts_no_sessions_but_serves_existing_ones():
     path = RequestPath()
     path.open_known()
     path.draining.draining = True
@@ -105,7 +108,7 @@
     assert path.answer(1).code == ErrorCode.DRAINING.code
 
 
-def test_requests_beyond_the_limit_are_refused_with_a_time():
+def test_requests_beyond_the_limit_are_refused_with_a_retry_time():
     path = RequestPath(tuning=replace(Tuning(), requests_in_flight=2))
     path.open_known()
     for name in ("a", "b", "c"):
@@ -115,7 +118,7 @@
     assert path.answer().retry_after > 0
 
 
-def test_closed_session_leaves_nothing_behind():
+def test_closed_session_leaves_no_requests():
     path = RequestPath()
     path.open_known()
     path.pooling.granting = False
@@ -130,9 +133,9 @@
 
 
 class FloorMachine(RuleBasedStateMachine):
-    """Let one session roam between two hosts while members lag at will.
+    """Move one session between two hosts while replicas lag arbitrarily.
 
-    The oracle is the highest place that the session wrote or was shown.
+    The oracle is the highest position that the session wrote or was answered from.
     """
 
     @initialize()
@@ -148,7 +151,7 @@
 
     @rule(member=st.sampled_from(["m2", "m3"]), behind=st.integers(0, 3))
     def replicate(self, member, behind):
-        """Move a replica, also backwards: it restarts from an older copy."""
+        """Set a replica's position, also backwards: it restarts from an older copy."""
         self.applied[member] = max(1, self.log - behind)
 
     @rule(host=st.integers(0, 1), member=st.sampled_from(["m2", "m3"]))
@@ -162,7 +165,7 @@
         self.applied["m1"] = self.log
         path.reply(applied=(1, self.log))
         path.hold(1, self.log)
-        self._take(path)
+        self._keep_token(path)
 
     @rule(host=st.integers(0, 1))
     def read(self, host):
@@ -175,19 +178,19 @@
             if path.sent.request.request.request_id == name:
                 where = path.sent.connection.address
                 member = f"m{where[-1]}"
-                # The endpoint itself checks nothing: the proxy has to.
+                # This endpoint does not check the floor, so the proxy has to.
                 path.reply(applied=(1, self.applied[member]), rows=member)
             path.advance(0.05)
         (answer,) = path.answered(name)
         if answer.outcome is Outcome.DONE:
-            place = self.applied[answer.rows]
-            assert place >= self.seen
-            self.seen = place
-        self._take(path)
+            position = self.applied[answer.rows]
+            assert position >= self.seen
+            self.seen = position
+        self._keep_token(path)
 
     @rule()
     def lose_token(self):
-        """Begin anew with a stream that has no token: floors are unknown."""
+        """Start new streams without a token, so that floors are unknown."""
         self.token = b""
         for path in self.paths:
             path.leave(1)
@@ -205,7 +208,7 @@
         getattr(path, kind)(1, f"{kind[0]}{self.count}", token=self.token)
         return path
 
-    def _take(self, path):
+    def _keep_token(self, path):
         answer = path.answer()
         self.token = answer.token
         if answer.outcome is Outcome.DONE and answer.rows is None:
--- a/tests/core/systems/test_tokens.py
+++ b/tests/core/systems/test_tokens.py
@@ -1,4 +1,4 @@
-"""Session tokens: floors come back as they went out, or not at all."""
+"""Session tokens: decoding returns the encoded floors, or refuses the token."""
 
 from __future__ import annotations
 
@@ -22,9 +22,10 @@
 
 @given(FLOORS, st.data())
 def test_changed_token_is_refused(floors, data):
-    """Symptom: a session reads a replica that lacks its own writes.
-    Sequence: a caller, or a fault on its way, lowers a floor in the token.
-    Cause: the token alone says what the session must see.
+    """A session reads from a replica that lacks the session's own writes.
+
+    A caller, or a fault in transit, lowers a floor in the token. Hosts have no other
+    source of a session's floors.
     """
     token = bytearray(encode_token(KEY, floors))
     place = data.draw(st.integers(0, len(token) - 1))
--- a/tests/core/systems/test_writes.py
+++ b/tests/core/systems/test_writes.py
@@ -1,4 +1,4 @@
-"""Writes: run at most once, acknowledged only when they stay."""
+"""Writes: run at most once, and acknowledged only once a majority holds them."""
 
 from __future__ import annotations
 
@@ -21,15 +21,16 @@
     return path
 
 
-def _writes(path: RequestPath) -> list[tuple[int, int]]:
+def _sent_attempts(path: RequestPath) -> list[tuple[int, int]]:
     """Return term and attempt of all writes that were sent."""
     return [(sent.call.term, sent.call.attempt) for sent in path.pooling.sent]
 
 
 def test_write_is_done_once_a_majority_holds_it(path):
-    """Symptom: an acknowledged claim is gone after a failover.
-    Sequence: the primary runs it, answers OK and dies before anybody has it.
-    Cause: one member's OK says nothing of what the next primary will have.
+    """An acknowledged write is lost by a failover.
+
+    The primary runs it, answers OK and fails before a replica has received it. The OK
+    of one member does not show what the next primary's log contains.
     """
     path.write(1, "file")
     path.reply(applied=(1, 7), rows="r")
@@ -42,9 +43,10 @@
 
 
 def test_ok_of_a_replaced_primary_is_not_acknowledged(path):
-    """Symptom: a receipt is acknowledged, and missing from the ledger.
-    Sequence: m1 is cut off and still leads its own term; m2 was promoted.
-    Cause: m1's OK is about a log that nobody follows any more.
+    """A write is acknowledged and missing from the log.
+
+    m1 is cut off and still leads its own term while m2 was promoted. m1's OK concerns a
+    log that no other member follows.
     """
     path.write(1, "file")
     path.reply(applied=(1, 7))
@@ -52,46 +54,48 @@
     assert path.answered("file") == []
     assert path.look_up(NOT_RECORDED).term == 2
     path.hold(2, 7)
-    assert _writes(path) == [(1, 1), (2, 2)]
+    assert _sent_attempts(path) == [(1, 1), (2, 2)]
     path.reply(applied=(2, 8))
     path.hold(2, 8)
     assert path.answer().outcome is Outcome.DONE
 
 
 def test_absence_in_a_later_term_is_proof_only_once_that_term_is_held(path):
-    """Symptom: a claim answered NOT_RUN is recorded all the same.
-    Sequence: m2 leads term 2 and has no record; it dies before a majority has the
-    start of its term; term 3 is given to the log of term 1, record and all.
-    Cause: only what a majority holds outlives the next promotion.
+    """A write that was answered NOT_RUN is recorded.
+
+    m2 leads term 2 without the record and fails before a majority holds the start of
+    its term. Term 3 starts from the log of term 1, which has the record. Only what a
+    majority holds survives the next promotion.
     """
     path.write(1, "file")
     path.lose()
     path.promote("m2", term=2, start=7)
     path.liveness.controls.pop(0)
     path.look_up(NOT_RECORDED)
-    assert _writes(path) == [(1, 1)]
+    assert _sent_attempts(path) == [(1, 1)]
     path.promote("m3", term=3, start=8)
     path.look_up(RECORDED, position=(1, 7), rows="r")
     assert path.answered("file") == []
     path.hold(3, 8)
     assert path.answer().outcome is Outcome.DONE
     assert path.answer().rows == "r"
-    assert _writes(path) == [(1, 1)]
+    assert _sent_attempts(path) == [(1, 1)]
 
 
-def test_absence_in_the_term_of_its_sending_is_no_proof_before_that_is_held(path):
-    """Symptom: a claim answered NOT_RUN is recorded all the same.
-    Sequence: a first copy ran in term 1 through another host. m2 leads term 2, which
-    no majority has anything of; this copy is sent there, lost and not recorded. Term
-    3 is given to the log of term 1, record and all.
-    Cause: the look-up's term was that of the sending, and taken for proof by itself.
+def test_absence_in_the_term_of_sending_is_proof_only_once_that_term_is_held(path):
+    """A write that was answered NOT_RUN is recorded.
+
+    A duplicate ran in term 1 through another host. m2 leads term 2, of which no
+    majority holds anything; this attempt is sent there, lost and not recorded. Term 3
+    starts from the log of term 1. The look-up in the term of sending was taken for
+    proof by itself.
     """
     path.promote("m2", term=2, start=7)
     path.write(1, "file")
     path.lose()
     path.look_up(NOT_RECORDED)
     path.advance(0.1)
-    assert _writes(path) == [(2, 1)]
+    assert _sent_attempts(path) == [(2, 1)]
     path.promote("m3", term=3, start=8)
     path.look_up(RECORDED, position=(1, 7), rows="r")
     path.hold(3, 8)
@@ -99,9 +103,10 @@
 
 
 def test_write_on_a_lost_connection_is_looked_up_before_it_runs_again(path):
-    """Symptom: a claim is recorded twice, and rejected in both copies.
-    Sequence: the connection breaks after the endpoint ran it, before its answer.
-    Cause: no answer is not the same as not run.
+    """A write is recorded twice.
+
+    The connection is lost after the endpoint ran the write and before the endpoint's
+    reply. A missing reply does not mean that the write did not run.
     """
     path.write(1, "file")
     path.lose()
@@ -125,15 +130,14 @@
     path.advance(0.1)
     path.look_up(NOT_RECORDED)
     path.advance(0.1)
-    assert _writes(path) == [(1, 1), (1, 2)]
+    assert _sent_attempts(path) == [(1, 1), (1, 2)]
 
 
-def test_verdict_on_an_earlier_attempt_does_not_count_for_a_later_one(path):
-    """Symptom: a receipt is doubled after a flapping primary.
-    Sequence: a look-up of attempt 1 is slow; the primary is lost and heard again, a
-    second look-up comes first, attempt 2 is sent and lost; then the slow one says:
-    not recorded.
-    Cause: it is true of attempt 1 only.
+def test_result_for_an_earlier_attempt_does_not_count_for_a_later_one(path):
+    """A write runs twice after the primary was lost and found again.
+
+    The look-up of attempt 1 is slow. A second look-up is answered first, attempt 2 is
+    sent and lost, then the first look-up returns that attempt 1 was not recorded.
     """
     path.write(1, "file")
     path.lose()
@@ -146,10 +150,10 @@
     path.liveness.controls.insert(0, slow)
     path.look_up(NOT_RECORDED)
     path.advance(0.4)
-    assert _writes(path) == [(1, 1), (1, 2)]
+    assert _sent_attempts(path) == [(1, 1), (1, 2)]
 
 
-def test_unclear_failure_of_the_endpoint_is_looked_up(path):
+def test_write_with_an_internal_error_of_the_endpoint_is_looked_up(path):
     path.write(1, "file")
     path.reply(EndpointCode.INTERNAL)
     assert path.answered("file") == []
@@ -157,9 +161,10 @@
 
 
 def test_unrepeatable_write_that_cannot_be_looked_up_is_unknown_at_once(path):
-    """Symptom: a claim is doubled at an endpoint that keeps no request ids.
-    Sequence: its connection is lost; nobody can tell whether it ran.
-    Cause: without proof only the caller may decide to send it again.
+    """A write runs twice at an endpoint that records no outcomes.
+
+    Its connection is lost and the outcome cannot be looked up. Without proof, only the
+    caller may decide to send an unrepeatable write again.
     """
     path.endpoint("m1").report = None
     path.report("m1", (1, 1), outcome_lookup=False)
@@ -174,19 +179,21 @@
 
 
 def test_attempt_after_a_fence_has_a_higher_number(path):
-    """Symptom: a caller's retry is refused for ever.
-    Sequence: another host gave the first copy up and fenced it; the caller retries.
-    Cause: the new copy starts at a number that stands under the fence.
+    """Each retry of a caller is refused.
+
+    Another host abandoned and fenced the first attempt. The attempt number of the
+    caller's retry started below the fence.
     """
     path.write(1, "file")
     path.reply(EndpointCode.FENCED, attempt=3)
-    assert _writes(path) == [(1, 1), (1, 4)]
+    assert _sent_attempts(path) == [(1, 1), (1, 4)]
 
 
 def test_copy_of_a_write_that_ran_is_answered_when_that_is_held(path):
-    """Symptom: a caller's retry gets DONE, and the claim is gone after a failover.
-    Sequence: the first copy ran in term 1; the retry finds its record in term 2.
-    Cause: a record is no more durable than any other entry.
+    """A retry is answered DONE, and the write is lost by a failover.
+
+    The write ran in term 1, and the retry finds its record in term 2. A record is no
+    more durable than any other entry of the log.
     """
     path.promote("m2", term=2, start=7)
     path.write(1, "file")
@@ -202,9 +209,10 @@
 
 
 def test_copies_in_flight_are_answered_from_one_run(path):
-    """Symptom: two copies of one filing race each other to the endpoint.
-    Sequence: the caller's stream breaks; it opens another and sends the same id.
-    Cause: the first copy still runs here, though its stream is gone.
+    """Two duplicates of one write run concurrently.
+
+    The caller's stream is lost, and the caller sends the same id on another stream
+    while the first request is in progress.
     """
     path.open(2, caller="caller-1")
     path.write(1, "file")
@@ -228,10 +236,11 @@
     assert len(path.pooling.sent) == 1
 
 
-def test_ids_of_two_callers_never_meet(path):
-    """Symptom: a caller's receipt is answered with another's, and never runs.
-    Sequence: caller "a/b" sends request "c", caller "a" sends request "b/c".
-    Cause: the endpoint records caller and request id as one text.
+def test_ids_of_two_callers_never_collide(path):
+    """A caller's write is answered with another caller's, and never runs.
+
+    Caller "a/b" sends request "c" and caller "a" sends request "b/c". The endpoint
+    records caller and request id as one text.
     """
     path.open(2, caller="a/b")
     path.open(3, caller="a")
@@ -241,9 +250,9 @@
 
 
 def test_writes_are_held_without_a_primary_and_run_in_order(path):
-    """Symptom: callers see errors for the length of a failover.
-    Sequence: the primary is lost; writes arrive; m2 is promoted.
-    Cause: the gap is shorter than their deadlines.
+    """Callers get errors during a failover.
+
+    The primary is lost, writes arrive, and m2 is promoted before their deadlines.
     """
     path.lose_primary()
     for name in ("a", "b", "c"):
@@ -256,10 +265,10 @@
 
 
 def test_held_writes_do_not_spend_the_retry_budget(path):
-    """Symptom: in a failover most writes are refused: budget of retries spent.
-    Sequence: more writes wait at the dead primary than the budget has retries; no
-    connection to it can be opened.
-    Cause: waiting for a promotion is not a retry.
+    """Most writes are refused with RETRY_BUDGET_SPENT during a failover.
+
+    More writes wait for the failed primary, to which no connection can be opened, than
+    the budget has retries. Waiting for a promotion is not a retry.
     """
     path.pooling.granting = False
     for number in range(int(BUDGET_MAX) + 5):
@@ -273,12 +282,12 @@
     assert not [a for _, a in path.answers if a.outcome is Outcome.NOT_RUN]
 
 
-def test_write_refused_for_its_term_waits_for_the_reports(path):
+def test_write_refused_for_its_term_waits_for_a_newer_term(path):
     path.write(1, "file")
     path.reply(EndpointCode.WRONG_TERM)
     assert len(path.pooling.sent) == 1
     path.promote("m2", term=2, start=7)
-    assert _writes(path) == [(1, 1), (2, 1)]
+    assert _sent_attempts(path) == [(1, 1), (2, 1)]
 
 
 @pytest.mark.parametrize(
@@ -292,9 +301,10 @@
     ],
 )
 def test_outcome_at_the_deadline_tells_what_is_known(path, stage, outcome, code):
-    """Symptom: a write answered NOT_RUN did run, or one never sent is UNKNOWN.
-    Sequence: its deadline passes at each stage of its way.
-    Cause: only what was never sent is proven not to have run.
+    """A write that ran is NOT_RUN, or one that was never sent is UNKNOWN.
+
+    Its deadline passes at each of its states. Only a write that was not sent is proven
+    not to have run.
     """
     if stage == "held":
         path.lose_primary()
@@ -314,10 +324,10 @@
     assert len(path.pooling.sent) == (stage not in ("held", "queued"))
 
 
-def test_grant_that_crosses_the_deadline_is_given_back(path):
-    """Symptom: a claim answered NOT_RUN is recorded all the same.
-    Sequence: its deadline passes just when a connection comes free for it.
-    Cause: whoever grants may not have heard yet that nobody waits any more.
+def test_connection_granted_after_the_deadline_is_released(path):
+    """A write that was answered NOT_RUN is recorded.
+
+    Its deadline passes just before the pool grants a connection to it.
     """
     path.pooling.granting = False
     path.write(1, "file", deadline=1.0)
@@ -338,30 +348,32 @@
     assert [sent.connection.address for sent in path.pooling.sent] == ["127.0.0.1:2"]
 
 
-def test_write_queued_at_a_former_primary_moves_to_the_new_one(path):
+def test_write_queued_at_a_former_primary_is_requeued_at_the_new_one(path):
     path.pooling.granting = False
     path.write(1, "file")
     path.promote("m2", term=2, start=7)
     assert [address for _, address in path.pooling.queue] == ["127.0.0.1:2"]
 
 
-def test_write_sent_to_a_silent_primary_is_resolved_by_the_next(path):
-    """Symptom: writes in flight hang for seconds after a failover is over.
-    Sequence: m1 goes silent with the write in flight; m2 is promoted.
-    Cause: nobody will ever answer on that connection.
+def test_write_sent_to_an_unresponsive_primary_is_resolved_by_its_successor(path):
+    """Writes in flight take seconds after a failover has ended.
+
+    m1 becomes unresponsive with a write in flight, and m2 is promoted. No reply will
+    arrive on the connection to m1.
     """
     path.write(1, "file")
     path.promote("m2", term=2, start=7)
     assert path.pooling.discarded == [path.pooling.sent[0].connection.number]
     path.look_up(NOT_RECORDED)
     path.hold(2, 7)
-    assert _writes(path) == [(1, 1), (2, 2)]
+    assert _sent_attempts(path) == [(1, 1), (2, 2)]
+
 
+def test_write_on_an_unresponsive_connection_is_looked_up_early(path):
+    """Single writes take seconds while the primary answers all others.
 
-def test_write_on_a_silent_connection_is_looked_up_early(path):
-    """Symptom: single writes take seconds while the primary answers all others.
-    Sequence: something between the ends loses track of one connection.
-    Cause: nothing ever breaks it; the record tells at once whether it ran.
+    A network device has lost track of one connection, which is never closed. The
+    primary's record shows at once whether the write ran.
     """
     path.write(1, "file")
     path.advance(0.8)
@@ -375,9 +387,10 @@
 
 
 def test_slow_write_is_not_fenced_while_its_connection_answers(path):
-    """Symptom: a long write of the reconciliation never ends, or ends NOT_RUN.
-    Sequence: it takes longer than eight usual ones; it is fenced and sent again.
-    Cause: each copy is as slow as the first, and is fenced in its turn.
+    """A long write never finishes, or is answered NOT_RUN.
+
+    It takes eight times the usual latency, and is fenced and sent again. Each attempt
+    is as slow as the first and was fenced as well.
     """
     path.pooling.answering = True
     path.write(1, "reconcile", deadline=60.0)
@@ -388,10 +401,11 @@
     assert len(path.liveness.controls) == 1
 
 
-def test_pause_of_the_primary_does_not_get_writes_refused(path):
-    """Symptom: after a pause of a second, writes are refused: budget spent.
-    Sequence: more writes are in flight than the budget has retries; all are overdue.
-    Cause: each was fenced before it was clear that it could be sent again.
+def test_pause_of_the_primary_does_not_cause_refusals(path):
+    """Writes are refused with RETRY_BUDGET_SPENT after a pause of the primary.
+
+    More writes in flight are overdue than the budget has retries. Each was fenced
+    before it was certain that it could be sent again.
     """
     path.retries._budget("claims-core").left = 2.0
     for name in ("a", "b", "c"):
@@ -404,7 +418,7 @@
     assert path.answered("a") == path.answered("b") == path.answered("c") == []
 
 
-def test_retry_beyond_the_budget_is_refused_at_once_with_a_time(path):
+def test_retry_beyond_the_budget_is_refused_at_once_with_a_retry_time(path):
     path.retries._budget("claims-core").left = 0.0
     path.write(1, "file")
     path.reply(EndpointCode.BUSY)
@@ -413,14 +427,14 @@
     assert path.answer().retry_after > 0
 
 
-def test_refused_statement_is_not_tried_again(path):
+def test_statement_with_an_sql_error_is_not_retried(path):
     path.write(1, "file")
     path.reply(EndpointCode.SQL_ERROR, message="UNIQUE constraint failed: claim.id")
     assert path.answer().outcome is Outcome.NOT_RUN
     assert path.answer().code == ErrorCode.CONSTRAINT_VIOLATED.code
 
 
-def test_missed_signal_does_not_hold_writes_for_ever(path):
+def test_held_writes_are_released_although_a_signal_was_missed(path):
     path.lose_primary()
     path.write(1, "file")
     path.database.primary = "127.0.0.1:1"
