--- a/mallowpass/core/systems/admission.py
+++ b/mallowpass/core/systems/admission.py
@@ -72,15 +72,13 @@
         """Return the predicted wait of a new request of a class, in seconds."""
         ahead = pool.queue.ahead(class_name)
         room = self._pooling.opener.room(pool)
-        if ahead < self._immediate_capacity(pool, room) or not (
-            ahead or pool.connections
-        ):
+        if ahead < self._free_capacity(pool, room) or not (ahead or pool.connections):
             return 0.0
         servers = min(len(pool.connections) + room, pool.statement_limit)
         return (ahead + 1) * pool.hold / max(1, servers)
 
     @staticmethod
-    def _immediate_capacity(pool: EndpointPool, room: int) -> int:
+    def _free_capacity(pool: EndpointPool, room: int) -> int:
         """Return how many requests can start without waiting for another to end.
 
         The average time that requests kept connections does not apply to them. If it
--- a/mallowpass/core/systems/concurrency.py
+++ b/mallowpass/core/systems/concurrency.py
@@ -31,9 +31,9 @@
 
     __slots__ = (
         "_baseline",
-        "_sample_count",
         "_lowest_latency",
         "_peak_active",
+        "_sample_count",
         "_window_start",
         "limit",
     )
--- a/mallowpass/core/systems/reads.py
+++ b/mallowpass/core/systems/reads.py
@@ -37,7 +37,7 @@
 
 __all__ = ["Reads"]
 
-# A read is retried at another member once it takes OVERDUE_MIN seconds and
+# A read is retried at another member once it has taken OVERDUE_MIN seconds and
 # OVERDUE_FACTOR times the member's usual latency.
 OVERDUE_MIN = 0.25
 OVERDUE_FACTOR = 4.0
@@ -56,7 +56,6 @@
     __slots__ = (
         "_floors",
         "_liveness",
-        "_watchdog",
         "_pooling",
         "_requests",
         "_retries",
@@ -64,6 +63,7 @@
         "_sessions",
         "_transactions",
         "_waiting",
+        "_watchdog",
     )
 
     def __init__(self, node: Node) -> None:
--- a/mallowpass/core/systems/routing.py
+++ b/mallowpass/core/systems/routing.py
@@ -45,7 +45,7 @@
 
     expected_latency: float  # seconds, by failure domain and region
     measured_at: float = float("-inf")  # time of the last latency sample
-    ejections: int = 0  # consecutive ones
+    ejections: int = 0  # consecutive ejections
     # After an ejection, one request tries the member; no other does until this time.
     trial_until: float = float("-inf")
 
@@ -224,8 +224,8 @@
     def _is_replica(self, endpoint: EndpointRow, database: DatabaseRow) -> bool:
         if endpoint.address == database.primary:
             return False
-        # A suspected primary is not the group's primary any more, but most likely
-        # unresponsive: the reads of a whole failover would be sent there first.
+        # A suspected primary is no longer `database.primary`. It is most likely
+        # unresponsive, and would otherwise be sent the reads of a whole failover.
         report = endpoint.report
         return report is None or report.role is not Role.PRIMARY
 
@@ -239,6 +239,7 @@
         return request.avoided is None or endpoint.address not in request.avoided
 
     def _has_failed(self, endpoint: EndpointRow, request: RequestRow) -> bool:
+        """Return whether a member failed to serve a request without being behind."""
         return not request.behind and not self._is_open_to(endpoint, request)
 
     def _is_usable(self, endpoint: EndpointRow, request: RequestRow) -> bool:
--- a/mallowpass/core/systems/waiting.py
+++ b/mallowpass/core/systems/waiting.py
@@ -78,7 +78,7 @@
     def retry(self, request: RequestRow, code: ErrorCode, why: str) -> None:
         """Retry a request after a backoff, or refuse it at once.
 
-        The request must be proven not to have run, or be idempotent.
+        The request must be proven not to have run, or be safe to run twice.
         """
         request.detail = why
         delay = self._retries.take_retry(request)
--- a/mallowpass/core/systems/writes.py
+++ b/mallowpass/core/systems/writes.py
@@ -52,7 +52,7 @@
 # Seconds between two checks of a write in flight. The first check sends a keep-alive on
 # its connection.
 CHECK_INTERVAL = OVERDUE_MIN / 2
-FENCED_TRIES_MAX = 16  # tries after which a request whose attempts are fenced fails
+FENCED_TRIES_MAX = 16  # tries after which a request with a fenced attempt fails
 
 # Refusals after which a write is retried with backoff.
 _RETRIED_CODES = frozenset(
@@ -73,7 +73,6 @@
     __slots__ = (
         "_failover",
         "_liveness",
-        "_watchdog",
         "_pooling",
         "_recent",
         "_requests",
@@ -81,6 +80,7 @@
         "_routing",
         "_running",
         "_transactions",
+        "_watchdog",
     )
 
     def __init__(self, node: Node) -> None:
@@ -165,7 +165,7 @@
     def attach_duplicate(
         self, running: int, session: SessionRow, request: ExecuteRequest
     ) -> None:
-        """Have a duplicate of a request in progress answered with that request."""
+        """Answer a duplicate of a request in progress together with that request."""
         row = self.tables.requests[running]
         if not self._is_duplicate(row, session, request):
             self._requests.answers.refuse(session, request, ErrorCode.REQUEST_ID_REUSED)
@@ -402,8 +402,8 @@
         if database is None or database.term != request.sent_term:
             self._requests.route(request)
         else:
-            # The member knows of a later term, which its reports will show soon. The
-            # same write would be refused again until then.
+            # The member's reports will soon show a newer term, or that the member is
+            # leaving. Until then the same write would be refused again.
             self._requests.waiting.hold(request, why)
 
     def on_refused(self, request: RequestRow, code: ErrorCode, why: str) -> None:
