--- a/mallowpass/core/systems/admission.py
+++ b/mallowpass/core/systems/admission.py
@@ -48,7 +48,7 @@
 
     def check(self, pool: EndpointPool, request: RequestRow) -> Refusal | None:
         """Return why a request must not queue at an endpoint, None if it may."""
-        if pool.endpoint.leaving:
+        if pool.endpoint.is_leaving:
             why = f"{pool.address} is leaving"
             return self._refuse(request, ErrorCode.ENDPOINT_REFUSED, why, 0.0)
         refusal = self._check_queue_length(request)
@@ -64,18 +64,18 @@
             return 0.0
         waits = (
             0.0 if pool is None else self.predicted_pool_wait(pool, class_name)
-            for pool in map(self._pooling.known_pool, database.endpoints)
+            for pool in map(self._pooling.find_pool, database.endpoints)
         )
         return min(waits, default=0.0)
 
     def predicted_pool_wait(self, pool: EndpointPool, class_name: str) -> float:
         """Return the predicted wait of a new request of a class, in seconds."""
-        ahead = pool.queue.ahead(class_name)
-        room = self._pooling.opener.room(pool)
+        ahead = pool.queue.requests_ahead(class_name)
+        room = self._pooling.opener.openable_count(pool)
         if ahead < self._free_capacity(pool, room) or not (ahead or pool.connections):
             return 0.0
         servers = min(len(pool.connections) + room, pool.statement_limit)
-        return (ahead + 1) * pool.hold / max(1, servers)
+        return (ahead + 1) * pool.average_hold_time / max(1, servers)
 
     @staticmethod
     def _free_capacity(pool: EndpointPool, room: int) -> int:
@@ -87,7 +87,7 @@
         """
         idle = len(pool.idle) + len(pool.idle_borrowed)
         free = idle + len(pool.opening) + room
-        return min(free, pool.statement_limit - pool.active)
+        return min(free, pool.statement_limit - pool.active_count)
 
     def _check_queue_length(self, request: RequestRow) -> Refusal | None:
         database = self.tables.databases.get(request.database)
@@ -96,7 +96,7 @@
         row = self.tables.services.get(database.service)
         service = row.service if row is not None else None
         limit = service.queue_length if service is not None else DEFAULT_QUEUE_LENGTH
-        if self._pooling.waiting_for_service(database.service) < limit:
+        if self._pooling.queued_count_of_service(database.service) < limit:
             return None
         # Half of the queue has to be served before a place is likely to be free.
         wait = self.predicted_wait(request.database, request.request_class) / 2
@@ -106,7 +106,7 @@
     def _check_deadline(
         self, request: RequestRow, wait: float, where: str
     ) -> Refusal | None:
-        remaining = request.expires - self.now
+        remaining = request.expires_at - self.now
         if wait < remaining:
             return None
         why = f"{wait:.3f}s to wait at {where}, {remaining:.3f}s left"
@@ -120,5 +120,5 @@
         spread = 1.0 + RETRY_AFTER_JITTER * self._node.random.random()
         retry_after = max(RETRY_AFTER_MIN, wait) * spread
         self._node.count("turned_away", reason=code.name.lower())
-        self._node.decide("refusal", request.database, f"{code.code} {why}")
+        self._node.record_decision("refusal", request.database, f"{code.code} {why}")
         return Refusal(code.code, why, retry_after)
--- a/mallowpass/core/systems/controlstreams.py
+++ b/mallowpass/core/systems/controlstreams.py
@@ -132,7 +132,7 @@
             link.check.cancel()
         self._check(link)
 
-    def silence(self, address: str) -> float:
+    def time_since_reply(self, address: str) -> float:
         """Return for how long nothing was heard of an endpoint, in seconds.
 
         Time before this host's own last pause does not count: whoever was
@@ -141,11 +141,11 @@
         link = self._links.get(address)
         if link is None:
             return 0.0
-        heard_at = link.endpoint.heard_at
+        heard_at = link.endpoint.last_reply_at
         since = max(heard_at, link.created_at, link.watched_at, self._heard_since())
         return self._node.timers.now - since
 
-    def slack(self, address: str) -> float:
+    def report_interval(self, address: str) -> float:
         """Return how long the watch alone may keep an endpoint quiet, in seconds."""
         link = self._links.get(address)
         return link.watch.interval if link is not None else 0.0
@@ -174,13 +174,13 @@
             # Not at once: the caller may still be setting up what it counts on.
             self._node.timers.after(0.0, callback, None)
             return
-        sequence = self._node.number()
+        sequence = self._node.next_number()
         timer = self._node.timers.after(timeout, self._give_up, link, sequence)
         link.pending[sequence] = _Pending(call, callback, timer)
         if link.is_open:
             self._send(link, sequence, call)
 
-    def try_fresh(self, address: str) -> None:
+    def open_second_stream(self, address: str) -> None:
         """Open a second stream beside one that may be silent for good."""
         link = self._links.get(address)
         if link is not None and not link.candidate:
@@ -199,9 +199,9 @@
         self._node.emit(SendControl(address, link.current, sequence, call))
 
     def _send_watch(self, link: _Link) -> None:
-        link.endpoint.watch = self._node.number()
+        link.endpoint.watch_sequence = self._node.next_number()
         link.watch_sent_at = self._node.timers.now
-        self._send(link, link.endpoint.watch, link.watch)
+        self._send(link, link.endpoint.watch_sequence, link.watch)
 
     # -- Opening and closing -------------------------------------------------
 
@@ -209,7 +209,7 @@
         link.retry = None
         if link.candidate:
             return
-        link.candidate = self._node.number()
+        link.candidate = self._node.next_number()
         link.candidate_at = self._node.timers.now
         self.traffic.opened += 1
         address = link.endpoint.address
@@ -231,8 +231,8 @@
         link.current, link.candidate = link.candidate, 0
         link.is_open = True
         link.failures = 0
-        link.endpoint.control = link.current
-        link.endpoint.control_open = True
+        link.endpoint.control_stream = link.current
+        link.endpoint.is_control_open = True
         self._send_watch(link)
         for sequence, pending in list(link.pending.items()):
             self._send(link, sequence, pending.call)
@@ -246,8 +246,8 @@
         elif event.stream == link.current:
             link.current = 0
             link.is_open = False
-            link.endpoint.control = 0
-            link.endpoint.control_open = False
+            link.endpoint.control_stream = 0
+            link.endpoint.is_control_open = False
         else:
             return
         link.failures += 1
@@ -270,7 +270,9 @@
     # -- Silence -------------------------------------------------------------
 
     def _is_silent(self, link: _Link) -> bool:
-        return self.silence(link.endpoint.address) >= self._overdue(link) - 1e-9
+        return (
+            self.time_since_reply(link.endpoint.address) >= self._overdue(link) - 1e-9
+        )
 
     def _overdue(self, link: _Link) -> float:
         return link.watch.interval + self._node.tuning.detection * OVERDUE_SHARE
@@ -289,13 +291,13 @@
 
     def _check_delay(self, link: _Link) -> float:
         """Return when to look again: ever more rarely while an endpoint is silent."""
-        silence = self.silence(link.endpoint.address)
+        silence = self.time_since_reply(link.endpoint.address)
         interval = self._node.tuning.probe_interval
         left = self._overdue(link) - silence
         return max(left, interval, min(silence * PROBE_SHARE, BACKOFF_MAX))
 
     def _probe_silent(self, link: _Link) -> None:
-        self._send(link, self._node.number(), ProbeCall())
+        self._send(link, self._node.next_number(), ProbeCall())
         if link.retry is None:
             self._open(link)
 
@@ -314,8 +316,8 @@
         if link is None or event.stream != link.current:
             return  # of a stream that was replaced: older than what is known
         self.traffic.replies += 1
-        link.endpoint.heard_at = self._node.timers.now
-        if event.reply.sequence == link.endpoint.watch:
+        link.endpoint.last_reply_at = self._node.timers.now
+        if event.reply.sequence == link.endpoint.watch_sequence:
             self._measure(link)
         self._on_reply(link.endpoint, event.reply)
         pending = link.pending.pop(event.reply.sequence, None)
--- a/mallowpass/core/systems/granting.py
+++ b/mallowpass/core/systems/granting.py
@@ -34,21 +34,21 @@
         """Grant free connections to queued requests, and open more if needed."""
         # A grant may release its connection at once, which calls this method again.
         # Without the flag, a long queue would cause a deep recursion.
-        if pool.pumping:
+        if pool.is_dispatching:
             return
-        pool.pumping = True
+        pool.is_dispatching = True
         try:
             while pool.queue and self._grant_next(pool):
                 pass
         finally:
-            pool.pumping = False
+            pool.is_dispatching = False
         if pool.queue:
-            self._pooling.opener.open_more(pool)
+            self._pooling.opener.open_for_queue(pool)
 
     def _grant_next(self, pool: EndpointPool) -> bool:
-        if pool.active >= pool.statement_limit:
+        if pool.active_count >= pool.statement_limit:
             return False
-        connection = self._pooling.take(pool)
+        connection = self._pooling.take_idle(pool)
         if connection is None:
             return False
         request = self._next_request(pool, connection)
@@ -64,7 +64,7 @@
         skipped = self._classes_to_skip(pool, bool(connection.loan))
         while (taken := pool.queue.pop(skipped)) is not None:
             request, since = taken
-            if request.expires > self.now:
+            if request.expires_at > self.now:
                 self._node.observe("queue_seconds", self.now - since)
                 return request
             self.refuse(request, ErrorCode.DEADLINE_PASSED, "expired in the queue")
@@ -72,16 +72,16 @@
 
     def _classes_to_skip(self, pool: EndpointPool, borrowed: bool) -> frozenset[str]:
         """Return the request classes that must not get this connection."""
-        patient = pool.patient
+        patient = pool.patient_classes
         if not patient:
             return patient
-        if borrowed and pool.usable:
+        if borrowed and pool.usable_share:
             return patient
         # While requests of other classes wait, weights decide, so that patient classes
         # get their share. While none waits, the last free connection is kept for the
         # next one, which would otherwise wait for a whole slow statement.
         last = not pool.idle and not pool.idle_borrowed
-        if last and pool.active and not pool.queue.waits_outside(patient):
+        if last and pool.active_count and not pool.queue.has_waiting_outside(patient):
             return patient
         return frozenset()
 
@@ -89,22 +89,22 @@
         """Record how long the connection's request kept the connection."""
         request = self.tables.requests.get(connection.request)
         if request is not None:
-            seconds = self.now - connection.last_used
-            pool.queue.learn_cost(request.request_class, seconds)
+            seconds = self.now - connection.last_used_at
+            pool.queue.record_cost(request.request_class, seconds)
 
     def refuse(
         self, request: RequestRow, code: ErrorCode, why: str, retry_after: float = 0.0
     ) -> None:
         """Refuse a queued request."""
         self._node.count("turned_away", reason=code.name.lower())
-        self._node.decide("refusal", request.database, f"{code.code} {why}")
+        self._node.record_decision("refusal", request.database, f"{code.code} {why}")
         self._pooling.requests.on_refused(request, code.code, why, retry_after)
 
     def refuse_all(
         self, pool: EndpointPool, code: ErrorCode, why: str, retry_after: float
     ) -> None:
         """Refuse all queued requests."""
-        for request in pool.queue.drain():
+        for request in pool.queue.take_all():
             self.refuse(request, code, why, retry_after)
 
     def refuse_by_access(
--- a/mallowpass/core/systems/isolation.py
+++ b/mallowpass/core/systems/isolation.py
@@ -11,7 +11,7 @@
 from mallowpass.core.node import Node
 from mallowpass.core.systems.liveness import Liveness
 from mallowpass.core.systems.suspicion import TOLERANCE, Finding, Verdict
-from mallowpass.core.systems.watching import silence_margin
+from mallowpass.core.systems.watchintervals import detection_margin
 from mallowpass.core.tables import DatabaseRow, EndpointRow
 
 __all__ = ["Isolation"]
@@ -57,7 +57,7 @@
             return False
         if report.term != row.term or report.primary != primary.name:
             return False
-        return silence >= tuning.detection - silence_margin(tuning) - TOLERANCE
+        return silence >= tuning.detection - detection_margin(tuning) - TOLERANCE
 
     def forget(self) -> None:
         """Begin from new: the primary is another one, or was not heard."""
@@ -94,7 +94,7 @@
         name = row.primary_row.name
         why = f"no majority can hold what {name} takes: {finding.evidence}"
         self._node.count("suspicions", database=row.key)
-        self._node.decide("suspicion", row.key, why)
+        self._node.record_decision("suspicion", row.key, why)
         self._node.log("warning", "primary_suspected", database=row.key, why=why)
         self._liveness.bar_primary(row, why)
 
@@ -104,6 +104,8 @@
             return True
         address = endpoint.address
         slack = self._liveness.watch_interval(address) - tuning.probe_interval
-        if self._liveness.silence(address) >= tuning.detection + max(slack, 0.0):
+        if self._liveness.time_since_reply(address) >= tuning.detection + max(
+            slack, 0.0
+        ):
             return False
         return endpoint.report is None or not self.is_deaf(endpoint.report)
--- a/mallowpass/core/systems/liveness.py
+++ b/mallowpass/core/systems/liveness.py
@@ -30,11 +30,11 @@
     ReplyCallback,
 )
 from mallowpass.core.systems.floors import FloorCallback, FloorRounds
-from mallowpass.core.systems.groupview import GroupView, HeldWaiter
-from mallowpass.core.systems.heldwaits import HeldWaits
+from mallowpass.core.systems.groupview import GroupView, MajorityWaiter
 from mallowpass.core.systems.hostpause import HostPause
+from mallowpass.core.systems.majoritywaits import MajorityWaits
 from mallowpass.core.systems.primaries import Primaries
-from mallowpass.core.systems.stewards import Peers, find_membership, steward_turn
+from mallowpass.core.systems.stewards import Peers, find_membership, steward_rank
 from mallowpass.core.tables import DatabaseRow, EndpointRow
 
 __all__ = ["Liveness"]
@@ -62,13 +62,13 @@
         super().__init__(node)
         self._views: dict[str, GroupView] = {}
         self._rounds: dict[str, FloorRounds] = {}
-        self._waits: dict[str, HeldWaits] = {}
+        self._waits: dict[str, MajorityWaits] = {}
         self._pause = HostPause(node)
         self._control = ControlStreams(
             node, self._replied, lambda: self._pause.awake_since
         )
-        self._activity = Activity(node, self._control, self._views, self.steward_turn)
-        self._primaries = Primaries(node, self._activity.watch)
+        self._activity = Activity(node, self._control, self._views, self.steward_rank)
+        self._primaries = Primaries(node, self._activity.update_watches)
         self._counted = (0, 0, 0)
         self._noticed_terms: dict[str, int] = {}
         self._membership: Peers | None = None
@@ -89,7 +89,7 @@
         self._node.subscribe(DatabaseChanged, self._changed)
         self._node.subscribe(DatabaseRemoved, self._removed)
         self._node.subscribe(EndpointReplied, self._endpoint_replied)
-        self._node.subscribe(HostStateChanged, self._activity.hosts_changed)
+        self._node.subscribe(HostStateChanged, self._activity.on_hosts_changed)
         self.timers.every(TRAFFIC_INTERVAL, self._count_traffic)
         membership = find_membership(self._node)
         if membership is not None:
@@ -108,7 +108,7 @@
         """Make a control call; the callback gets None without a reply in time."""
         self._control.call(address, call, callback, timeout)
 
-    def learn_floor(self, database: DatabaseRow, callback: FloorCallback) -> None:
+    def look_up_floor(self, database: DatabaseRow, callback: FloorCallback) -> None:
         """Learn a floor above all writes acknowledged before now; None: no majority."""
         self._read(database.key)
         rounds = self._rounds.get(database.key)
@@ -129,25 +129,25 @@
             return None
         # A record may hold entries that no majority had and a promotion dropped.
         # Whatever was acknowledged is in the log where the next term starts.
-        return view.overtaken_by(floor) or floor
+        return view.dropped_by(floor) or floor
 
-    def wait_held(
+    def wait_for_majority(
         self,
         database: DatabaseRow,
         position: LogPosition,
         callback: Callable[[bool], None],
-    ) -> HeldWaiter:
+    ) -> MajorityWaiter:
         """Wait until a majority holds a position; False when its term is over.
 
         The callback may run before this returns.
         """
-        waiter = HeldWaiter(position, callback)
+        waiter = MajorityWaiter(position, callback)
         waits = self._waits.get(database.key)
         if waits is None:
             waiter.resolve(False)
         else:
             view = self._views[database.key]
-            self._activity.note_write(view, awaits_places=waits.awaits_places)
+            self._activity.note_write(view, awaits_positions=waits.awaits_positions)
             waits.add(waiter)
         return waiter
 
@@ -160,7 +160,7 @@
         """Have all members report each move for a while."""
         view = self._views.get(database.key)
         if view is not None:
-            self._activity.note_write(view, awaits_places=False)
+            self._activity.note_write(view, awaits_positions=False)
 
     def minority_since(self, database: DatabaseRow) -> float | None:
         """Return since when no majority of members is heard; None: one is."""
@@ -177,7 +177,7 @@
         elif view.minority_since is None:
             view.minority_since = self.now
 
-    def reached(self, endpoint: EndpointRow, position: LogPosition) -> bool:
+    def has_reached(self, endpoint: EndpointRow, position: LogPosition) -> bool:
         """Tell whether a member's newest report proves that reads see a position."""
         view = self._read(endpoint.database)
         if position.position == 0:
@@ -186,19 +186,19 @@
             return False
         return view.contains(endpoint.report.applied, position)
 
-    def predicted_reach(
+    def predicted_replica_wait(
         self, endpoint: EndpointRow, position: LogPosition
     ) -> float | None:
         """Return in how many seconds reads should see a position; None: unknown."""
-        if self.reached(endpoint, position):
+        if self.has_reached(endpoint, position):
             return 0.0
         view = self._views.get(endpoint.database)
         return None if view is None else view.predict(self.now, endpoint, position)
 
-    def floor_lost(self, database: DatabaseRow, position: LogPosition) -> bool:
+    def is_floor_lost(self, database: DatabaseRow, position: LogPosition) -> bool:
         """Tell whether a promotion dropped a position from the log."""
         view = self._views.get(database.key)
-        return view is not None and view.overtaken_by(position) is not None
+        return view is not None and view.dropped_by(position) is not None
 
     def contains(
         self, database: DatabaseRow, end: LogPosition, position: LogPosition
@@ -212,22 +212,22 @@
         view = self._views.get(database.key)
         return "" if view is None else view.last_primary
 
-    def steward_turn(self, database: DatabaseRow) -> int:
+    def steward_rank(self, database: DatabaseRow) -> int:
         """Return this host's place among a group's stewards, 0 first."""
         primary = self.last_primary(database)
-        return steward_turn(self._node, self._membership, database, primary)
+        return steward_rank(self._node, self._membership, database, primary)
 
-    def silence(self, address: str) -> float:
+    def time_since_reply(self, address: str) -> float:
         """Return for how long an endpoint was silent, this host's pauses excluded."""
-        return self._control.silence(address)
+        return self._control.time_since_reply(address)
 
     def watch_interval(self, address: str) -> float:
         """Return how often an endpoint is asked to report, in seconds."""
-        return self._control.slack(address)
+        return self._control.report_interval(address)
 
-    def try_fresh(self, address: str) -> None:
+    def open_second_stream(self, address: str) -> None:
         """Open a second control stream beside one that may be silent for good."""
-        self._control.try_fresh(address)
+        self._control.open_second_stream(address)
 
     # -- Databases -----------------------------------------------------------
 
@@ -236,8 +236,8 @@
         view = GroupView(row)
         self._views[row.key] = view
         self._rounds[row.key] = FloorRounds(self._node, self._control, row)
-        self._waits[row.key] = HeldWaits(self._node, self._control, view)
-        self._activity.watch(view)
+        self._waits[row.key] = MajorityWaits(self._node, self._control, view)
+        self._activity.update_watches(view)
 
     def _changed(self, signal: DatabaseChanged) -> None:
         view = self._views.get(signal.database)
@@ -249,7 +249,7 @@
             view.members.pop(address, None)
         if view.row.primary not in view.row.endpoints:
             self._primaries.lose(view, "its primary is not a member any more")
-        self._activity.watch(view)
+        self._activity.update_watches(view)
 
     def _removed(self, signal: DatabaseRemoved) -> None:
         view = self._views.pop(signal.database, None)
@@ -278,7 +278,7 @@
         endpoint = self.tables.endpoints.get(connection.address)
         if endpoint is None:
             return
-        endpoint.heard_at = self.now
+        endpoint.last_reply_at = self.now
         if connection.sequence == event.reply.sequence:
             self._take_answer(endpoint, event.reply)
 
@@ -304,7 +304,7 @@
         self, view: GroupView, endpoint: EndpointRow, report: Report
     ) -> None:
         endpoint.report = report
-        endpoint.report_at = self.now
+        endpoint.last_report_at = self.now
         endpoint.misses = 0
         view.history.learn(report)
         view.mark(self.now, report.received)
@@ -347,7 +347,7 @@
             return
         self._noticed_terms[notice.database] = notice.term
         if self._membership is not None:
-            self._membership.broadcast(notice, but=host_name)
+            self._membership.broadcast(notice, exclude=host_name)
         for address in row.endpoints:
             self._control.call(address, ProbeCall(), _ignore, self._node.tuning.silence)
 
--- a/mallowpass/core/systems/outcomes.py
+++ b/mallowpass/core/systems/outcomes.py
@@ -68,7 +68,9 @@
         request.state = RequestState.RESOLVING
         request.detail = why
         subject = request.request.request_id
-        self._node.decide("resolve", subject, f"attempt {request.attempt}: {why}")
+        self._node.record_decision(
+            "resolve", subject, f"attempt {request.attempt}: {why}"
+        )
         self.look_up(request)
 
     def look_up(self, request: RequestRow) -> None:
@@ -131,7 +133,7 @@
         request = look_up.request
         look_up.cancel()
         request.waiter = None
-        self._node.decide("resolve", request.request.request_id, "recorded")
+        self._node.record_decision("resolve", request.request.request_id, "recorded")
         request.sent_term = look_up.term
         self._requests.writes.await_majority(
             request, reply.outcome_position, reply.outcome_rows
@@ -146,7 +148,7 @@
         # majority holds the start of the term already.
         start = LogPosition(look_up.term, 1)
         callback = partial(self._on_term_start_held, look_up)
-        self._liveness.wait_held(database, start, callback)
+        self._liveness.wait_for_majority(database, start, callback)
 
     def _on_term_start_held(self, look_up: _LookUp, held: bool) -> None:
         if not look_up.is_current:
@@ -161,7 +163,9 @@
         look_up.cancel()
         request.waiter = None
         subject = request.request.request_id
-        self._node.decide("resolve", subject, "not recorded; the attempt is fenced")
+        self._node.record_decision(
+            "resolve", subject, "not recorded; the attempt is fenced"
+        )
         why = f"proven not run: {request.detail}"
         if isinstance(request.request, CommitRequest):
             code = ErrorCode.TRANSACTION_ROLLED_BACK
@@ -169,8 +173,8 @@
             return
         request.attempt += 1
         database = self.tables.databases.get(request.database)
-        prepaid = request.prepaid
-        request.prepaid = False
+        prepaid = request.is_retry_prepaid
+        request.is_retry_prepaid = False
         if prepaid or database is None or database.term > request.sent_term:
             # The retry is paid for, or is the only one for this promotion, which
             # bounds the number of retries without the budget.
--- a/mallowpass/core/systems/reads.py
+++ b/mallowpass/core/systems/reads.py
@@ -26,7 +26,7 @@
     code_of_refusal,
     read_count,
 )
-from mallowpass.core.systems.connections import Watchdog
+from mallowpass.core.systems.connections import TimeoutTracker
 from mallowpass.core.tables import (
     ConnectionRow,
     EndpointRow,
@@ -63,7 +63,7 @@
         "_sessions",
         "_transactions",
         "_waiting",
-        "_watchdog",
+        "_timeouts",
     )
 
     def __init__(self, node: Node) -> None:
@@ -84,7 +84,7 @@
         self._routing = node.system(routing_module.Routing)
         self._sessions = node.system(sessions_module.Sessions)
         self._transactions = node.system(Transactions)
-        self._watchdog = Watchdog(self.timers, CHECK_INTERVAL, self._on_check_due)
+        self._timeouts = TimeoutTracker(self.timers, CHECK_INTERVAL, self._on_check_due)
 
     # -- Routing -------------------------------------------------------------
 
@@ -102,28 +102,28 @@
             endpoint = self._routing.choose_fallback_read(request, database)
         if endpoint is not None:
             self._waiting_reads(request).pop(request.number, None)
-            self._watchdog.renew(request.number)
+            self._timeouts.restart(request.number)
             self._requests.acquire(request, endpoint.address)
-        elif request.avoided and not request.behind:
+        elif request.avoided_addresses and not request.behind_count:
             why = f"no member served the read: {request.detail}"
             self._requests.waiting.retry(request, ErrorCode.ENDPOINT_REFUSED, why)
         else:
             self._waiting_reads(request)[request.number] = request
-            request.avoided = None
+            request.avoided_addresses = None
             self._requests.waiting.hold(
                 request, "no primary is known, and no replica has reached the floor"
             )
 
     def _wait(self, request: RequestRow, pause: float) -> None:
-        request.state = RequestState.WAITING_FLOOR
+        request.state = RequestState.AWAITING_FLOOR
         request.detail = "waits for a replica to reach the floor"
         self._waiting_reads(request)[request.number] = request
         self.timers.after(pause, self._on_wait_ended, request)
 
     def _on_wait_ended(self, request: RequestRow) -> None:
         waiting = self._waiting_reads(request)
-        if request.state is RequestState.WAITING_FLOOR and request.number in waiting:
-            request.avoided = None
+        if request.state is RequestState.AWAITING_FLOOR and request.number in waiting:
+            request.avoided_addresses = None
             self.route(request)
 
     def _waiting_reads(self, request: RequestRow) -> dict[int, RequestRow]:
@@ -132,27 +132,30 @@
     def on_report(self, endpoint: EndpointRow) -> None:
         """Route the waiting reads whose floor a member has reached by its report."""
         waiting = self._waiting.get(endpoint.database)
-        if not waiting or endpoint.leaving:
+        if not waiting or endpoint.is_leaving:
             return
         for request in list(waiting.values()):
-            if request.state not in (RequestState.WAITING_FLOOR, RequestState.HELD):
+            if request.state not in (
+                RequestState.AWAITING_FLOOR,
+                RequestState.AWAITING_PRIMARY,
+            ):
                 waiting.pop(request.number, None)
-            elif self._liveness.reached(endpoint, request.floor):
+            elif self._liveness.has_reached(endpoint, request.floor):
                 waiting.pop(request.number, None)
-                request.avoided = None
+                request.avoided_addresses = None
                 self.route(request)
 
     # -- Sending -------------------------------------------------------------
 
     def send(self, request: RequestRow, connection: ConnectionRow) -> None:
         """Send a read on the connection that was granted to it."""
-        if self.now > request.arrived and not self._floors.refresh(request):
+        if self.now > request.arrived_at and not self._floors.refresh(request):
             self._requests.release(request, connection)
             self._floors.learn(request)
             return
         request.state = RequestState.SENT
-        if request.sent_at > request.arrived:
-            self._watchdog.renew(request.number)
+        if request.sent_at > request.arrived_at:
+            self._timeouts.restart(request.number)
         statement = request.request
         if isinstance(statement, BeginRequest):
             call = BeginCall(minimum=request.floor)
@@ -179,14 +182,14 @@
             self._requests.send_part(request, self._answer_part(request, reply))
         elif isinstance(request.request, BeginRequest):
             self._record(request, connection)
-            self._transactions.opened(request, connection, reply)
+            self._transactions.on_opened(request, connection, reply)
         else:
             self._record(request, connection)
             self._requests.release(request, connection)
             self._finish(request, reply)
 
     def _record(self, request: RequestRow, connection: ConnectionRow) -> None:
-        self._watchdog.remove(request.number)
+        self._timeouts.remove(request.number)
         latency = self.now - request.sent_at
         self._requests.record(connection.address, latency, ok=True)
 
@@ -194,7 +197,7 @@
         session = self.tables.sessions.get(request.stream)
         if session is not None:
             self._sessions.raise_floor(session, request.database, reply.applied)
-        for stream, _ in request.followers or ():
+        for stream, _ in request.duplicates or ():
             follower = self.tables.sessions.get(stream)
             if follower is not None:
                 self._sessions.raise_floor(follower, request.database, reply.applied)
@@ -228,7 +231,7 @@
             self._requests.answer_not_run(request, code_of_refusal(reply), why)
             return
         if code is EndpointCode.BEHIND:
-            request.behind += 1
+            request.behind_count += 1
         elif code not in _NO_FAULT_CODES:
             self._requests.record(connection.address, 0.0, ok=False)
         self.try_elsewhere(request, ErrorCode.ENDPOINT_REFUSED, why)
@@ -246,8 +249,8 @@
             self._requests.release(request, connection, reset=began)
         else:
             self._requests.discard(request, "its stale answer goes on")
-        request.behind += 1
-        self._node.decide("stale", request.request.request_id, why)
+        request.behind_count += 1
+        self._node.record_decision("stale", request.request.request_id, why)
         self.try_elsewhere(request, ErrorCode.FLOOR_NOT_REACHED, why)
 
     def _on_check_due(self, number: int) -> None:
@@ -265,11 +268,11 @@
             self._check_sent(request)
 
     def _check_queued(self, request: RequestRow) -> None:
-        pool = self._pooling.known_pool(request.address)
+        pool = self._pooling.find_pool(request.address)
         if pool is None or pool.connections:
             return
         if self.now - request.queued_at < OVERDUE_MIN:
-            self._watchdog.add(request.number)
+            self._timeouts.add(request.number)
             return
         # The request does not wait for other requests: the member opens no connection.
         self._pooling.cancel(request)
@@ -282,17 +285,17 @@
         # member has answered by the next check.
         keeps_running = self._is_slow_statement(request) or request.parts_sent
         if keeps_running or not self._is_overdue(request):
-            self._watchdog.add(request.number)
+            self._timeouts.add(request.number)
             return
         if self._retries.take_retry(request) is None:
-            self._watchdog.add(request.number)
+            self._timeouts.add(request.number)
             return
         self._requests.record(request.address, 0.0, ok=False)
         self._requests.abandon_silent(request)
-        request.moved = True
+        request.was_moved = True
         why = f"{request.address}: no answer in {self.now - request.sent_at:.3f}s"
         self._node.emit(RETRIES_COUNT)
-        self._node.decide("retry", request.request.request_id, why)
+        self._node.record_decision("retry", request.request.request_id, why)
         self.try_elsewhere(request, ErrorCode.CONNECTION_LOST, why)
 
     def _is_overdue(self, request: RequestRow) -> bool:
@@ -306,16 +309,18 @@
         may be slow; none for requests of patient classes.
         """
         connection = self.tables.connections.get(request.connection)
-        if connection is None or not self._pooling.answers(connection, CHECK_INTERVAL):
+        if connection is None or not self._pooling.is_responsive(
+            connection, CHECK_INTERVAL
+        ):
             return False
-        return request.moved or self._pooling.is_patient(request)
+        return request.was_moved or self._pooling.is_patient(request)
 
     def on_queue_full(self, request: RequestRow, why: str, retry_after: float) -> None:
         """Try another member than one with a full queue; refuse if there is none."""
         request.retry_after = min(request.retry_after, retry_after)
-        if request.avoided is None:
-            request.avoided = set()
-        request.avoided.add(request.address)
+        if request.avoided_addresses is None:
+            request.avoided_addresses = set()
+        request.avoided_addresses.add(request.address)
         endpoint = self._routing.choose_any_read(request)
         if endpoint is not None:
             self._requests.acquire(request, endpoint.address)
@@ -335,12 +340,14 @@
             self._requests.answer_unknown(request, f"the answer broke off: {why}")
             return
         request.detail = why
-        if request.avoided is None:
-            request.avoided = set()
-        request.avoided.add(request.address)
+        if request.avoided_addresses is None:
+            request.avoided_addresses = set()
+        request.avoided_addresses.add(request.address)
         request.state = RequestState.BACKOFF
         database = self.tables.databases.get(request.database)
-        if database is None or len(request.avoided) >= len(database.endpoints):
+        if database is None or len(request.avoided_addresses) >= len(
+            database.endpoints
+        ):
             self._requests.waiting.retry(request, code, why)
         else:
             self.route(request)
--- a/mallowpass/core/systems/retries.py
+++ b/mallowpass/core/systems/retries.py
@@ -55,7 +55,7 @@
         the caller gets its answer at once.
         """
         delay = self._backoff_delay(request.tries)
-        if self.now + delay >= request.expires or self.is_budget_spent(request):
+        if self.now + delay >= request.expires_at or self.is_budget_spent(request):
             return None
         self._budget(service_of(request.database)).left -= 1.0
         request.tries += 1
--- a/mallowpass/core/systems/routing.py
+++ b/mallowpass/core/systems/routing.py
@@ -104,7 +104,7 @@
         A member that refused the read as behind counts too: the read is sent there
         again after the wait.
         """
-        left = request.arrived + self._node.tuning.replica_wait - self.now
+        left = request.arrived_at + self._node.tuning.replica_wait - self.now
         if left <= 0:
             return 0.0
         shortest = float("inf")
@@ -112,7 +112,7 @@
             if not self._is_replica(endpoint, database):
                 continue
             if self._is_healthy(endpoint) and not self._has_failed(endpoint, request):
-                reach = self._liveness.predicted_reach(endpoint, request.floor)
+                reach = self._liveness.predicted_replica_wait(endpoint, request.floor)
                 if reach is not None and reach < shortest:
                     shortest = reach
         return max(shortest, REPLICA_WAIT_MIN) if shortest < left else 0.0
@@ -128,7 +128,7 @@
             endpoint
             for endpoint in database.endpoints.values()
             if self._is_open_to(endpoint, request)
-            and self._liveness.reached(endpoint, request.floor)
+            and self._liveness.has_reached(endpoint, request.floor)
         ]
         replicas = [row for row in usable if self._is_replica(row, database)]
         return next(iter(replicas or usable), None)
@@ -138,7 +138,7 @@
     def choose_write(self, database: DatabaseRow) -> EndpointRow | None:
         """Return the primary, or None while writes have to be held."""
         primary = database.primary_row
-        if primary is None or primary.leaving:
+        if primary is None or primary.is_leaving:
             return None
         if database.state is GroupState.PROMOTING:
             return None
@@ -153,16 +153,18 @@
         if ok:
             self._record_success(endpoint, health, latency)
         else:
-            endpoint.errors += 1
+            endpoint.consecutive_errors += 1
             if self._is_primary(endpoint):
                 return  # a primary is replaced by failover, never ejected
-            if endpoint.errors >= EJECTION_ERRORS or health.ejections:
-                self._eject(endpoint, health, f"{endpoint.errors} errors in a row")
+            if endpoint.consecutive_errors >= EJECTION_ERRORS or health.ejections:
+                self._eject(
+                    endpoint, health, f"{endpoint.consecutive_errors} errors in a row"
+                )
 
     def _record_success(
         self, endpoint: EndpointRow, health: _MemberHealth, latency: float
     ) -> None:
-        endpoint.errors = 0
+        endpoint.consecutive_errors = 0
         if self.now - health.measured_at > LATENCY_TIME_TO_LIVE:
             endpoint.latency = latency
         else:
@@ -201,7 +203,7 @@
         health.ejections = min(health.ejections + 1, 10)
         endpoint.ejected_until = self.now + pause
         text = f"ejected for {pause:.3f}s: {why}"
-        self._node.decide("route", endpoint.address, text)
+        self._node.record_decision("route", endpoint.address, text)
         self._node.log(
             "warning",
             "endpoint_ejected",
@@ -234,19 +236,22 @@
         return database is not None and database.primary == endpoint.address
 
     def _is_open_to(self, endpoint: EndpointRow, request: RequestRow) -> bool:
-        if endpoint.leaving:
+        if endpoint.is_leaving:
             return False
-        return request.avoided is None or endpoint.address not in request.avoided
+        return (
+            request.avoided_addresses is None
+            or endpoint.address not in request.avoided_addresses
+        )
 
     def _has_failed(self, endpoint: EndpointRow, request: RequestRow) -> bool:
         """Return whether a member failed to serve a request without being behind."""
-        return not request.behind and not self._is_open_to(endpoint, request)
+        return not request.behind_count and not self._is_open_to(endpoint, request)
 
     def _is_usable(self, endpoint: EndpointRow, request: RequestRow) -> bool:
         return self._is_open_to(endpoint, request) and self._is_healthy(endpoint)
 
     def _is_healthy(self, endpoint: EndpointRow) -> bool:
-        if endpoint.leaving:
+        if endpoint.is_leaving:
             return False
         if endpoint.ejected_until > self.now:
             return False
@@ -255,20 +260,20 @@
         return not health.ejections or health.trial_until <= self.now
 
     def _has_floor(self, endpoint: EndpointRow, request: RequestRow) -> bool:
-        if self._liveness.reached(endpoint, request.floor):
+        if self._liveness.has_reached(endpoint, request.floor):
             return True
-        reach = self._liveness.predicted_reach(endpoint, request.floor)
+        reach = self._liveness.predicted_replica_wait(endpoint, request.floor)
         # The member checks the floor when the call arrives, half a round trip from now.
         return reach is not None and reach <= self._latency_estimate(endpoint) / 2
 
     def _cost(self, endpoint: EndpointRow) -> float:
         latency = self._latency_estimate(endpoint)
-        pool = self._pooling.known_pool(endpoint.address)
+        pool = self._pooling.find_pool(endpoint.address)
         if pool is None:
             return latency
-        if not endpoint.control_open:
+        if not endpoint.is_control_open:
             latency += CONTROL_LOST_COST
-        load = pool.active + len(pool.queue)
+        load = pool.active_count + len(pool.queue)
         # Without a share, connections must be borrowed from other hosts first, which
         # may have none to lend.
         room = pool.share or NO_SHARE_CAPACITY
--- a/mallowpass/core/systems/sessionfloors.py
+++ b/mallowpass/core/systems/sessionfloors.py
@@ -40,7 +40,7 @@
     def route_with_floor(self, request: RequestRow) -> None:
         """Set a request's floor, learn it if unknown, and route the request."""
         self._set(request)
-        if request.fresh_floor:
+        if request.needs_fresh_floor:
             self.learn(request)
         else:
             self._requests.route(request)
@@ -48,18 +48,20 @@
     def _set(self, request: RequestRow) -> None:
         session = self.tables.sessions.get(request.stream)
         if session is not None:
-            request.seen = self._sessions.seen_positions(session, request.database)
+            request.session_positions = self._sessions.seen_positions(
+                session, request.database
+            )
         # A session without a floor may have written through another host and lost its
         # token. A read below an assumed floor could lack that write.
-        request.fresh_floor = not request.seen
-        request.floor = max(request.seen, default=ZERO_POSITION)
+        request.needs_fresh_floor = not request.session_positions
+        request.floor = max(request.session_positions, default=ZERO_POSITION)
         age = self._accepted_age(request)
         if age is None:
             return
         database = self.tables.databases[request.database]
         aged_floor = self._liveness.age_floor(database, age)
         if aged_floor is None:
-            request.fresh_floor = True
+            request.needs_fresh_floor = True
         elif aged_floor > request.floor:
             request.floor = aged_floor
 
@@ -79,15 +81,15 @@
 
     def learn(self, request: RequestRow) -> None:
         """Learn a floor from a majority, then route the request."""
-        request.state = RequestState.WAITING_FLOOR
+        request.state = RequestState.AWAITING_FLOOR
         request.detail = "waits for its floor to be learnt from a majority"
-        request.floor_at = self.now
-        request.learnt += 1
+        request.floor_requested_at = self.now
+        request.floor_lookups += 1
         database = self.tables.databases[request.database]
-        self._liveness.learn_floor(database, partial(self._on_learnt, request))
+        self._liveness.look_up_floor(database, partial(self._on_learnt, request))
 
     def _on_learnt(self, request: RequestRow, position: LogPosition | None) -> None:
-        if request.state is not RequestState.WAITING_FLOOR:
+        if request.state is not RequestState.AWAITING_FLOOR:
             return
         if position is None:
             why = "no majority of members reported its log position"
@@ -96,9 +98,9 @@
             return
         request.floor = max(request.floor, position)
         age = self._accepted_age(request)
-        if age is not None and self.now - request.floor_at > age:
+        if age is not None and self.now - request.floor_requested_at > age:
             # A floor learnt once more would be too old again.
-            request.learnt = LEARN_COUNT_MAX
+            request.floor_lookups = LEARN_COUNT_MAX
         self._requests.route(request)
 
     def handle_lost_floor(self, request: RequestRow) -> bool:
@@ -111,7 +113,7 @@
         database = self.tables.databases[request.database]
         # Each position is checked by itself. The request's floor may come from an age
         # or a majority, be of the newest term, and not contain what the session saw.
-        for seen in request.seen:
+        for seen in request.session_positions:
             if self._is_dropped(database, seen):
                 why = f"the session has seen log position {seen.term}:{seen.position}"
                 self._requests.answer_not_run(request, ErrorCode.FLOOR_LOST, why)
@@ -120,15 +122,15 @@
             return False
         # Only a floor from an age or a majority was in the discarded part of the log.
         # The session has received no answer from there.
-        request.floor = max(request.seen, default=ZERO_POSITION)
-        request.fresh_floor = True
+        request.floor = max(request.session_positions, default=ZERO_POSITION)
+        request.needs_fresh_floor = True
         self.learn(request)
         return True
 
     def _is_dropped(self, database: DatabaseRow, position: LogPosition) -> bool:
         if not 0 < position.term < database.term:
             return False
-        return self._liveness.floor_lost(database, position)
+        return self._liveness.is_floor_lost(database, position)
 
     def refresh(self, request: RequestRow) -> bool:
         """Raise the floor to what the accepted age requires by now.
@@ -138,7 +140,7 @@
         age = self._accepted_age(request)
         if age is None:
             return True
-        if request.learnt and self.now - request.floor_at <= age:
+        if request.floor_lookups and self.now - request.floor_requested_at <= age:
             return True
         database = self.tables.databases[request.database]
         aged_floor = self._liveness.age_floor(database, age)
@@ -148,8 +150,8 @@
         # A floor that was learnt for a read contains all that was acknowledged before
         # the read arrived. No floor meets an age that is shorter than the time that
         # learning and queueing take: the read would learn floors until its deadline.
-        request.fresh_floor = True
-        return request.learnt >= LEARN_COUNT_MAX
+        request.needs_fresh_floor = True
+        return request.floor_lookups >= LEARN_COUNT_MAX
 
     # -- Checking answers ----------------------------------------------------
 
@@ -160,7 +162,7 @@
         # own writes.
         return all(
             self._contains(request, applied, position)
-            for position in (request.floor, *request.seen)
+            for position in (request.floor, *request.session_positions)
         )
 
     def _contains(
--- a/mallowpass/core/systems/sessions.py
+++ b/mallowpass/core/systems/sessions.py
@@ -106,7 +106,7 @@
         database = self.tables.databases.get(database_key)
         if database is None or not older.term < newer.term:
             return False
-        return self._liveness.floor_lost(database, older)
+        return self._liveness.is_floor_lost(database, older)
 
     def seen_positions(
         self, session: SessionRow, database_key: str
@@ -154,7 +154,7 @@
             return ErrorCode.INVALID_FIELD
         if not session.service and not isinstance(request, OpenRequest | CloseRequest):
             return ErrorCode.UNKNOWN_SESSION
-        if self._draining.closing and not isinstance(request, CloseRequest):
+        if self._draining.is_closing and not isinstance(request, CloseRequest):
             return ErrorCode.DRAINING
         if len(session.requests) >= SESSION_REQUESTS_MAX:
             return ErrorCode.SESSION_LIMIT
@@ -166,7 +166,7 @@
         if not token or token == session.token:
             return
         floors = decode_token(self._node.identity.token_key, token)
-        session.token_seen = True
+        session.has_presented_token = True
         for database_key, position in floors.items():
             self.raise_floor(session, database_key, position)
 
@@ -218,7 +218,7 @@
         if session.service or not request.caller:
             # The caller's name is required, as request ids are unique per caller only.
             return ErrorCode.INVALID_FIELD
-        if self._draining.draining:
+        if self._draining.is_draining:
             return ErrorCode.DRAINING
         if len(self.tables.sessions) > self._node.tuning.sessions:
             return ErrorCode.SESSION_LIMIT
@@ -228,7 +228,7 @@
         return None
 
     def _end_session(self, session: SessionRow) -> None:
-        self._transactions.roll_back_all(session.stream)
+        self._transactions.roll_back_session(session.stream)
         del self.tables.sessions[session.stream]
         self._requests.abandon_session(session)
 
--- a/mallowpass/core/systems/stewards.py
+++ b/mallowpass/core/systems/stewards.py
@@ -11,7 +11,7 @@
 from mallowpass.core.platformcalls import PlatformCall, PlatformReply
 from mallowpass.core.tables import DatabaseRow
 
-__all__ = ["Peers", "Platform", "find_membership", "find_platform", "steward_turn"]
+__all__ = ["Peers", "Platform", "find_membership", "find_platform", "steward_rank"]
 
 
 class Peers(Protocol):
@@ -25,7 +25,7 @@
     ) -> None:
         """Have a handler called with each message of a type and its sender."""
 
-    def broadcast(self, message: PeerMessage, but: str = "") -> None:
+    def broadcast(self, message: PeerMessage, exclude: str = "") -> None:
         """Send a message to all neighbours, except to the one that it came from."""
 
 
@@ -38,7 +38,7 @@
         """Make a call; the callback gets exactly one reply."""
 
 
-def steward_turn(
+def steward_rank(
     node: Node, peers: Peers | None, row: DatabaseRow, primary: str
 ) -> int:
     """Return this host's place among a group's stewards, 0 first.
@@ -77,7 +77,7 @@
 
 def find_platform(node: Node) -> Platform | None:
     """Return the node's client of the platform, None when it runs without."""
-    from mallowpass.core.systems.platform import PlatformClient
+    from mallowpass.core.systems.platformclient import PlatformClient
 
     try:
         return node.system(PlatformClient)
--- a/mallowpass/core/systems/writes.py
+++ b/mallowpass/core/systems/writes.py
@@ -27,9 +27,9 @@
 from mallowpass.core.systems import retries as retries_module
 from mallowpass.core.systems import routing as routing_module
 from mallowpass.core.systems.answers import code_of_refusal, record_id
-from mallowpass.core.systems.connections import Watchdog
+from mallowpass.core.systems.connections import TimeoutTracker
 from mallowpass.core.systems.outcomes import FIRST_ATTEMPT
-from mallowpass.core.systems.reuse import (
+from mallowpass.core.systems.requestreuse import (
     RecentRequests,
     digest_of_begin,
     digest_of_statement,
@@ -80,7 +80,7 @@
         "_routing",
         "_running",
         "_transactions",
-        "_watchdog",
+        "_timeouts",
     )
 
     def __init__(self, node: Node) -> None:
@@ -91,7 +91,7 @@
 
     def start(self) -> None:
         """Look up the systems that this one calls."""
-        self._watchdog = Watchdog(self.timers, CHECK_INTERVAL, self._on_check_due)
+        self._timeouts = TimeoutTracker(self.timers, CHECK_INTERVAL, self._on_check_due)
         from mallowpass.core.systems.requests import Requests
         from mallowpass.core.systems.transactions import Transactions
 
@@ -171,10 +171,10 @@
             self._requests.answers.refuse(session, request, ErrorCode.REQUEST_ID_REUSED)
             return
         session.requests[request.request_id] = running
-        if row.followers is None:
-            row.followers = []
-        row.followers.append((session.stream, request.request_id))
-        self._node.decide(
+        if row.duplicates is None:
+            row.duplicates = []
+        row.duplicates.append((session.stream, request.request_id))
+        self._node.record_decision(
             "join", request.request_id, "answered with its duplicate in progress"
         )
 
@@ -218,7 +218,7 @@
             self.route(request)
             return
         request.state = RequestState.SENT
-        self._watchdog.renew(request.number)
+        self._timeouts.restart(request.number)
         request.sent_term = database.term
         self._pooling.send(connection, self._call(request))
 
@@ -271,7 +271,7 @@
     ) -> None:
         self._record(request, connection)
         if self._requests.floors.is_satisfied(request, reply.applied):
-            self._transactions.opened(request, connection, reply)
+            self._transactions.on_opened(request, connection, reply)
             return
         request.connection = 0
         self._pooling.release(connection, reset=True)
@@ -281,13 +281,13 @@
         self._requests.waiting.retry(request, ErrorCode.FLOOR_NOT_REACHED, why)
 
     def _record(self, request: RequestRow, connection: ConnectionRow) -> None:
-        self._watchdog.remove(request.number)
+        self._timeouts.remove(request.number)
         latency = self.now - request.sent_at
         self._requests.record(connection.address, latency, ok=True)
 
     def watch_commit(self, request: RequestRow) -> None:
         """Look up the outcome of a commit once it is overdue, as for a write."""
-        self._watchdog.renew(request.number)
+        self._timeouts.restart(request.number)
 
     def _on_check_due(self, number: int) -> None:
         """Look up the outcome of an overdue write whose connection is unresponsive.
@@ -303,19 +303,19 @@
         connection = self.tables.connections.get(request.connection)
         if connection is None:
             return
-        if self._pooling.answers(connection, CHECK_INTERVAL) or not self._is_overdue(
-            request
-        ):
-            self._watchdog.add(number)
+        if self._pooling.is_responsive(
+            connection, CHECK_INTERVAL
+        ) or not self._is_overdue(request):
+            self._timeouts.add(number)
         elif request.transaction:
             self._on_commit_overdue(request)
         elif self._retries.take_retry(request) is None:
-            self._watchdog.add(number)
+            self._timeouts.add(number)
         else:
             # The retry is taken from the budget before the look-up. A pause of the
             # primary makes many writes overdue at once; those that exceed the budget
             # wait on, as a fenced write that cannot be retried would fail.
-            request.prepaid = True
+            request.is_retry_prepaid = True
             self._requests.abandon_silent(request)
             self._requests.outcomes.resolve(request, self._overdue_reason(request))
 
@@ -327,10 +327,10 @@
         # is done only if the primary was heard from on other connections since the last
         # check, which excludes a pause of the primary.
         endpoint = self.tables.endpoints.get(request.address)
-        if endpoint is None or endpoint.heard_at <= self.now - CHECK_INTERVAL:
-            self._watchdog.add(request.number)
+        if endpoint is None or endpoint.last_reply_at <= self.now - CHECK_INTERVAL:
+            self._timeouts.add(request.number)
             return
-        self._transactions.commit_overdue(request, self._overdue_reason(request))
+        self._transactions.on_commit_overdue(request, self._overdue_reason(request))
 
     def _overdue_reason(self, request: RequestRow) -> str:
         return f"no answer in {self.now - request.sent_at:.3f}s"
@@ -350,20 +350,20 @@
             return
         request.position = position
         request.answer_rows = rows
-        request.state = RequestState.HOLDING
+        request.state = RequestState.AWAITING_MAJORITY
         # A write that was recorded in an earlier term is durable once a majority holds
         # an entry of the term in which the record was found: the log of that term
         # contains the write.
         term = max(position.term, request.sent_term)
         awaited = LogPosition(term, position.position)
-        waiter = self._liveness.wait_held(
+        waiter = self._liveness.wait_for_majority(
             database, awaited, partial(self._on_held, request)
         )
-        if request.state is RequestState.HOLDING:
+        if request.state is RequestState.AWAITING_MAJORITY:
             request.waiter = waiter
 
     def _on_held(self, request: RequestRow, held: bool) -> None:
-        if request.state is not RequestState.HOLDING:
+        if request.state is not RequestState.AWAITING_MAJORITY:
             return
         request.waiter = None
         if held:
@@ -414,7 +414,7 @@
             # The primary may be down. Holding the write takes nothing from the retry
             # budget: a service would otherwise spend its budget, and have its writes
             # refused, shortly before a promotion.
-            self._failover.suspicion(request.address, why)
+            self._failover.probe_primary(request.address, why)
             self._requests.waiting.hold(request, why)
         else:
             self._requests.waiting.retry(request, code, why)
--- a/tests/core/systems/test_proving.py
+++ b/tests/core/systems/test_busychecks.py
@@ -1,4 +1,4 @@
-"""Tests of mallowpass.core.systems.proving."""
+"""Tests of mallowpass.core.systems.busychecks."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from mallowpass.core.calls import ExecuteCall, KeepAliveCall, ResetCall
 from mallowpass.core.effects import Count, SendEndpoint
-from mallowpass.core.systems.proving import FIRST_PROOF
+from mallowpass.core.systems.busychecks import FIRST_BUSY_SEQUENCE
 from mallowpass.core.tables import RequestRow
 from tests.fakes.poolpath import CALL, PoolHost
 
@@ -104,7 +104,7 @@
     host.wait(host.node.tuning.silence / 2)
     (asked,) = host.calls(KeepAliveCall)
     statement = _statement(host)
-    assert statement.sequence < FIRST_PROOF <= asked.sequence
+    assert statement.sequence < FIRST_BUSY_SEQUENCE <= asked.sequence
     host.reply(asked)
     host.reply(asked)
     assert _told(host) == []
@@ -184,10 +184,10 @@
     host = _host()
     _start(host)
     (connection,) = host.pool.connections.values()
-    expires = connection.expires
+    expires = connection.expires_at
     host.pause(host.node.tuning.connection_time_to_live)
     host.wait(host.node.tuning.silence)
-    assert connection.expires == expires
+    assert connection.expires_at == expires
     assert not host.calls(KeepAliveCall)
 
 
@@ -212,11 +212,11 @@
     request = host.request()
     host.wait(0.1)
     connection = host.node.tables.connections[request.connection]
-    host.pooling.answers(connection, 0.1)
+    host.pooling.is_responsive(connection, 0.1)
     host.flush()
     host.wait(0.1)
-    assert not host.pooling.answers(connection, 0.1)
-    host.pooling.suspect(connection)
+    assert not host.pooling.is_responsive(connection, 0.1)
+    host.pooling.check_older_idle(connection)
     host.pooling.cancel(request)
     host.flush()
 
@@ -251,7 +251,7 @@
     _start(host)
     host.reply_all()
     _give_up_unanswered(host)
-    host.endpoint.heard_at = host.now + 1.0
+    host.endpoint.last_reply_at = host.now + 1.0
     host.wait(0.6)
     assert not host.pool.connections
 
@@ -261,7 +261,7 @@
     _start(host)
     host.reply_all()
     _give_up_unanswered(host)
-    host.endpoint.heard_at = host.now + 1.0
+    host.endpoint.last_reply_at = host.now + 1.0
     host.reply(host.calls(KeepAliveCall)[-1])
     host.wait(0.6)
     assert host.pool.connections and not host.closed()
--- a/tests/core/systems/test_sessions.py
+++ b/tests/core/systems/test_sessions.py
@@ -96,14 +96,14 @@
 def test_draining_host_accepts_no_sessions_but_serves_existing_ones():
     path = RequestPath()
     path.open_known()
-    path.draining.draining = True
+    path.draining.is_draining = True
     path.open(2)
     assert path.answer(2).code == ErrorCode.DRAINING.code
     path.read(1, "look")
     path.reply()
     assert path.answer(1).outcome is Outcome.DONE
     assert path.answer(1).go_elsewhere
-    path.draining.closing = True
+    path.draining.is_closing = True
     path.read(1, "late")
     assert path.answer(1).code == ErrorCode.DRAINING.code
 
--- a/tests/fakes/poolpath.py
+++ b/tests/fakes/poolpath.py
@@ -120,7 +120,7 @@
         hosts = self.tables.hosts.values()
         return [h for h in hosts if failure_domain in (None, h.failure_domain)]
 
-    def reach(self, host_name: str, message: PeerMessage) -> bool:
+    def send_or_dial(self, host_name: str, message: PeerMessage) -> bool:
         self.sent.append((host_name, message))
         return True
 
@@ -181,7 +181,7 @@
 
     @property
     def pool(self) -> Any:
-        return self.pooling.pool(ADDRESS)
+        return self.pooling.get_or_create_pool(ADDRESS)
 
     def _add_service(self, limit: int, concurrent: int, queue_length: int) -> None:
         member = Member("a", ADDRESS, "casa-ainsebaa")
@@ -280,7 +280,7 @@
             connection_limit=limit,
             **abilities,
         )
-        self.endpoint.report_at = self.endpoint.heard_at = self.now
+        self.endpoint.last_report_at = self.endpoint.last_reply_at = self.now
 
     # -- The endpoint's side -------------------------------------------------
 
