--- a/mallowpass/core/systems/reads.py
+++ b/mallowpass/core/systems/reads.py
@@ -61,9 +61,9 @@
         "_retries",
         "_routing",
         "_sessions",
+        "_timeouts",
         "_transactions",
         "_waiting",
-        "_timeouts",
     )
 
     def __init__(self, node: Node) -> None:
--- a/mallowpass/core/systems/sessionfloors.py
+++ b/mallowpass/core/systems/sessionfloors.py
@@ -18,7 +18,8 @@
 
 __all__ = ["SessionFloors"]
 
-LEARN_COUNT_MAX = 2  # times at most that the floor of a read is learnt for its age
+# The floor of a read is learnt at most this many times to meet the accepted age.
+FLOOR_LOOKUPS_MAX = 2
 
 
 class SessionFloors(System):
@@ -52,7 +53,7 @@
                 session, request.database
             )
         # A session without a floor may have written through another host and lost its
-        # token. A read below an assumed floor could lack that write.
+        # token. A read without a floor could lack that write.
         request.needs_fresh_floor = not request.session_positions
         request.floor = max(request.session_positions, default=ZERO_POSITION)
         age = self._accepted_age(request)
@@ -100,7 +101,7 @@
         age = self._accepted_age(request)
         if age is not None and self.now - request.floor_requested_at > age:
             # A floor learnt once more would be too old again.
-            request.floor_lookups = LEARN_COUNT_MAX
+            request.floor_lookups = FLOOR_LOOKUPS_MAX
         self._requests.route(request)
 
     def handle_lost_floor(self, request: RequestRow) -> bool:
@@ -151,15 +152,14 @@
         # the read arrived. No floor meets an age that is shorter than the time that
         # learning and queueing take: the read would learn floors until its deadline.
         request.needs_fresh_floor = True
-        return request.floor_lookups >= LEARN_COUNT_MAX
+        return request.floor_lookups >= FLOOR_LOOKUPS_MAX
 
     # -- Checking answers ----------------------------------------------------
 
     def is_satisfied(self, request: RequestRow, applied: LogPosition) -> bool:
         """Return whether the log up to position `applied` contains the floor."""
-        # The last check before an answer is sent. The member was chosen by predictions:
-        # without this check, the answer of a lagging replica could lack the session's
-        # own writes.
+        # The last check before an answer is sent. The member was chosen by prediction,
+        # and the answer of a lagging replica could lack the session's own writes.
         return all(
             self._contains(request, applied, position)
             for position in (request.floor, *request.session_positions)
--- a/mallowpass/core/systems/writes.py
+++ b/mallowpass/core/systems/writes.py
@@ -79,8 +79,8 @@
         "_retries",
         "_routing",
         "_running",
-        "_transactions",
         "_timeouts",
+        "_transactions",
     )
 
     def __init__(self, node: Node) -> None:
--- a/tests/core/systems/test_admission.py
+++ b/tests/core/systems/test_admission.py
@@ -24,8 +24,8 @@
 def test_a_request_that_cannot_be_served_in_time_is_refused_at_once():
     """Callers wait until their deadlines to learn that their requests did not run.
 
-    Ten statements of 0.2 s wait for one connection when a request with a deadline of 1
-    s arrives. Requests were queued without a prediction of their wait.
+    Ten statements of 0.2 s wait for one connection when a request arrives whose
+    deadline is 1 s away. Requests were queued without a prediction of their wait.
     """
     host = PoolHost(limit=4)
     _serve(host, 3)
--- a/tests/core/systems/test_reads.py
+++ b/tests/core/systems/test_reads.py
@@ -98,8 +98,8 @@
 def test_session_without_a_floor_learns_it_from_a_majority():
     """A caller that lost its token does not see what it wrote.
 
-    It writes through one host and reads through another one without the token. An
-    unknown floor does not mean that the session has written nothing.
+    The caller writes through one host and reads through another one without the token.
+    An unknown floor does not mean that the session has written nothing.
     """
     path = RequestPath()
     path.open(1)
@@ -141,8 +141,9 @@
 def test_answer_with_the_learnt_floor_but_not_the_sessions_is_not_forwarded():
     """A read is DONE and lacks what its session has seen.
 
-    As above, but the new primary's first report comes after the answer. The position of
-    the answer was compared with the highest floor only.
+    The session saw (1, 9) and term 2 starts at 7, which the host does not know before
+    the answer comes. The position of the answer was compared with the highest floor
+    only.
     """
     path = _path(floor=(1, 9))
     path.report("m2", (2, 8))
@@ -201,8 +202,8 @@
 def test_age_counts_from_when_a_queued_read_is_sent():
     """A read that accepts an age of one second returns data that is four seconds old.
 
-    Its floor is set on arrival, and it queues for three seconds. The age applies to the
-    time at which the read is sent.
+    The floor is set on arrival, and the read queues for three seconds. The age applies
+    to the time at which the read is sent.
     """
     path = _path()
     path.pooling.granting = False
--- a/tests/core/systems/test_retries.py
+++ b/tests/core/systems/test_retries.py
@@ -9,8 +9,8 @@
 def test_retries_are_limited_by_successes():
     """An endpoint short of capacity is sent several times its usual load.
 
-    It refuses all statements, and each refusal is retried. Without a budget, retries
-    multiply the load of an outage.
+    The endpoint refuses all statements, and each refusal is retried. Without a budget,
+    retries multiply the load of an outage.
     """
     path = RequestPath()
     path.open_known()
--- a/tests/core/systems/test_routing.py
+++ b/tests/core/systems/test_routing.py
@@ -67,8 +67,8 @@
 def test_last_replica_is_not_ejected_for_being_slow():
     """Heavy reads overload the primary.
 
-    They make all replicas slow, one after the other. A replica is slow in comparison
-    with replicas that can take over, and the last one has none.
+    Heavy reads make all replicas slow, one after the other. A replica counts as slow
+    only in comparison with replicas that can take over, and the last replica has none.
     """
     path = _path()
     path.routing.record(path.endpoint("m3"), 0.001, ok=True)
--- a/tests/core/systems/test_sessions.py
+++ b/tests/core/systems/test_sessions.py
@@ -50,10 +50,10 @@
 def test_token_carries_the_newest_floor_beside_a_discarded_one():
     """A caller does not see its own write through another host.
 
-    It saw (1, 9), term 2 starts at 7, and its write is at (2, 8). It reads through a
-    host for which m1 of term 1 is still the primary, then through a third host. The
-    discarded floor, which is kept for FLOOR_LOST, had taken the place of the newest
-    one.
+    The caller saw (1, 9), term 2 starts at 7, and the write is at (2, 8). The caller
+    reads through a host for which m1 of term 1 is still the primary, then through a
+    third host. The discarded floor, which is kept for FLOOR_LOST, had replaced the
+    newest one.
     """
     path = RequestPath()
     path.open_known(floor=(1, 9))
--- a/tests/core/systems/test_writes.py
+++ b/tests/core/systems/test_writes.py
@@ -29,8 +29,8 @@
 def test_write_is_done_once_a_majority_holds_it(path):
     """An acknowledged write is lost by a failover.
 
-    The primary runs it, answers OK and fails before a replica has received it. The OK
-    of one member does not show what the next primary's log contains.
+    The primary runs the write, answers OK and fails before a replica has received the
+    write. The OK of one member does not show what the next primary's log contains.
     """
     path.write(1, "file")
     path.reply(applied=(1, 7), rows="r")
@@ -64,7 +64,7 @@
     """A write that was answered NOT_RUN is recorded.
 
     m2 leads term 2 without the record and fails before a majority holds the start of
-    its term. Term 3 starts from the log of term 1, which has the record. Only what a
+    term 2. Term 3 starts from the log of term 1, which has the record. Only what a
     majority holds survives the next promotion.
     """
     path.write(1, "file")
@@ -163,7 +163,7 @@
 def test_unrepeatable_write_that_cannot_be_looked_up_is_unknown_at_once(path):
     """A write runs twice at an endpoint that records no outcomes.
 
-    Its connection is lost and the outcome cannot be looked up. Without proof, only the
+    The connection is lost and the outcome cannot be looked up. Without proof, only the
     caller may decide to send an unrepeatable write again.
     """
     path.endpoint("m1").report = None
@@ -301,10 +301,10 @@
     ],
 )
 def test_outcome_at_the_deadline_tells_what_is_known(path, stage, outcome, code):
-    """A write that ran is NOT_RUN, or one that was never sent is UNKNOWN.
+    """A write that ran is NOT_RUN, or a write that was never sent is UNKNOWN.
 
-    Its deadline passes at each of its states. Only a write that was not sent is proven
-    not to have run.
+    The deadline passes in each state of the write. Only a write that was not sent is
+    proven not to have run.
     """
     if stage == "held":
         path.lose_primary()
@@ -327,7 +327,7 @@
 def test_connection_granted_after_the_deadline_is_released(path):
     """A write that was answered NOT_RUN is recorded.
 
-    Its deadline passes just before the pool grants a connection to it.
+    The pool grants a connection to the write just after the write's deadline.
     """
     path.pooling.granting = False
     path.write(1, "file", deadline=1.0)
@@ -389,8 +389,8 @@
 def test_slow_write_is_not_fenced_while_its_connection_answers(path):
     """A long write never finishes, or is answered NOT_RUN.
 
-    It takes eight times the usual latency, and is fenced and sent again. Each attempt
-    is as slow as the first and was fenced as well.
+    The write takes eight times the usual latency, and is fenced and sent again. Each
+    attempt is as slow as the first and was fenced as well.
     """
     path.pooling.answering = True
     path.write(1, "reconcile", deadline=60.0)
@@ -404,8 +404,8 @@
 def test_pause_of_the_primary_does_not_cause_refusals(path):
     """Writes are refused with RETRY_BUDGET_SPENT after a pause of the primary.
 
-    More writes in flight are overdue than the budget has retries. Each was fenced
-    before it was certain that it could be sent again.
+    More writes in flight are overdue than the budget has retries. Each write was fenced
+    before it was certain that the write could be sent again.
     """
     path.retries._budget("claims-core").left = 2.0
     for name in ("a", "b", "c"):
