--- a/mallowpass/core/systems/admission.py
+++ b/mallowpass/core/systems/admission.py
@@ -41,7 +41,7 @@
         self._pooling = None
 
     def start(self) -> None:
-        """Look up the system of the connection pools."""
+        """Look up the system of the connection pools, which starts later."""
         from mallowpass.core.systems.pooling import Pooling
 
         self._pooling = self._node.system(Pooling)
--- a/mallowpass/core/systems/sessions.py
+++ b/mallowpass/core/systems/sessions.py
@@ -49,7 +49,7 @@
 
 
 class Sessions(System):
-    """Own the session rows; dispatch all requests of callers."""
+    """Own the session rows; the only subscriber to the events of callers."""
 
     __slots__ = ("_dispatch", "_draining", "_liveness", "_requests", "_transactions")
 
--- a/mallowpass/core/systems/waiting.py
+++ b/mallowpass/core/systems/waiting.py
@@ -23,7 +23,7 @@
     def __init__(self, node: Node) -> None:
         super().__init__(node)
         self._held: dict[str, dict[int, RequestRow]] = {}  # by database key
-        self._recheck_scheduled: set[str] = set()  # database keys
+        self._recheck_scheduled: set[str] = set()  # database keys with a timer
 
     def start(self) -> None:
         """Look up the systems that this one calls."""
