--- a/mallowpass/core/systems/activity.py
+++ b/mallowpass/core/systems/activity.py
@@ -8,13 +8,13 @@
 from mallowpass.core.signals import HostStateChanged
 from mallowpass.core.systems.controlstreams import ControlStreams
 from mallowpass.core.systems.groupview import GroupView
-from mallowpass.core.systems.watching import ACTIVITY, watch_for
+from mallowpass.core.systems.watchintervals import ACTIVE_TIME, choose_watch
 from mallowpass.core.tables import DatabaseRow
 from mallowpass.core.timers import Timer
 
-__all__ = ["STEWARDS", "Activity"]
+__all__ = ["STEWARD_COUNT", "Activity"]
 
-STEWARDS = 3  # so many hosts of the lowest ranks watch a group's primary closely
+STEWARD_COUNT = 3  # so many hosts of the lowest ranks watch a group's primary closely
 RANK_REVIEW = 0.2
 
 
@@ -42,22 +42,22 @@
         view.read_at = self._node.timers.now
         self._note(view)
 
-    def note_write(self, view: GroupView, *, awaits_places: bool) -> None:
+    def note_write(self, view: GroupView, *, awaits_positions: bool) -> None:
         """Note that a write waits for a majority, by asking for its place or not."""
         now = self._node.timers.now
-        is_first = now - view.written_at > ACTIVITY
+        is_first = now - view.written_at > ACTIVE_TIME
         view.written_at = now
-        is_other_way = view.awaits_places != awaits_places
-        view.awaits_places = awaits_places
+        is_other_way = view.awaits_positions != awaits_positions
+        view.awaits_positions = awaits_positions
         if is_first or is_other_way:
-            self.watch(view)
+            self.update_watches(view)
         self._note(view)
 
-    def watch(self, view: GroupView) -> None:
+    def update_watches(self, view: GroupView) -> None:
         """Have all members of a group report as often as is needed now."""
-        is_steward = self._turn(view.row) < STEWARDS
+        is_steward = self._turn(view.row) < STEWARD_COUNT
         for endpoint in view.row.endpoints.values():
-            watch = watch_for(self._node, view, endpoint, is_steward, self._active)
+            watch = choose_watch(self._node, view, endpoint, is_steward, self._active)
             self._control.add(endpoint, watch)
             self._control.watch(endpoint.address, watch)
 
@@ -67,7 +67,7 @@
             view.activity.cancel()
             self._active -= 1
 
-    def hosts_changed(self, signal: HostStateChanged) -> None:
+    def on_hosts_changed(self, signal: HostStateChanged) -> None:
         """Review this host's ranks soon: they may have moved."""
         # Many hosts come and go together: one review for all.
         if self._rank_review is None:
@@ -77,19 +77,19 @@
     def _note(self, view: GroupView) -> None:
         if view.activity is None:
             self._active += 1
-            view.activity = self._node.timers.after(ACTIVITY, self._review, view)
-            self.watch(view)
+            view.activity = self._node.timers.after(ACTIVE_TIME, self._review, view)
+            self.update_watches(view)
 
     def _review(self, view: GroupView) -> None:
         view.activity = None
         newest = max(view.read_at, view.written_at)
-        if self._node.timers.now - newest <= ACTIVITY:
-            view.activity = self._node.timers.after(ACTIVITY, self._review, view)
+        if self._node.timers.now - newest <= ACTIVE_TIME:
+            view.activity = self._node.timers.after(ACTIVE_TIME, self._review, view)
         else:
             self._active -= 1
-        self.watch(view)
+        self.update_watches(view)
 
     def _review_ranks(self) -> None:
         self._rank_review = None
         for view in self._views.values():
-            self.watch(view)
+            self.update_watches(view)
--- a/mallowpass/core/systems/answers.py
+++ b/mallowpass/core/systems/answers.py
@@ -156,7 +156,7 @@
             retry_after=answer.retry_after,
             served_by=answer.served_by,
             from_replica=answer.from_replica,
-            go_elsewhere=self._draining.draining,
+            go_elsewhere=self._draining.is_draining,
             repeated=answer.repeated,
         )
         self._node.emit(AnswerCaller(stream, own))
--- a/mallowpass/core/systems/awaiting.py
+++ b/mallowpass/core/systems/awaiting.py
@@ -79,8 +79,8 @@
         report = endpoint.report
         if report is None or not report.await_position:
             return False
-        silence = self._control.silence(endpoint.address)
-        return silence < self._node.tuning.detection + self._control.slack(
+        silence = self._control.time_since_reply(endpoint.address)
+        return silence < self._node.tuning.detection + self._control.report_interval(
             endpoint.address
         )
 
--- a/mallowpass/core/systems/changes.py
+++ b/mallowpass/core/systems/changes.py
@@ -24,10 +24,10 @@
     WriteRow,
 )
 from mallowpass.core.services import AcceptedChange, ServiceVersion
-from mallowpass.core.systems.platform import PlatformClient
+from mallowpass.core.systems.platformclient import PlatformClient
 from mallowpass.errors import ErrorCode, MallowpassError
 
-__all__ = ["SERVICES_TABLE", "Change", "content_of", "make_version"]
+__all__ = ["SERVICES_TABLE", "Change", "content_hash", "decode_version"]
 
 SERVICES_TABLE = "services"
 HISTORY_LENGTH = 8
@@ -37,13 +37,13 @@
 Callback = Callable[[ServiceChangedAnswer], None]
 
 
-def content_of(request: ChangeServiceRequest) -> bytes:
+def content_hash(request: ChangeServiceRequest) -> bytes:
     """Return a hash of what a change asks for, to know it again by."""
     asked = ServiceVersion(request.name, request.from_version, request.service)
     return xxhash.xxh64_digest(encode_service(asked))
 
 
-def make_version(row: TableRow) -> ServiceVersion:
+def decode_version(row: TableRow) -> ServiceVersion:
     """Return the service in a row; raises BadRequestError for what is not one."""
     version = decode_service(row.value)
     if (version.name, version.version) != (row.key, row.version):
@@ -81,7 +81,7 @@
         self._request = request
         self._accept = accept
         self._callback = callback
-        self._content = content_of(request)
+        self._content = content_hash(request)
         self._ambiguous = False  # a write left whose answer did not come
         self._tries = 0
 
@@ -90,7 +90,7 @@
         return self._node.system(PlatformClient)
 
     @staticmethod
-    def is_in(version: ServiceVersion | None, change_id: str) -> bool:
+    def is_recorded(version: ServiceVersion | None, change_id: str) -> bool:
         """Tell whether a change is among the newest that led to a version."""
         changes = version.history if version else ()
         return any(change.change_id == change_id for change in changes)
@@ -171,7 +171,7 @@
 
     def _judge(self, row: TableRow | None) -> None:
         try:
-            current = make_version(row) if row is not None else None
+            current = decode_version(row) if row is not None else None
         except MallowpassError as error:
             self._finish(error.error_code, str(error))
             return
--- a/mallowpass/core/systems/configuration.py
+++ b/mallowpass/core/systems/configuration.py
@@ -20,10 +20,10 @@
 from mallowpass.core.signals import ServiceAccepted
 from mallowpass.core.systems.changes import Change
 from mallowpass.core.systems.databases import DatabaseRows
-from mallowpass.core.systems.difference import NO_DIFFERENCE, Difference
+from mallowpass.core.systems.digestdifference import NO_DIFFERENCE, DigestDifference
 from mallowpass.core.systems.membership import Membership
-from mallowpass.core.systems.polling import ServicePoll
-from mallowpass.core.systems.validation import find_faults
+from mallowpass.core.systems.servicepoll import ServicePoll
+from mallowpass.core.systems.validation import find_problems
 from mallowpass.core.tables import ServiceRow
 from mallowpass.errors import ErrorCode
 
@@ -57,11 +57,11 @@
         self._poll = ServicePoll(node, self.accept, self._on_complete)
         self._digest = 0
         self._known = False
-        self._differing: dict[str, Difference] = {}  # by host
+        self._differing: dict[str, DigestDifference] = {}  # by host
         self._repaired_at = float("-inf")
 
     @property
-    def known(self) -> bool:
+    def is_known(self) -> bool:
         """Tell whether this host has learnt what the fleet serves.
 
         False after a start until the platform or a peer that knows has told all:
@@ -86,7 +86,7 @@
     def start(self) -> None:
         """Subscribe to peers' messages and begin to poll."""
         membership = self._membership
-        membership.use_digest(lambda: self.digest)
+        membership.set_service_digest(lambda: self.digest)
         membership.on_message(Heartbeat, self._on_heartbeat)
         membership.on_message(Digest, self._on_digest)
         membership.on_message(ServicesCall, self._on_services_call)
@@ -101,7 +101,7 @@
         known = row.accepted if row is not None else None
         # A repeated change was sound when it was accepted; by now another service
         # may have taken an address over, which must not turn its answer round.
-        repeated = Change.is_in(known, request.change_id)
+        repeated = Change.is_recorded(known, request.change_id)
         faults = [] if repeated else self._faults(request)
         if faults:
             code = ErrorCode.INVALID_SERVICE
@@ -131,7 +131,7 @@
             return faults
         domains = (domain.name for domain in self._node.identity.domains)
         rows = self.tables.services.values()
-        found = find_faults(request.name, request.service, domains, rows)
+        found = find_problems(request.name, request.service, domains, rows)
         return faults + [str(fault) for fault in found]
 
     def _record(
@@ -164,7 +164,7 @@
             self._digest ^= _hash(before)
         self._digest ^= _hash(version)
         self._log(version, source)
-        self._membership.broadcast(ServiceNotice(version), but=source)
+        self._membership.broadcast(ServiceNotice(version), exclude=source)
         self._rows.apply(before.service if before else None, version)
         self._node.publish(ServiceAccepted(version.name))
 
--- a/mallowpass/core/systems/controlstreams.py
+++ b/mallowpass/core/systems/controlstreams.py
@@ -132,7 +132,7 @@
             link.check.cancel()
         self._check(link)
 
-    def silence(self, address: str) -> float:
+    def time_since_reply(self, address: str) -> float:
         """Return for how long nothing was heard of an endpoint, in seconds.
 
         Time before this host's own last pause does not count: whoever was
@@ -145,7 +145,7 @@
         since = max(heard_at, link.created_at, link.watched_at, self._heard_since())
         return self._node.timers.now - since
 
-    def slack(self, address: str) -> float:
+    def report_interval(self, address: str) -> float:
         """Return how long the watch alone may keep an endpoint quiet, in seconds."""
         link = self._links.get(address)
         return link.watch.interval if link is not None else 0.0
@@ -180,7 +180,7 @@
         if link.is_open:
             self._send(link, sequence, call)
 
-    def try_fresh(self, address: str) -> None:
+    def open_second_stream(self, address: str) -> None:
         """Open a second stream beside one that may be silent for good."""
         link = self._links.get(address)
         if link is not None and not link.candidate:
@@ -270,7 +270,9 @@
     # -- Silence -------------------------------------------------------------
 
     def _is_silent(self, link: _Link) -> bool:
-        return self.silence(link.endpoint.address) >= self._overdue(link) - 1e-9
+        return (
+            self.time_since_reply(link.endpoint.address) >= self._overdue(link) - 1e-9
+        )
 
     def _overdue(self, link: _Link) -> float:
         return link.watch.interval + self._node.tuning.detection * OVERDUE_SHARE
@@ -289,7 +291,7 @@
 
     def _check_delay(self, link: _Link) -> float:
         """Return when to look again: ever more rarely while an endpoint is silent."""
-        silence = self.silence(link.endpoint.address)
+        silence = self.time_since_reply(link.endpoint.address)
         interval = self._node.tuning.probe_interval
         left = self._overdue(link) - silence
         return max(left, interval, min(silence * PROBE_SHARE, BACKOFF_MAX))
--- a/mallowpass/core/systems/draining.py
+++ b/mallowpass/core/systems/draining.py
@@ -43,12 +43,12 @@
         self._timer: Timer | None = None
 
     @property
-    def draining(self) -> bool:
+    def is_draining(self) -> bool:
         """Tell whether this host takes no new sessions; answers say go elsewhere."""
         return self._deadline is not None
 
     @property
-    def closing(self) -> bool:
+    def is_closing(self) -> bool:
         """Tell whether open sessions' new requests are refused too, as not run."""
         return self._closing_since is not None
 
--- a/mallowpass/core/systems/explaining.py
+++ b/mallowpass/core/systems/explaining.py
@@ -65,7 +65,7 @@
         self._questions[name] = question
         call = ExplainCall(name, request.subject, request.name, limit)
         for row in self._nearest():
-            if self._membership.reach(row.name, call):
+            if self._membership.send_or_dial(row.name, call):
                 question.asked.add(row.name)
         if question.asked:
             self._node.timers.after(WAIT, self._finish, name)
@@ -78,7 +78,7 @@
         # Bounded: a question must not make one host dial thousands.
         own = self._node.identity.failure_domain
         rows = self._membership.live_hosts()
-        linked = set(self._membership.linked)
+        linked = set(self._membership.linked_hosts)
 
         def distance(row: HostRow) -> tuple[bool, bool, str]:
             return (row.name not in linked, row.failure_domain != own, row.name)
--- a/mallowpass/core/systems/failover.py
+++ b/mallowpass/core/systems/failover.py
@@ -62,7 +62,7 @@
             return
         name = group.row.primary_row.name
         self._node.decide("hint", group.row.key, f"{name}: {why}")
-        self._liveness.try_fresh(address)
+        self._liveness.open_second_stream(address)
         timeout = self._node.tuning.promise_timeout
         self._liveness.control_call(address, ProbeCall(), _ignore, timeout)
 
--- a/mallowpass/core/systems/followers.py
+++ b/mallowpass/core/systems/followerrepair.py
@@ -10,13 +10,13 @@
 from mallowpass.core.tables import DatabaseRow, EndpointRow
 from mallowpass.core.timers import Timer
 
-__all__ = ["Followers"]
+__all__ = ["FollowerRepair"]
 
 FOLLOW_DELAY = 0.2  # seconds; whoever promoted tells the members itself, at once
 FOLLOW_GAP = 0.5
 
 
-class Followers:
+class FollowerRepair:
     """Bring one group's members back behind its primary; the first steward does."""
 
     __slots__ = (
--- a/mallowpass/core/systems/groupfailover.py
+++ b/mallowpass/core/systems/groupfailover.py
@@ -6,14 +6,14 @@
 
 from mallowpass.core.calls import Report
 from mallowpass.core.node import Node
-from mallowpass.core.systems.followers import Followers
+from mallowpass.core.systems.followerrepair import FollowerRepair
 from mallowpass.core.systems.handover import HandOver
 from mallowpass.core.systems.isolation import Isolation
 from mallowpass.core.systems.liveness import Liveness
 from mallowpass.core.systems.promotion import Promotion, PromotionResult
 from mallowpass.core.systems.suspicion import Confirmation, Finding, Verdict
 from mallowpass.core.systems.turns import Turn
-from mallowpass.core.systems.watching import silence_margin
+from mallowpass.core.systems.watchintervals import detection_margin
 from mallowpass.core.tables import DatabaseRow, EndpointRow, GroupState
 from mallowpass.core.timers import Timer
 
@@ -41,7 +41,7 @@
         "_created_at",
         "_deaf",
         "_doubted",
-        "_followers",
+        "_follower_repair",
         "_hand_over",
         "_heard",
         "_highest_term",
@@ -63,7 +63,7 @@
         self._node = node
         self._liveness = liveness
         self._announce = announce
-        self._followers = Followers(node, liveness, row, self._renew)
+        self._follower_repair = FollowerRepair(node, liveness, row, self._renew)
         self._hand_over = HandOver(node, liveness, row, self._begin_hand_over)
         self._isolation = Isolation(node, liveness, row)
         self._turn = Turn(node, liveness, row)
@@ -84,7 +84,7 @@
         if self._check_timer is not None:
             self._check_timer.cancel()
         self._hand_over.stop()
-        self._followers.stop()
+        self._follower_repair.stop()
         if self._confirmation is not None:
             self._confirmation.cancel()
         if self.promotion is not None:
@@ -93,7 +93,7 @@
     def forget_members(self, addresses: tuple[str, ...]) -> None:
         """Drop what is kept of members that were removed."""
         for address in addresses:
-            self._followers.forget(address)
+            self._follower_repair.forget(address)
         if self._suspect in addresses:
             self._suspect = ""
 
@@ -116,7 +116,7 @@
         if self.promotion is not None:
             self.promotion.reported()
         elif self.row.primary:
-            self._followers.review(endpoint, report)
+            self._follower_repair.review(endpoint, report)
             if self._isolation.is_deaf(report):
                 self.doubt()
         elif self._noted is Verdict.UNREACHABLE:
@@ -200,7 +200,7 @@
 
         The round would wait for its answer, and the one that counts would begin late.
         """
-        if overdue_in < silence_margin(self._node.tuning) / 2:
+        if overdue_in < detection_margin(self._node.tuning) / 2:
             self._check_in(overdue_in)
         else:
             self._confirm()
@@ -295,7 +295,7 @@
         else:
             # The round that counts needs one before it.
             is_first = not self._isolation.is_shown
-            early = silence_margin(self._node.tuning) if is_first else 0.0
+            early = detection_margin(self._node.tuning) if is_first else 0.0
             self._ask_again(finding.again_in - early)
 
     def _note(self, finding: Finding) -> None:
--- a/mallowpass/core/systems/groupview.py
+++ b/mallowpass/core/systems/groupview.py
@@ -65,7 +65,7 @@
     marks: deque[tuple[float, LogPosition]] = field(default_factory=deque)
     last_primary: str = ""
     written_at: float = float("-inf")  # this host last waited for a majority
-    awaits_places: bool = False  # of its writes, in place of watching all moves
+    awaits_positions: bool = False  # of its writes, in place of watching all moves
     awaited: LogPosition = ZERO_POSITION  # the highest that was ever waited for
     read_at: float = float("-inf")  # this host last asked for positions
     primary_at: float = float("-inf")  # a primary of row.term last reported
--- a/mallowpass/core/systems/peers.py
+++ b/mallowpass/core/systems/hostlinks.py
@@ -14,11 +14,11 @@
 from mallowpass.core.effects import ClosePeer, ConnectPeer, SendPeer
 from mallowpass.core.node import Node
 from mallowpass.core.peering import PeerMessage
-from mallowpass.core.systems.difference import NO_DIFFERENCE, Difference
+from mallowpass.core.systems.digestdifference import NO_DIFFERENCE, DigestDifference
 from mallowpass.core.systems.hosts import HostTable, rendezvous
 from mallowpass.core.tables import HostRow, HostState
 
-__all__ = ["Link", "Links"]
+__all__ = ["HostLink", "HostLinks"]
 
 LINKS_MAX = 24
 DIAL_TIMEOUT = 3.0
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Link:
+class HostLink:
     """Hold one link; `host` is empty until its Greeting came."""
 
     number: int
@@ -43,9 +43,9 @@
     outgoing: bool
     up: bool = False
     host: str = ""
-    heard_at: float = float("-inf")
+    last_message_at: float = float("-inf")
     temporary_until: float = 0.0
-    difference: Difference = NO_DIFFERENCE  # of the two ends' tables of hosts
+    difference: DigestDifference = NO_DIFFERENCE  # of the two ends' tables of hosts
 
 
 @dataclass(slots=True)
@@ -56,7 +56,7 @@
     failures: int
 
 
-class Links:
+class HostLinks:
     """Own the links: dial, choose, prune, send."""
 
     __slots__ = (
@@ -80,8 +80,8 @@
         self._node = node
         self._hosts = hosts
         self._on_unreachable = on_unreachable
-        self._links: dict[int, Link] = {}
-        self._by_host: dict[str, Link] = {}
+        self._links: dict[int, HostLink] = {}
+        self._by_host: dict[str, HostLink] = {}
         self._wanted: dict[str, HostRow] = {}
         self._checked: dict[str, HostRow] = {}  # dialled for news, by address
         self._retries: dict[str, _Retry] = {}  # by address
@@ -91,7 +91,7 @@
         self._rejoin_at = float("-inf")
 
     @property
-    def greeted(self) -> Iterable[Link]:
+    def established(self) -> Iterable[HostLink]:
         """Return the links whose host is known; one a host."""
         return self._by_host.values()
 
@@ -99,18 +99,18 @@
     def _now(self) -> float:
         return self._node.timers.now
 
-    def __iter__(self) -> Iterator[Link]:
+    def __iter__(self) -> Iterator[HostLink]:
         return iter(tuple(self._links.values()))
 
-    def get(self, number: int) -> Link | None:
+    def get(self, number: int) -> HostLink | None:
         """Return a link by number, None when it is gone."""
         return self._links.get(number)
 
-    def of_host(self, host: str) -> Link | None:
+    def link_to(self, host: str) -> HostLink | None:
         """Return the link to a host, None when there is none."""
         return self._by_host.get(host)
 
-    def send(self, link: Link, message: PeerMessage) -> None:
+    def send(self, link: HostLink, message: PeerMessage) -> None:
         """Send a message on a link."""
         kind = type(message).__name__
         self._node.count("peer_messages", direction="sent", kind=kind)
@@ -118,17 +118,17 @@
 
     # -- Life of a link ------------------------------------------------------
 
-    def connected(self, number: int, address: str) -> Link:
+    def on_connected(self, number: int, address: str) -> HostLink:
         """Note that a link is up, whoever made it."""
         link = self._links.get(number)
         if link is None:
-            link = Link(number, address, self._now, outgoing=False)
+            link = HostLink(number, address, self._now, outgoing=False)
             self._links[number] = link
         link.up = True
-        link.heard_at = self._now
+        link.last_message_at = self._now
         return link
 
-    def greeted_by(self, link: Link, host: str) -> bool:
+    def establish(self, link: HostLink, host: str) -> bool:
         """Bind a link to its host; tell whether the link is kept.
 
         Two hosts may dial each other at the same moment. Both ends keep the link
@@ -150,7 +150,7 @@
         self._make_room(link)
         return link.number in self._links
 
-    def lost(self, number: int) -> None:
+    def on_lost(self, number: int) -> None:
         """Note that a link ended, or could not be made."""
         link = self._links.get(number)
         if link is None:
@@ -159,7 +159,7 @@
         if link.outgoing and not link.host:
             self._dial_failed(link.address)
 
-    def close(self, link: Link) -> None:
+    def close(self, link: HostLink) -> None:
         """End a link."""
         self._node.emit(ClosePeer(link.number))
         self._forget(link)
@@ -171,16 +171,16 @@
 
     # -- Choice --------------------------------------------------------------
 
-    def hosts_changed(self) -> None:
+    def on_hosts_changed(self) -> None:
         """Choose neighbours anew at the next tick."""
         self._dirty = True
 
-    def shun(self, host: str, seconds: float) -> None:
+    def avoid(self, host: str, seconds: float) -> None:
         """Choose another neighbour in place of this host for a while."""
         self._shunned[host] = self._now + seconds
         self._dirty = True
 
-    def reach(self, row: HostRow, seconds: float) -> Link | None:
+    def get_or_dial(self, row: HostRow, seconds: float) -> HostLink | None:
         """Return the link to a host; without one, dial it for a while.
 
         The link that is dialled is not up yet: None, ask again when it is.
@@ -194,7 +194,7 @@
             link.temporary_until = self._now + seconds
         return link
 
-    def check(self, row: HostRow) -> None:
+    def probe(self, row: HostRow) -> None:
         """Dial a host to hear from itself how it is; in vain, it is unreachable."""
         if row.name not in self._by_host:
             self._checked[row.address] = row
@@ -242,7 +242,7 @@
         first, second = sorted((row.name, self._node.identity.name))
         return rendezvous(first, second)
 
-    def _preferred(self, link: Link, host: str) -> bool:
+    def _preferred(self, link: HostLink, host: str) -> bool:
         own_is_lower = self._node.identity.name < host
         return link.up and link.outgoing == own_is_lower
 
@@ -260,7 +260,9 @@
             return
         number = self._node.number()
         until = self._now + temporary if temporary else 0.0
-        link = Link(number, address, self._now, outgoing=True, temporary_until=until)
+        link = HostLink(
+            number, address, self._now, outgoing=True, temporary_until=until
+        )
         self._links[number] = link
         self._node.emit(ConnectPeer(number, address))
 
@@ -329,18 +331,18 @@
             elif self._is_unwanted(link) and link.outgoing:
                 self.close(link)
 
-    def _is_unwanted(self, link: Link) -> bool:
+    def _is_unwanted(self, link: HostLink) -> bool:
         lingered = self._now - link.opened_at > UNWANTED_LINGER
         return lingered and bool(self._wanted) and link.host not in self._wanted
 
-    def _make_room(self, newest: Link) -> None:
+    def _make_room(self, newest: HostLink) -> None:
         if len(self._by_host) <= LINKS_MAX:
             return
         unwanted = [k for k in self._by_host.values() if k.host not in self._wanted]
         # The oldest goes: a host that has just started needs its first link most.
         self.close(min(unwanted, key=lambda k: k.opened_at, default=newest))
 
-    def _forget(self, link: Link) -> None:
+    def _forget(self, link: HostLink) -> None:
         self._links.pop(link.number, None)
         if self._by_host.get(link.host) is link:
             del self._by_host[link.host]
--- a/mallowpass/core/systems/hostlist.py
+++ b/mallowpass/core/systems/hostlist.py
@@ -20,7 +20,7 @@
     RegisterHost,
 )
 from mallowpass.core.systems.hosts import HostTable
-from mallowpass.core.systems.platform import PlatformClient
+from mallowpass.core.systems.platformclient import PlatformClient
 from mallowpass.core.tables import HostRow, HostState
 
 __all__ = ["HostList"]
--- a/mallowpass/core/systems/isolation.py
+++ b/mallowpass/core/systems/isolation.py
@@ -11,7 +11,7 @@
 from mallowpass.core.node import Node
 from mallowpass.core.systems.liveness import Liveness
 from mallowpass.core.systems.suspicion import TOLERANCE, Finding, Verdict
-from mallowpass.core.systems.watching import silence_margin
+from mallowpass.core.systems.watchintervals import detection_margin
 from mallowpass.core.tables import DatabaseRow, EndpointRow
 
 __all__ = ["Isolation"]
@@ -57,7 +57,7 @@
             return False
         if report.term != row.term or report.primary != primary.name:
             return False
-        return silence >= tuning.detection - silence_margin(tuning) - TOLERANCE
+        return silence >= tuning.detection - detection_margin(tuning) - TOLERANCE
 
     def forget(self) -> None:
         """Begin from new: the primary is another one, or was not heard."""
--- a/mallowpass/core/systems/leaving.py
+++ b/mallowpass/core/systems/leaving.py
@@ -98,7 +98,7 @@
         if self._told.get(notice.address, False) is notice.leaving:
             return
         self._remember(notice.address, notice.leaving)
-        self._membership.broadcast(notice, but=host)
+        self._membership.broadcast(notice, exclude=host)
         self._apply(notice)
 
     def _apply(self, notice: EndpointNotice) -> None:
--- a/mallowpass/core/systems/liveness.py
+++ b/mallowpass/core/systems/liveness.py
@@ -31,8 +31,8 @@
 )
 from mallowpass.core.systems.floors import FloorCallback, FloorRounds
 from mallowpass.core.systems.groupview import GroupView, HeldWaiter
-from mallowpass.core.systems.heldwaits import HeldWaits
 from mallowpass.core.systems.hostpause import HostPause
+from mallowpass.core.systems.majoritywaits import MajorityWaits
 from mallowpass.core.systems.primaries import Primaries
 from mallowpass.core.systems.stewards import Peers, find_membership, steward_turn
 from mallowpass.core.tables import DatabaseRow, EndpointRow
@@ -62,13 +62,13 @@
         super().__init__(node)
         self._views: dict[str, GroupView] = {}
         self._rounds: dict[str, FloorRounds] = {}
-        self._waits: dict[str, HeldWaits] = {}
+        self._waits: dict[str, MajorityWaits] = {}
         self._pause = HostPause(node)
         self._control = ControlStreams(
             node, self._replied, lambda: self._pause.awake_since
         )
         self._activity = Activity(node, self._control, self._views, self.steward_turn)
-        self._primaries = Primaries(node, self._activity.watch)
+        self._primaries = Primaries(node, self._activity.update_watches)
         self._counted = (0, 0, 0)
         self._noticed_terms: dict[str, int] = {}
         self._membership: Peers | None = None
@@ -89,7 +89,7 @@
         self._node.subscribe(DatabaseChanged, self._changed)
         self._node.subscribe(DatabaseRemoved, self._removed)
         self._node.subscribe(EndpointReplied, self._endpoint_replied)
-        self._node.subscribe(HostStateChanged, self._activity.hosts_changed)
+        self._node.subscribe(HostStateChanged, self._activity.on_hosts_changed)
         self.timers.every(TRAFFIC_INTERVAL, self._count_traffic)
         membership = find_membership(self._node)
         if membership is not None:
@@ -147,7 +147,7 @@
             waiter.resolve(False)
         else:
             view = self._views[database.key]
-            self._activity.note_write(view, awaits_places=waits.awaits_places)
+            self._activity.note_write(view, awaits_positions=waits.awaits_positions)
             waits.add(waiter)
         return waiter
 
@@ -160,7 +160,7 @@
         """Have all members report each move for a while."""
         view = self._views.get(database.key)
         if view is not None:
-            self._activity.note_write(view, awaits_places=False)
+            self._activity.note_write(view, awaits_positions=False)
 
     def minority_since(self, database: DatabaseRow) -> float | None:
         """Return since when no majority of members is heard; None: one is."""
@@ -219,15 +219,15 @@
 
     def silence(self, address: str) -> float:
         """Return for how long an endpoint was silent, this host's pauses excluded."""
-        return self._control.silence(address)
+        return self._control.time_since_reply(address)
 
     def watch_interval(self, address: str) -> float:
         """Return how often an endpoint is asked to report, in seconds."""
-        return self._control.slack(address)
+        return self._control.report_interval(address)
 
-    def try_fresh(self, address: str) -> None:
+    def open_second_stream(self, address: str) -> None:
         """Open a second control stream beside one that may be silent for good."""
-        self._control.try_fresh(address)
+        self._control.open_second_stream(address)
 
     # -- Databases -----------------------------------------------------------
 
@@ -236,8 +236,8 @@
         view = GroupView(row)
         self._views[row.key] = view
         self._rounds[row.key] = FloorRounds(self._node, self._control, row)
-        self._waits[row.key] = HeldWaits(self._node, self._control, view)
-        self._activity.watch(view)
+        self._waits[row.key] = MajorityWaits(self._node, self._control, view)
+        self._activity.update_watches(view)
 
     def _changed(self, signal: DatabaseChanged) -> None:
         view = self._views.get(signal.database)
@@ -249,7 +249,7 @@
             view.members.pop(address, None)
         if view.row.primary not in view.row.endpoints:
             self._primaries.lose(view, "its primary is not a member any more")
-        self._activity.watch(view)
+        self._activity.update_watches(view)
 
     def _removed(self, signal: DatabaseRemoved) -> None:
         view = self._views.pop(signal.database, None)
@@ -347,7 +347,7 @@
             return
         self._noticed_terms[notice.database] = notice.term
         if self._membership is not None:
-            self._membership.broadcast(notice, but=host_name)
+            self._membership.broadcast(notice, exclude=host_name)
         for address in row.endpoints:
             self._control.call(address, ProbeCall(), _ignore, self._node.tuning.silence)
 
--- a/mallowpass/core/systems/loans.py
+++ b/mallowpass/core/systems/loans.py
@@ -225,7 +225,7 @@
         self.timers.after(CALL_TIMEOUT, self._call_timed_out, number)
         self.timers.after(self._loan_seconds, self._calls.pop, number, None)
         message = LoanCall(loan, address, connections, number)
-        if not self._membership.reach(host, message):
+        if not self._membership.send_or_dial(host, message):
             self._call_timed_out(number)
 
     def _call_timed_out(self, number: int) -> None:
@@ -266,7 +266,7 @@
     def _drop_answer(self, host: str, answer: LoanAnswer) -> None:
         # Lent, but the call was given up: the lender gets its places back early.
         if answer.connections and answer.loan not in self._lenders:
-            self._membership.reach(host, LoanReturn(answer.loan, answer.address))
+            self._membership.send_or_dial(host, LoanReturn(answer.loan, answer.address))
 
     def _begin(
         self, pool: EndpointPool, host: str, answer: LoanAnswer, ends_at: float
@@ -274,7 +274,7 @@
         loan = LoanPlaces(answer.loan, answer.connections)
         self._set_times(loan, ends_at)
         if self.now >= loan.open_until or not pool.queue:
-            self._membership.reach(host, LoanReturn(answer.loan, answer.address))
+            self._membership.send_or_dial(host, LoanReturn(answer.loan, answer.address))
             return
         self._lenders[loan.loan] = host
         pool.borrowed[loan.loan] = loan
@@ -345,7 +345,7 @@
             if loan is not None:
                 for number in list(loan.numbers):
                     self._pooling.close_under_loan(pool, number, force=True)
-                self._membership.reach(host, LoanReturn(name, pool.address))
+                self._membership.send_or_dial(host, LoanReturn(name, pool.address))
 
     # -- Lending -------------------------------------------------------------
 
@@ -361,7 +361,7 @@
         answer = LoanAnswer(
             call.loan, call.address, connections, self._loan_seconds, call.call
         )
-        self._membership.reach(host, answer)
+        self._membership.send_or_dial(host, answer)
 
     def _lend(self, pool: EndpointPool, host: str, call: LoanCall) -> int:
         places = min(call.connections, self._spare(pool, call.connections))
--- a/mallowpass/core/systems/heldwaits.py
+++ b/mallowpass/core/systems/majoritywaits.py
@@ -9,10 +9,10 @@
 from mallowpass.core.systems.controlstreams import ControlStreams
 from mallowpass.core.systems.groupview import GroupView, HeldWaiter
 
-__all__ = ["HeldWaits"]
+__all__ = ["MajorityWaits"]
 
 
-class HeldWaits:
+class MajorityWaits:
     """Queue the waits of one group, and ask its members for what they wait for."""
 
     __slots__ = ("_awaits", "_node", "_view")
@@ -23,7 +23,7 @@
         self._awaits = PlaceAwaits(node, control, view)
 
     @property
-    def awaits_places(self) -> bool:
+    def awaits_positions(self) -> bool:
         """Tell whether members should be asked for places, not watched."""
         return self._awaits.are_as_fast
 
@@ -41,7 +41,7 @@
         view.wait(waiter)
         view.resolve_waiters()
         self._expect_progress()
-        if view.awaits_places:
+        if view.awaits_positions:
             self._awaits.want(view.awaited)
 
     def stop(self) -> None:
--- a/mallowpass/core/systems/membership.py
+++ b/mallowpass/core/systems/membership.py
@@ -22,11 +22,11 @@
     PeerMessage,
 )
 from mallowpass.core.signals import DrainBegan, HostStateChanged
-from mallowpass.core.systems.difference import NO_DIFFERENCE
+from mallowpass.core.systems.digestdifference import NO_DIFFERENCE
+from mallowpass.core.systems.hostlinks import HostLink, HostLinks
 from mallowpass.core.systems.hostlist import HostList
 from mallowpass.core.systems.hosts import HostTable, notice_of
 from mallowpass.core.systems.leaving import EndpointNews
-from mallowpass.core.systems.peers import Link, Links
 from mallowpass.core.tables import HostRow, HostState
 from mallowpass.core.timers import Timer
 
@@ -68,9 +68,9 @@
     def __init__(self, node: Node) -> None:
         super().__init__(node)
         self._hosts = HostTable(node)
-        self._links = Links(node, self._hosts, self._on_unreachable)
+        self._links = HostLinks(node, self._hosts, self._on_unreachable)
         self._endpoints = EndpointNews(node, self)
-        self._list = HostList(node, self._hosts, self._learn, self._links.check)
+        self._list = HostList(node, self._hosts, self._learn, self._links.probe)
         self._handlers: dict[type, list[Callable[..., None]]] = {}
         self._parked: dict[str, list[PeerMessage]] = {}  # for links being dialled
         self._doubted: dict[str, int] = {}  # name -> incarnation suspected from here
@@ -88,9 +88,9 @@
         return self._incarnation
 
     @property
-    def linked(self) -> list[str]:
+    def linked_hosts(self) -> list[str]:
         """Return the names of the hosts that there is a link to."""
-        return [link.host for link in self._links.greeted]
+        return [link.host for link in self._links.established]
 
     def start(self) -> None:
         """Subscribe to links and timers, and look for peers."""
@@ -132,7 +132,7 @@
         """Return this host's rank for a key among live hosts, 0 for the first."""
         return self._hosts.rank(key, failure_domain)
 
-    def first(self, key: str) -> str:
+    def highest_ranked(self, key: str) -> str:
         """Return the name of the live host that ranks first for a key."""
         return self._hosts.first(key)
 
@@ -142,18 +142,18 @@
 
     def send(self, host: str, message: PeerMessage) -> bool:
         """Send a message to a host that there is a link to; tell whether there is."""
-        link = self._links.of_host(host)
+        link = self._links.link_to(host)
         if link is None:
             return False
         self._links.send(link, message)
         return True
 
-    def reach(self, host: str, message: PeerMessage) -> bool:
+    def send_or_dial(self, host: str, message: PeerMessage) -> bool:
         """Send a message to any live host, over a link made for it if need be."""
         row = self.tables.hosts.get(host)
         if row is None:
             return False
-        link = self._links.reach(row, REACH)
+        link = self._links.get_or_dial(row, REACH)
         if link is None:
             self._parked.setdefault(host, []).append(message)
             self.timers.after(REACH, self._parked.pop, host, None)
@@ -161,20 +161,20 @@
             self._links.send(link, message)
         return True
 
-    def broadcast(self, message: PeerMessage, but: str = "") -> None:
+    def broadcast(self, message: PeerMessage, exclude: str = "") -> None:
         """Send a message to all neighbours, except to the one that it came from."""
-        for link in tuple(self._links.greeted):
-            if link.host != but and not link.temporary_until:
+        for link in tuple(self._links.established):
+            if link.host != exclude and not link.temporary_until:
                 self._links.send(link, message)
 
-    def use_digest(self, digest: Callable[[], bytes]) -> None:
+    def set_service_digest(self, digest: Callable[[], bytes]) -> None:
         """Have heartbeats carry the digest of this host's services."""
         self._digest = digest
 
     # -- Links ---------------------------------------------------------------
 
     def _on_connected(self, event: PeerConnected) -> None:
-        link = self._links.connected(event.link, event.address)
+        link = self._links.on_connected(event.link, event.address)
         identity = self._node.identity
         greeting = Greeting(
             identity.name,
@@ -186,7 +186,7 @@
         self._links.send(link, greeting)
 
     def _on_lost(self, event: PeerLost) -> None:
-        self._links.lost(event.link)
+        self._links.on_lost(event.link)
 
     def _on_received(self, event: PeerMessageReceived) -> None:
         link = self._links.get(event.link)
@@ -202,13 +202,13 @@
             for handler in self._handlers.get(type(message), ()):
                 handler(link.host, message)
 
-    def _hear(self, link: Link) -> None:
-        link.heard_at = self.now
+    def _hear(self, link: HostLink) -> None:
+        link.last_message_at = self.now
         row = self.tables.hosts.get(link.host)
         if row is not None:
             self._hosts.heard(row)
 
-    def _on_greeting(self, link: Link, greeting: Greeting) -> None:
+    def _on_greeting(self, link: HostLink, greeting: Greeting) -> None:
         if greeting.host == self._node.identity.name:
             self._on_own_name(link, greeting)
             return
@@ -220,9 +220,9 @@
             greeting.incarnation,
             HostState.ALIVE.value,
         )
-        self._learn(alive, but=greeting.host)
+        self._learn(alive, exclude=greeting.host)
         row = self.tables.hosts[greeting.host]
-        if not self._links.greeted_by(link, greeting.host):
+        if not self._links.establish(link, greeting.host):
             return
         self._hear(link)
         if row.state in (HostState.DEAD, HostState.LEAVING):
@@ -233,7 +233,7 @@
         for message in self._parked.pop(greeting.host, ()):
             self._links.send(link, message)
 
-    def _on_own_name(self, link: Link, greeting: Greeting) -> None:
+    def _on_own_name(self, link: HostLink, greeting: Greeting) -> None:
         if greeting.address != self._node.identity.peers_address:
             self._node.log(
                 "error", "host_name_taken", name=greeting.host, by=greeting.address
@@ -250,7 +250,7 @@
             self._forgive_silence(late)
         self._beat += 1
         heartbeat = self._heartbeat()
-        for link in tuple(self._links.greeted):
+        for link in tuple(self._links.established):
             self._links.send(link, heartbeat)
         self._watch_silence()
         self._bury_silent()
@@ -260,8 +260,8 @@
         # Paused hosts wake to timers first and to their peers' messages after: all
         # peers look silent. Acting on that would tell the fleet that all are dead.
         self._node.log("warning", "paused", seconds=late)
-        for link in self._links.greeted:
-            link.heard_at = self.now
+        for link in self._links.established:
+            link.last_message_at = self.now
         self._hosts.forgive()
 
     def _heartbeat(self) -> Heartbeat:
@@ -276,8 +276,8 @@
 
     def _watch_silence(self) -> None:
         tuning = self._node.tuning
-        for link in tuple(self._links.greeted):
-            silence = self.now - link.heard_at
+        for link in tuple(self._links.established):
+            silence = self.now - link.last_message_at
             if silence > tuning.suspicion:
                 self._doubt(link.host)
             if silence > tuning.death:
@@ -310,31 +310,31 @@
         if (row.incarnation, row.state) != (beat.incarnation, state):
             self._learn_own_word(row, beat.incarnation, state)
         self._hosts.heard(row, beat.beat)
-        link = self._links.of_host(host)
+        link = self._links.link_to(host)
         if link is not None:
             self._compare_hosts(link, beat)
 
     # -- News of hosts -------------------------------------------------------
 
-    def _learn(self, news: HostNotice, but: str = "") -> None:
+    def _learn(self, news: HostNotice, exclude: str = "") -> None:
         if not self._hosts.merge(news):
             return
         row = self.tables.hosts[news.host]
         doubted = self._doubted.get(news.host)
         if doubted is not None and news.incarnation > doubted:
             del self._doubted[news.host]
-            if but != news.host:
+            if exclude != news.host:
                 self._use_another_way(news.host)
-        self.broadcast(notice_of(row), but=but)
+        self.broadcast(notice_of(row), exclude=exclude)
 
     def _use_another_way(self, host: str) -> None:
         # Others hear it and this host does not: only the way between is cut. Over
         # the silent link it would be doubted and refute again with every heartbeat,
         # each time with two notices to the whole fleet.
-        link = self._links.of_host(host)
+        link = self._links.link_to(host)
         if link is not None:
             self._links.close(link)
-        self._links.shun(host, SHUN)
+        self._links.avoid(host, SHUN)
 
     def _on_host_notice(self, host: str, news: HostNotice) -> None:
         if news.state not in _STATES:
@@ -342,7 +342,7 @@
         if news.host == self._node.identity.name:
             self._refute(news)
         else:
-            self._learn(news, but=host)
+            self._learn(news, exclude=host)
 
     def _refute(self, news: HostNotice) -> None:
         leaving = news.state == HostState.LEAVING.value
@@ -380,7 +380,7 @@
         news = dataclasses.replace(
             notice_of(row), incarnation=incarnation, state=state.value
         )
-        self._learn(news, but=row.name)
+        self._learn(news, exclude=row.name)
 
     def _on_drain(self, signal: DrainBegan) -> None:
         self._draining = True
@@ -389,13 +389,13 @@
         self.broadcast(Goodbye(self._node.identity.name, self._incarnation))
 
     def _on_host_changed(self, signal: HostStateChanged) -> None:
-        self._links.hosts_changed()
+        self._links.on_hosts_changed()
 
     # -- Repair of gaps ------------------------------------------------------
 
-    def _compare_hosts(self, link: Link, beat: Heartbeat) -> None:
+    def _compare_hosts(self, link: HostLink, beat: Heartbeat) -> None:
         link.difference = link.difference.after(self._hosts.digest, beat.hosts)
-        if not link.difference.beats:
+        if not link.difference.heartbeats:
             return
         # A newcomer asks at once. After a partition hosts find each other one by
         # one; a repair that came sooner would have all of them refute at once.
@@ -408,7 +408,7 @@
             self._links.send(link, HostsDigest(self._hosts.buckets))
 
     def _on_hosts_digest(self, host: str, digest: HostsDigest) -> None:
-        link = self._links.of_host(host)
+        link = self._links.link_to(host)
         if link is None:
             return
         differing = self._hosts.differing(digest)
--- a/mallowpass/core/systems/operators.py
+++ b/mallowpass/core/systems/operators.py
@@ -90,7 +90,7 @@
         if request.name and not found:
             self._answer(call, self._not_found(request.name))
             return
-        message = "" if self._configuration.known else _NOTHING_KNOWN
+        message = "" if self._configuration.is_known else _NOTHING_KNOWN
         self._answer(call, ServicesListedAnswer(services=found, message=message))
 
     @_carry_out.register
@@ -146,7 +146,7 @@
     def _relay_drain(self, request: DrainRequest, call: int) -> None:
         name = f"{self._node.identity.name}/{self._node.number()}"
         message = DrainCall(name, request.host, request.operator, request.limit)
-        if not self._node.system(Membership).reach(request.host, message):
+        if not self._node.system(Membership).send_or_dial(request.host, message):
             self._answer(call, _unknown_host(request.host, "is not known here"))
             return
         self._drains[name] = call
@@ -198,7 +198,7 @@
 
     def _not_found(self, name: str) -> ServicesListedAnswer:
         code = ErrorCode.SERVICE_NOT_FOUND
-        detail = "" if self._configuration.known else f" {_NOTHING_KNOWN}"
+        detail = "" if self._configuration.is_known else f" {_NOTHING_KNOWN}"
         message = f"{code.meaning} {name!r}{detail}"
         return ServicesListedAnswer(code=code.code, message=message)
 
--- a/mallowpass/core/systems/platform.py
+++ b/mallowpass/core/systems/platformclient.py
@@ -101,19 +101,19 @@
         self._pump_timer: Timer | None = None
 
     @property
-    def circuit(self) -> CircuitState:
+    def circuit_state(self) -> CircuitState:
         """Return the state of the circuit."""
         return self._breaker.state
 
     @property
-    def waiting(self) -> int:
+    def queued_calls(self) -> int:
         """Return how many calls wait for budget."""
         return sum(map(len, self._queues))
 
     @property
-    def answered_at(self) -> float | None:
+    def last_answer_at(self) -> float | None:
         """Return when the platform last answered, None for never."""
-        return self._breaker.answered_at
+        return self._breaker.last_answer_at
 
     def start(self) -> None:
         """Subscribe to the platform's replies."""
@@ -132,7 +132,7 @@
             return
         if not self._breaker.admits(urgent):
             self._refuse(pending, ErrorCode.PLATFORM_CIRCUIT_OPEN)
-        elif self.waiting >= QUEUE_MAX:
+        elif self.queued_calls >= QUEUE_MAX:
             self._refuse(pending, ErrorCode.PLATFORM_BUDGET_SPENT)
         else:
             self._enqueue(pending)
@@ -302,7 +302,7 @@
         "_opened_at",
         "_probe_at",
         "_state",
-        "answered_at",
+        "last_answer_at",
     )
 
     def __init__(self, node: Node) -> None:
@@ -312,7 +312,7 @@
         self._open_for = OPEN_MIN
         self._opened_at = 0.0
         self._probe_at = float("-inf")
-        self.answered_at: float | None = None
+        self.last_answer_at: float | None = None
 
     @property
     def state(self) -> CircuitState:
@@ -343,7 +343,7 @@
 
     def succeeded(self) -> None:
         """Close the circuit."""
-        self.answered_at = self._node.timers.now
+        self.last_answer_at = self._node.timers.now
         self._failures = 0
         if self._state is not CircuitState.CLOSED:
             self._state = CircuitState.CLOSED
--- a/mallowpass/core/systems/registry.py
+++ b/mallowpass/core/systems/registry.py
@@ -11,7 +11,7 @@
 from mallowpass.core.systems.loans import Loans
 from mallowpass.core.systems.membership import Membership
 from mallowpass.core.systems.operators import Operations
-from mallowpass.core.systems.platform import PlatformClient
+from mallowpass.core.systems.platformclient import PlatformClient
 from mallowpass.core.systems.pooling import Pooling
 from mallowpass.core.systems.requests import Requests
 from mallowpass.core.systems.retries import Retries
--- a/mallowpass/core/systems/polling.py
+++ b/mallowpass/core/systems/servicepoll.py
@@ -18,9 +18,9 @@
     TableRow,
 )
 from mallowpass.core.services import ServiceVersion
-from mallowpass.core.systems.changes import SERVICES_TABLE, make_version
+from mallowpass.core.systems.changes import SERVICES_TABLE, decode_version
 from mallowpass.core.systems.membership import Membership
-from mallowpass.core.systems.platform import PlatformClient
+from mallowpass.core.systems.platformclient import PlatformClient
 from mallowpass.errors import MallowpassError
 
 __all__ = ["ServicePoll"]
@@ -83,7 +83,7 @@
         # Late import: configuration.py builds on this module.
         from mallowpass.core.systems.configuration import Configuration
 
-        if not self._node.system(Configuration).known:
+        if not self._node.system(Configuration).is_known:
             return True
         domain = self._node.identity.failure_domain
         return self._node.system(Membership).rank("services", domain) < POLLERS
@@ -110,7 +110,7 @@
 
     def _take_over(self, row: TableRow) -> None:
         try:
-            version = make_version(row)
+            version = decode_version(row)
         except MallowpassError as error:
             # One row that can't be read must not keep the others from coming.
             self._node.log("error", "service_row_unreadable", key=row.key, why=error)
--- a/mallowpass/core/systems/sessions.py
+++ b/mallowpass/core/systems/sessions.py
@@ -149,7 +149,7 @@
             return ErrorCode.INVALID_FIELD
         if not session.service and not isinstance(request, OpenRequest | CloseRequest):
             return ErrorCode.UNKNOWN_SESSION
-        if self._draining.closing and not isinstance(request, CloseRequest):
+        if self._draining.is_closing and not isinstance(request, CloseRequest):
             return ErrorCode.DRAINING
         if len(session.requests) >= REQUESTS_MAX:
             return ErrorCode.SESSION_LIMIT
@@ -213,7 +213,7 @@
         if session.service or not request.caller:
             # Without a caller's name, request ids of two callers could meet.
             return ErrorCode.INVALID_FIELD
-        if self._draining.draining:
+        if self._draining.is_draining:
             return ErrorCode.DRAINING
         if len(self.tables.sessions) > self._node.tuning.sessions:
             return ErrorCode.SESSION_LIMIT
--- a/mallowpass/core/systems/status.py
+++ b/mallowpass/core/systems/status.py
@@ -12,7 +12,7 @@
 from mallowpass.core.systems.configuration import Configuration
 from mallowpass.core.systems.draining import Draining
 from mallowpass.core.systems.membership import Membership
-from mallowpass.core.systems.platform import CircuitState, PlatformClient
+from mallowpass.core.systems.platformclient import CircuitState, PlatformClient
 from mallowpass.core.tables import ConnectionState, DatabaseRow, EndpointRow
 from mallowpass.errors import ErrorCode
 
@@ -28,11 +28,11 @@
     tables = node.tables
     connections = _count_connections(node)
     return StatusAnswer(
-        code="" if configuration.known else ErrorCode.PLATFORM_UNAVAILABLE.code,
-        message="" if configuration.known else _NOTHING_KNOWN,
+        code="" if configuration.is_known else ErrorCode.PLATFORM_UNAVAILABLE.code,
+        message="" if configuration.is_known else _NOTHING_KNOWN,
         host=node.identity.name,
         failure_domain=node.identity.failure_domain,
-        draining=node.system(Draining).draining,
+        draining=node.system(Draining).is_draining,
         sessions=len(tables.sessions),
         requests=len(tables.requests),
         databases=tuple(
@@ -59,14 +59,14 @@
     configuration = node.system(Configuration)
     platform = node.system(PlatformClient)
     figures = {
-        "configuration_known": float(configuration.known),
-        "platform_circuit_closed": float(platform.circuit is CircuitState.CLOSED),
-        "platform_calls_waiting": float(platform.waiting),
-        "peers_linked": float(len(node.system(Membership).linked)),
+        "configuration_known": float(configuration.is_known),
+        "platform_circuit_closed": float(platform.circuit_state is CircuitState.CLOSED),
+        "platform_calls_waiting": float(platform.queued_calls),
+        "peers_linked": float(len(node.system(Membership).linked_hosts)),
         "incarnation": float(node.system(Membership).incarnation),
     }
-    if platform.answered_at is not None:
-        figures["platform_silence_seconds"] = node.timers.now - platform.answered_at
+    if platform.last_answer_at is not None:
+        figures["platform_silence_seconds"] = node.timers.now - platform.last_answer_at
     if configuration.poll_age is not None:
         figures["configuration_poll_age_seconds"] = configuration.poll_age
     return figures
@@ -89,7 +89,7 @@
             for endpoint in row.endpoints.values()
         ),
         waiting=node.system(Pooling).waiting(row.key),
-        steward=node.system(Membership).first(row.key),
+        steward=node.system(Membership).highest_ranked(row.key),
     )
 
 
--- a/mallowpass/core/systems/stewards.py
+++ b/mallowpass/core/systems/stewards.py
@@ -25,7 +25,7 @@
     ) -> None:
         """Have a handler called with each message of a type and its sender."""
 
-    def broadcast(self, message: PeerMessage, but: str = "") -> None:
+    def broadcast(self, message: PeerMessage, exclude: str = "") -> None:
         """Send a message to all neighbours, except to the one that it came from."""
 
 
@@ -77,7 +77,7 @@
 
 def find_platform(node: Node) -> Platform | None:
     """Return the node's client of the platform, None when it runs without."""
-    from mallowpass.core.systems.platform import PlatformClient
+    from mallowpass.core.systems.platformclient import PlatformClient
 
     try:
         return node.system(PlatformClient)
--- a/mallowpass/core/systems/suspicion.py
+++ b/mallowpass/core/systems/suspicion.py
@@ -9,7 +9,7 @@
 from mallowpass.core.node import Node
 from mallowpass.core.records import record
 from mallowpass.core.systems.liveness import Liveness
-from mallowpass.core.systems.watching import silence_margin
+from mallowpass.core.systems.watchintervals import detection_margin
 from mallowpass.core.tables import DatabaseRow
 from mallowpass.core.timers import Timer
 
@@ -185,7 +185,7 @@
             verdict = Verdict.HEARD
         unheard = self._unheard()
         members = len(self._row.endpoints)
-        nearly_deaf = self._deaf(silence_margin(self._node.tuning))
+        nearly_deaf = self._deaf(detection_margin(self._node.tuning))
         return Finding(
             verdict,
             self._evidence(),
--- a/mallowpass/core/systems/validation.py
+++ b/mallowpass/core/systems/validation.py
@@ -10,7 +10,7 @@
 from mallowpass.core.tables import ServiceRow
 from mallowpass.units import parse_address
 
-__all__ = ["ServiceFinding", "find_faults"]
+__all__ = ["ServiceProblem", "find_problems"]
 
 NAME_LENGTH_MAX = 100
 DATABASES_MAX = 200
@@ -22,7 +22,7 @@
 
 
 @record
-class ServiceFinding:
+class ServiceProblem:
     """Name one fault and the place of the definition that it stands in."""
 
     place: str
@@ -32,12 +32,12 @@
         return f"{self.place}: {self.message}"
 
 
-def find_faults(
+def find_problems(
     name: str,
     service: Service,
     failure_domains: Iterable[str],
     others: Iterable[ServiceRow],
-) -> list[ServiceFinding]:
+) -> list[ServiceProblem]:
     """Return all faults of a service, in the order of its definition.
 
     `others` are the services in force: an address serves one database only.
@@ -59,48 +59,48 @@
 # -- Service -----------------------------------------------------------------
 
 
-def _service_faults(name: str, service: Service) -> Iterator[ServiceFinding]:
+def _service_faults(name: str, service: Service) -> Iterator[ServiceProblem]:
     if service.name != name:
-        yield ServiceFinding("name", f"{service.name!r} differs from {name!r}")
+        yield ServiceProblem("name", f"{service.name!r} differs from {name!r}")
     if not 1 <= len(service.databases) <= DATABASES_MAX:
         count = len(service.databases)
-        yield ServiceFinding("database", f"{count} of 1 to {DATABASES_MAX} declared")
+        yield ServiceProblem("database", f"{count} of 1 to {DATABASES_MAX} declared")
     yield from _whole("queue_length", service.queue_length, 1, QUEUE_LENGTH_MAX)
     yield from _seconds("default_deadline", service.default_deadline)
     if service.default_deadline == 0:
-        yield ServiceFinding("default_deadline", "0 leaves no time for any request")
+        yield ServiceProblem("default_deadline", "0 leaves no time for any request")
     yield from _class_faults(service)
     yield from _age_faults(service)
     yield from _objective_faults(service)
 
 
-def _class_faults(service: Service) -> Iterator[ServiceFinding]:
+def _class_faults(service: Service) -> Iterator[ServiceProblem]:
     if not service.classes:
-        yield ServiceFinding("class", "none declared")
+        yield ServiceProblem("class", "none declared")
     for entry in service.classes:
         place = f"class {entry.name}"
         yield from _name_faults(place, entry.name)
         yield from _whole(f"{place} weight", entry.weight, 1, WEIGHT_MAX)
 
 
-def _age_faults(service: Service) -> Iterator[ServiceFinding]:
+def _age_faults(service: Service) -> Iterator[ServiceProblem]:
     databases = {"", *(database.name for database in service.databases)}
     classes = {"", *(entry.name for entry in service.classes)}
     for number, age in enumerate(service.read_ages):
         place = f"read_age {number}"
         yield from _seconds(f"{place} age", age.accepted_age)
         if age.database not in databases:
-            yield ServiceFinding(place, f"database {age.database!r} is not declared")
+            yield ServiceProblem(place, f"database {age.database!r} is not declared")
         if age.request_class not in classes:
-            yield ServiceFinding(place, f"class {age.request_class!r} is not declared")
+            yield ServiceProblem(place, f"class {age.request_class!r} is not declared")
 
 
-def _objective_faults(service: Service) -> Iterator[ServiceFinding]:
+def _objective_faults(service: Service) -> Iterator[ServiceProblem]:
     objectives = service.objectives
     for name in ("write_availability", "replica_share"):
         share = getattr(objectives, name)
         if not 0 <= share <= 1:
-            yield ServiceFinding(f"objectives {name}", f"{share} is not from 0 to 1")
+            yield ServiceProblem(f"objectives {name}", f"{share} is not from 0 to 1")
     yield from _seconds("objectives latency_p99", objectives.latency_p99)
     yield from _seconds("objectives failover_gap", objectives.failover_gap)
 
@@ -110,7 +110,7 @@
 
 def _database_faults(
     database: Database, failure_domains: frozenset[str]
-) -> Iterator[ServiceFinding]:
+) -> Iterator[ServiceProblem]:
     place = f"database {database.name}"
     yield from _name_faults(place, database.name)
     yield from _whole(f"{place} connections", database.connections, 1, CONNECTIONS_MAX)
@@ -123,7 +123,7 @@
     yield from _seconds(f"{place} setup_time", database.setup_time)
     if not 1 <= len(database.members) <= MEMBERS_MAX:
         count = len(database.members)
-        yield ServiceFinding(f"{place} member", f"{count} of 1 to {MEMBERS_MAX}")
+        yield ServiceProblem(f"{place} member", f"{count} of 1 to {MEMBERS_MAX}")
     yield from _duplicates(f"{place} member", (m.name for m in database.members))
     for member in database.members:
         yield from _member_faults(place, member, failure_domains)
@@ -131,29 +131,29 @@
 
 def _member_faults(
     database: str, member: Member, failure_domains: frozenset[str]
-) -> Iterator[ServiceFinding]:
+) -> Iterator[ServiceProblem]:
     place = f"{database} member {member.name}"
     yield from _name_faults(place, member.name)
     if member.failure_domain not in failure_domains:
-        yield ServiceFinding(
+        yield ServiceProblem(
             place, f"failure domain {member.failure_domain!r} is unknown"
         )
     try:
         if parse_address(member.address).port == 0:
-            yield ServiceFinding(place, f"address {member.address!r} has port 0")
+            yield ServiceProblem(place, f"address {member.address!r} has port 0")
     except ValueError as error:
-        yield ServiceFinding(place, f"address: {error}")
+        yield ServiceProblem(place, f"address: {error}")
 
 
 def _address_faults(
     service: str, database: Database, taken: dict[str, str]
-) -> Iterator[ServiceFinding]:
+) -> Iterator[ServiceProblem]:
     key = database_key(service, database.name)
     for member in database.members:
         owner = taken.setdefault(member.address, key)
         place = f"database {database.name} member {member.name}"
         if owner != key:
-            yield ServiceFinding(
+            yield ServiceProblem(
                 place, f"address {member.address} belongs to database {owner}"
             )
     yield from _duplicates(
@@ -174,27 +174,27 @@
 # -- Values ------------------------------------------------------------------
 
 
-def _name_faults(place: str, name: str) -> Iterator[ServiceFinding]:
+def _name_faults(place: str, name: str) -> Iterator[ServiceProblem]:
     if not name or len(name) > NAME_LENGTH_MAX:
-        yield ServiceFinding(place, f"{name!r} has not 1 to {NAME_LENGTH_MAX} letters")
+        yield ServiceProblem(place, f"{name!r} has not 1 to {NAME_LENGTH_MAX} letters")
     # A slash would make two databases of different services share one key.
     elif "/" in name or not name.isprintable() or name != name.strip():
-        yield ServiceFinding(place, f"{name!r} holds a slash, a blank or a control")
+        yield ServiceProblem(place, f"{name!r} holds a slash, a blank or a control")
 
 
-def _whole(place: str, value: int, low: int, high: int) -> Iterator[ServiceFinding]:
+def _whole(place: str, value: int, low: int, high: int) -> Iterator[ServiceProblem]:
     if not low <= value <= high:
-        yield ServiceFinding(place, f"{value} is not from {low} to {high}")
+        yield ServiceProblem(place, f"{value} is not from {low} to {high}")
 
 
-def _seconds(place: str, value: float) -> Iterator[ServiceFinding]:
+def _seconds(place: str, value: float) -> Iterator[ServiceProblem]:
     if not math.isfinite(value) or not 0 <= value <= DURATION_MAX:
-        yield ServiceFinding(place, f"{value}s is not from 0 to {DURATION_MAX:g}s")
+        yield ServiceProblem(place, f"{value}s is not from 0 to {DURATION_MAX:g}s")
 
 
-def _duplicates(place: str, names: Iterable[str]) -> Iterator[ServiceFinding]:
+def _duplicates(place: str, names: Iterable[str]) -> Iterator[ServiceProblem]:
     seen: set[str] = set()
     for name in names:
         if name in seen:
-            yield ServiceFinding(place, f"{name!r} is declared twice")
+            yield ServiceProblem(place, f"{name!r} is declared twice")
         seen.add(name)
--- a/mallowpass/core/systems/watching.py
+++ b/mallowpass/core/systems/watchintervals.py
@@ -7,10 +7,10 @@
 from mallowpass.core.systems.groupview import GroupView
 from mallowpass.core.tables import EndpointRow
 
-__all__ = ["ACTIVITY", "silence_margin", "watch_for"]
+__all__ = ["ACTIVE_TIME", "detection_margin", "choose_watch"]
 
 # A database that this host did not use for so long is watched as an idle one.
-ACTIVITY = 2.0
+ACTIVE_TIME = 2.0
 IDLE_INTERVAL = 2.0
 IDLE_GAP = 1.0
 READ_INTERVAL = 0.5
@@ -19,7 +19,7 @@
 CROWD = 4
 
 
-def watch_for(
+def choose_watch(
     node: Node, view: GroupView, endpoint: EndpointRow, is_steward: bool, active: int
 ) -> WatchCall:
     """Choose how often a member reports; `active` databases are in use at this host.
@@ -36,21 +36,21 @@
         pace = tuning.probe_interval
     # Before the silence is long enough for a promotion: the first question comes then,
     # and the one that counts finds it long enough.
-    silence = tuning.detection - silence_margin(tuning)
-    if now - view.written_at <= ACTIVITY and not view.awaits_places:
+    silence = tuning.detection - detection_margin(tuning)
+    if now - view.written_at <= ACTIVE_TIME and not view.awaits_positions:
         return WatchCall(pace, tuning.report_gap, silence)
     if not view.row.primary:
         # Writes are held: the report of a new primary must not wait for a gap.
         return WatchCall(pace, tuning.report_gap, silence)
-    if now - view.read_at <= ACTIVITY:
+    if now - view.read_at <= ACTIVE_TIME:
         return WatchCall(pace, min(READ_GAP * crowding, IDLE_GAP), silence)
-    if now - view.written_at <= ACTIVITY:
+    if now - view.written_at <= ACTIVE_TIME:
         return WatchCall(pace, pace, silence)
     if not (is_primary and is_steward):
         pace = IDLE_INTERVAL
     return WatchCall(pace, IDLE_GAP, silence)
 
 
-def silence_margin(tuning: Tuning) -> float:
+def detection_margin(tuning: Tuning) -> float:
     """Return how long before the detection time a member's silence is looked into."""
     return min(2 * tuning.probe_interval, tuning.detection / 2)
--- a/mallowpass/measure/controlrest.py
+++ b/mallowpass/measure/controlrest.py
@@ -52,7 +52,7 @@
     for hosts in steps(options.hosts, RESTED):
         fleet = settled(hosts, 0, options)
         window = run_window(fleet)
-        links = [len(h.node.system(Membership).linked) for h in fleet.alive]
+        links = [len(h.node.system(Membership).linked_hosts) for h in fleet.alive]
         values = {
             "links, mean": sum(links) / hosts,
             "links, most": max(links),
--- a/tests/core/systems/test_awaiting.py
+++ b/tests/core/systems/test_awaiting.py
@@ -151,7 +151,7 @@
         results = wait_held(scene, place)
         scene.world.run_till(lambda results=results: results, 0.02)
     view = scene.host.system(Liveness)._views[KEY]
-    assert not view.awaits_places
+    assert not view.awaits_positions
 
 
 def test_writes_are_not_awaited_where_that_takes_longer():
@@ -166,7 +166,7 @@
     for name, host in scene.world.hosts.items():
         place = write(scene)
         host.do(host.system(Liveness).wait_held, scene.row(name), place, bool)
-        ways[name] = host.system(Liveness)._views[KEY].awaits_places
+        ways[name] = host.system(Liveness)._views[KEY].awaits_positions
     assert ways == {"h0": True, "h1": True, "h2": False}
 
 
@@ -178,7 +178,7 @@
     host = scene.world.hosts["h1"]  # in b's domain
     place = write(scene)
     host.do(host.system(Liveness).wait_held, scene.row("h1"), place, bool)
-    assert not host.system(Liveness)._views[KEY].awaits_places
+    assert not host.system(Liveness)._views[KEY].awaits_positions
 
 
 def test_waits_from_before_the_members_were_asked_are_asked_for(scene, monkeypatch):
--- a/tests/core/systems/test_configuration.py
+++ b/tests/core/systems/test_configuration.py
@@ -22,7 +22,7 @@
     ServiceAccepted,
 )
 from mallowpass.core.systems.configuration import Configuration
-from mallowpass.core.systems.validation import find_faults
+from mallowpass.core.systems.validation import find_problems
 from mallowpass.errors import ErrorCode
 from tests.fakes.controlpath import DOMAINS, Fleet, make_service
 
@@ -191,7 +191,7 @@
     host = fleet.restart(OTHER)
     fleet.run_until(lambda: host.version("lease-ledger") == 1, 3)
     fleet.run_until(lambda: host.version(NAME) == 2, 3)
-    fleet.run_until(lambda: host.node.system(Configuration).known, 3)
+    fleet.run_until(lambda: host.node.system(Configuration).is_known, 3)
     assert host.accepted(NAME).service is None
 
 
@@ -208,12 +208,12 @@
     fleet.run(10)
     status = fleet.answer(FIRST, fleet.ask(FIRST, StatusRequest()))
     assert status.code == ErrorCode.PLATFORM_UNAVAILABLE.code
-    assert not any(h.node.system(Configuration).known for h in fleet.alive)
+    assert not any(h.node.system(Configuration).is_known for h in fleet.alive)
     answer = change(fleet, FIRST, 0, "c1")
     assert not answer.accepted and answer.code.startswith("MP-6")
     fleet.heal()
     fleet.run_until(
-        lambda: all(h.node.system(Configuration).known for h in fleet.alive), 20
+        lambda: all(h.node.system(Configuration).is_known for h in fleet.alive), 20
     )
 
 
@@ -374,7 +374,7 @@
         assert part in answer.message, part
     assert len(fleet.platform.writes) == 1
     rows = fleet.hosts[FIRST].node.tables.services.values()
-    assert find_faults(NAME, good, DOMAINS, rows) == []
+    assert find_problems(NAME, good, DOMAINS, rows) == []
 
 
 def test_a_refused_conditional_write_without_a_row_is_no_crash():
--- a/tests/core/systems/test_draining.py
+++ b/tests/core/systems/test_draining.py
@@ -64,9 +64,9 @@
     work._tables.sessions[7] = SessionRow(7)
     fleet.feed(FIRST, inn.ShutdownRequested(2.0))
     draining = host.node.system(Draining)
-    assert draining.draining and not draining.closing
+    assert draining.is_draining and not draining.is_closing
     fleet.run(4)
-    assert draining.closing and not exited(host)
+    assert draining.is_closing and not exited(host)
     work.in_flight = 0
     fleet.run_until(lambda: exited(host), 2)
     assert work.stopped
@@ -116,7 +116,7 @@
     request = DrainRequest(operator="amina", host=LAST, limit=9.0)
     answer = fleet.answer(FIRST, fleet.ask(FIRST, request))
     assert answer.accepted
-    assert fleet.hosts[LAST].node.system(Draining).draining
+    assert fleet.hosts[LAST].node.system(Draining).is_draining
     journal = fleet.hosts[LAST].node.journal
     assert any("drain by amina" in decision.text for decision in journal)
     again = fleet.answer(OTHER, fleet.ask(OTHER, request))
--- a/tests/core/systems/test_liveness.py
+++ b/tests/core/systems/test_liveness.py
@@ -17,7 +17,7 @@
 from mallowpass.core.node import Tuning
 from mallowpass.core.systems.groupview import GroupView
 from mallowpass.core.systems.liveness import Liveness
-from mallowpass.core.systems.watching import watch_for
+from mallowpass.core.systems.watchintervals import choose_watch
 from mallowpass.core.tables import GroupState
 from tests.fakes.groups import Entry
 from tests.fakes.scenes import Scene
@@ -391,8 +391,8 @@
     node, row = scene.host.node, scene.row()
     view = GroupView(row, read_at=node.timers.now)
     replica = row.endpoints["b:1"]
-    few = watch_for(node, view, replica, False, 4)
-    many = watch_for(node, view, replica, False, 40)
+    few = choose_watch(node, view, replica, False, 4)
+    many = choose_watch(node, view, replica, False, 40)
     assert many.minimum_gap == pytest.approx(10 * few.minimum_gap)
     assert many.interval > few.interval
 
--- a/tests/core/systems/test_membership.py
+++ b/tests/core/systems/test_membership.py
@@ -11,9 +11,9 @@
 from mallowpass.core.peering import EndpointNotice, Greeting
 from mallowpass.core.platformcalls import HostRegistered
 from mallowpass.core.signals import DrainBegan, EndpointReported
+from mallowpass.core.systems.hostlinks import LINKS_MAX
 from mallowpass.core.systems.hosts import FORGET_AFTER, FORGET_PERIOD
 from mallowpass.core.systems.membership import Membership
-from mallowpass.core.systems.peers import LINKS_MAX
 from mallowpass.core.tables import HostState
 from tests.fakes.controlpath import DOMAINS, Fleet, make_service
 
@@ -66,7 +66,7 @@
     for host in fleet.alive:
         membership = host.node.system(Membership)
         assert len(membership.live_hosts()) == len(fleet.alive) - 1
-        assert wanted <= len(membership.linked) <= LINKS_MAX
+        assert wanted <= len(membership.linked_hosts) <= LINKS_MAX
     ranks = sorted(h.node.system(Membership).rank("key") for h in fleet.alive)
     assert ranks == list(range(len(fleet.alive)))
 
@@ -120,7 +120,7 @@
     fleet = started()
     seen = watch_states(fleet)
     for name in (h.name for h in fleet.alive if h.name != FIRST):
-        if name in fleet.hosts[FIRST].node.system(Membership).linked:
+        if name in fleet.hosts[FIRST].node.system(Membership).linked_hosts:
             fleet.cut(FIRST, name)
             break
     fleet.run(60)
--- a/tests/core/systems/test_platform.py
+++ b/tests/core/systems/test_platformclient.py
@@ -11,7 +11,11 @@
     ScanRows,
     WriteRow,
 )
-from mallowpass.core.systems.platform import BURST_MIN, CircuitState, PlatformClient
+from mallowpass.core.systems.platformclient import (
+    BURST_MIN,
+    CircuitState,
+    PlatformClient,
+)
 from mallowpass.errors import ErrorCode
 
 READ = ReadRow("services", "a")
@@ -51,7 +55,7 @@
         self.sent += [e for e in effects if isinstance(e, out.CallPlatform)]
 
     def fail_until_open(self):
-        while self.system.circuit is CircuitState.CLOSED:
+        while self.system.circuit_state is CircuitState.CLOSED:
             self.run(0.5)
             self.call(WriteRow("t", str(len(self.sent)), 0, b""))
             self.reply(-1, PlatformFailed("down"))
@@ -145,7 +149,7 @@
     client.run(10)
     client.call(READ)
     client.reply(-1, RowRead(None))
-    assert client.system.circuit is CircuitState.CLOSED
+    assert client.system.circuit_state is CircuitState.CLOSED
 
 
 def test_an_operators_call_probes_an_open_circuit():
--- a/tests/core/systems/test_sessions.py
+++ b/tests/core/systems/test_sessions.py
@@ -93,14 +93,14 @@
 def test_draining_host_takes_no_sessions_but_serves_those_it_has():
     path = RequestPath()
     path.open_known()
-    path.draining.draining = True
+    path.draining.is_draining = True
     path.open(2)
     assert path.answer(2).code == ErrorCode.DRAINING.code
     path.read(1, "look")
     path.reply()
     assert path.answer(1).outcome is Outcome.DONE
     assert path.answer(1).go_elsewhere
-    path.draining.closing = True
+    path.draining.is_closing = True
     path.read(1, "late")
     assert path.answer(1).code == ErrorCode.DRAINING.code
 
--- a/tests/fakes/controlpath.py
+++ b/tests/fakes/controlpath.py
@@ -29,7 +29,7 @@
 from mallowpass.core.systems.draining import Draining
 from mallowpass.core.systems.membership import Membership
 from mallowpass.core.systems.operators import Operations
-from mallowpass.core.systems.platform import PlatformClient
+from mallowpass.core.systems.platformclient import PlatformClient
 
 __all__ = ["FakePlatform", "Fleet", "Host", "make_service"]
 
--- a/tests/fakes/poolpath.py
+++ b/tests/fakes/poolpath.py
@@ -118,7 +118,7 @@
         hosts = self.tables.hosts.values()
         return [h for h in hosts if failure_domain in (None, h.failure_domain)]
 
-    def reach(self, host_name: str, message: PeerMessage) -> bool:
+    def send_or_dial(self, host_name: str, message: PeerMessage) -> bool:
         self.sent.append((host_name, message))
         return True
 
--- a/tests/fakes/requestpath.py
+++ b/tests/fakes/requestpath.py
@@ -274,8 +274,8 @@
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
-        self.draining = False
-        self.closing = False
+        self.is_draining = False
+        self.is_closing = False
 
 
 @dataclass
--- a/tests/fakes/scenes.py
+++ b/tests/fakes/scenes.py
@@ -39,11 +39,11 @@
         ]
         return names.index(self._host.name) if self._host.name in names else len(names)
 
-    def broadcast(self, message: PeerMessage, but: str = "") -> None:
+    def broadcast(self, message: PeerMessage, exclude: str = "") -> None:
         world = self._scene.world
         for name, other in self._scene.memberships.items():
             delay = world.links.delay(self._host.name, name)
-            if name not in (self._host.name, but) and delay is not None:
+            if name not in (self._host.name, exclude) and delay is not None:
                 world.at(world.now + delay, other.receive, self._host.name, message)
 
     def receive(self, source: str, message: PeerMessage) -> None:
--- a/tests/measure_control.py
+++ b/tests/measure_control.py
@@ -99,7 +99,7 @@
     """Print what a host spends when idle, and with changes of configuration."""
     fleet = fleet_of(hosts)
     meter = Meter(fleet)
-    links = [len(h.node.system(fakes.Membership).linked) for h in fleet.alive]
+    links = [len(h.node.system(fakes.Membership).linked_hosts) for h in fleet.alive]
     print(f"hosts={hosts} links_mean={sum(links) / hosts:.1f} links_max={max(links)}")
     _print_load("idle", fleet, meter, seconds, 0.0)
     # Ten times the day's rate, so that a minute holds enough of them.
