--- a/mallowpass/core/systems/leaving.py
+++ b/mallowpass/core/systems/endpointnotices.py
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from mallowpass.core.systems.membership import Membership
 
-__all__ = ["EndpointNews"]
+__all__ = ["EndpointNotices"]
 
 TELL_DELAY = 0.3  # seconds, at most
 FRESH_REPORT = 1.0  # seconds for which an own report goes before a peer's notice
@@ -32,8 +32,8 @@
 _NoticeKey = tuple[str, int, int]
 
 
-class EndpointNews:
-    """Keep EndpointRow.leaving true, and tell peers."""
+class EndpointNotices:
+    """Keep EndpointRow.is_leaving true, and tell peers."""
 
     __slots__ = ("_membership", "_node", "_number", "_seen", "_telling", "_told")
 
@@ -52,7 +52,7 @@
         self._node.subscribe(DatabaseChanged, self._on_rows)
         self._membership.on_message(EndpointNotice, self._on_notice)
 
-    def greet(self, host: str) -> None:
+    def sync_peer(self, host: str) -> None:
         """Tell a host that has just linked up what it may have missed."""
         for address, leaving in self._told.items():
             if leaving:
@@ -80,7 +80,7 @@
     def _tell(self, address: str, leaving: bool) -> None:
         self._telling.discard(address)
         row = self._node.tables.endpoints.get(address)
-        if row is None or row.leaving is not leaving:
+        if row is None or row.is_leaving is not leaving:
             return
         if self._told.get(address, False) is not leaving:
             self._remember(address, leaving)
@@ -105,7 +105,7 @@
         row = self._node.tables.endpoints.get(notice.address)
         if row is None:
             return
-        age = self._node.timers.now - row.report_at
+        age = self._node.timers.now - row.last_report_at
         if row.report is None or age > FRESH_REPORT:
             self._mark(row, notice.leaving)
         elif row.report.leaving is not notice.leaving:
@@ -121,12 +121,12 @@
     # -- Helpers -------------------------------------------------------------
 
     def _mark(self, row: EndpointRow, leaving: bool) -> None:
-        if row.leaving is leaving:
+        if row.is_leaving is leaving:
             return
-        row.leaving = leaving
+        row.is_leaving = leaving
         word = "leaving" if leaving else "back"
         self._node.log("info", "endpoint_state", address=row.address, state=word)
-        self._node.decide("endpoint", row.address, f"is {word}")
+        self._node.record_decision("endpoint", row.address, f"is {word}")
         self._node.publish(EndpointStateChanged(row.address))
 
     def _notice(self, address: str, leaving: bool) -> EndpointNotice:
--- a/mallowpass/core/systems/granting.py
+++ b/mallowpass/core/systems/granting.py
@@ -28,27 +28,27 @@
         session = self.tables.sessions.get(request.stream)
         caller = session.caller if session is not None else ""
         pool.queue.push(request, caller, self.now)
-        self.pump(pool)
+        self.dispatch(pool)
 
-    def pump(self, pool: EndpointPool) -> None:
+    def dispatch(self, pool: EndpointPool) -> None:
         """Grant what can be granted and open what is needed."""
         # A grant may end at once in a release, which comes back here: without this
         # mark, a long queue would be a deep recursion.
-        if pool.pumping:
+        if pool.is_dispatching:
             return
-        pool.pumping = True
+        pool.is_dispatching = True
         try:
             while pool.queue and self._grant_next(pool):
                 pass
         finally:
-            pool.pumping = False
+            pool.is_dispatching = False
         if pool.queue:
-            self._pooling.opener.open_more(pool)
+            self._pooling.opener.open_for_queue(pool)
 
     def _grant_next(self, pool: EndpointPool) -> bool:
-        if pool.active >= pool.statement_limit:
+        if pool.active_count >= pool.statement_limit:
             return False
-        connection = self._pooling.take(pool)
+        connection = self._pooling.take_idle(pool)
         if connection is None:
             return False
         request = self._next_request(pool, connection)
@@ -64,7 +64,7 @@
         without = self._classes_to_pass(pool, bool(connection.loan))
         while (taken := pool.queue.pop(without)) is not None:
             request, since = taken
-            if request.expires > self.now:
+            if request.expires_at > self.now:
                 self._node.observe("queue_seconds", self.now - since)
                 return request
             self.refuse(request, ErrorCode.DEADLINE_PASSED, "expired in the queue")
@@ -72,16 +72,16 @@
 
     def _classes_to_pass(self, pool: EndpointPool, borrowed: bool) -> frozenset[str]:
         """Return the classes that this connection is not for."""
-        patient = pool.patient
+        patient = pool.patient_classes
         if not patient:
             return patient
-        if borrowed and pool.usable:
+        if borrowed and pool.usable_share:
             return patient
         # While others wait, weights decide and patient classes get their floor. When
         # none waits, the last free connection stays free for one to come: it would
         # else wait for a whole slow statement.
         last = not pool.idle and not pool.idle_borrowed
-        if last and pool.active and not pool.queue.waits_outside(patient):
+        if last and pool.active_count and not pool.queue.has_waiting_outside(patient):
             return patient
         return frozenset()
 
@@ -89,25 +89,25 @@
         """Learn how long the connection's request kept it."""
         request = self.tables.requests.get(connection.request)
         if request is not None:
-            seconds = self.now - connection.last_used
-            pool.queue.learn_cost(request.request_class, seconds)
+            seconds = self.now - connection.last_used_at
+            pool.queue.record_cost(request.request_class, seconds)
 
     def refuse(
         self, request: RequestRow, code: ErrorCode, why: str, retry_after: float = 0.0
     ) -> None:
         """Give a request back to the request path."""
         self._node.count("turned_away", reason=code.name.lower())
-        self._node.decide("refusal", request.database, f"{code.code} {why}")
+        self._node.record_decision("refusal", request.database, f"{code.code} {why}")
         self._pooling.requests.on_refused(request, code.code, why, retry_after)
 
-    def give_back(
+    def refuse_all(
         self, pool: EndpointPool, code: ErrorCode, why: str, retry_after: float
     ) -> None:
         """Give back all that wait."""
-        for request in pool.queue.drain():
+        for request in pool.queue.take_all():
             self.refuse(request, code, why, retry_after)
 
-    def give_back_some(
+    def refuse_by_access(
         self, pool: EndpointPool, access: Access, code: ErrorCode, why: str
     ) -> None:
         """Give back the reads or the writes that wait; visits each."""
--- a/mallowpass/core/systems/isolation.py
+++ b/mallowpass/core/systems/isolation.py
@@ -94,7 +94,7 @@
         name = row.primary_row.name
         why = f"no majority can hold what {name} takes: {finding.evidence}"
         self._node.count("suspicions", database=row.key)
-        self._node.decide("suspicion", row.key, why)
+        self._node.record_decision("suspicion", row.key, why)
         self._node.log("warning", "primary_suspected", database=row.key, why=why)
         self._liveness.bar_primary(row, why)
 
@@ -104,6 +104,8 @@
             return True
         address = endpoint.address
         slack = self._liveness.watch_interval(address) - tuning.probe_interval
-        if self._liveness.silence(address) >= tuning.detection + max(slack, 0.0):
+        if self._liveness.time_since_reply(address) >= tuning.detection + max(
+            slack, 0.0
+        ):
             return False
         return endpoint.report is None or not self.is_deaf(endpoint.report)
--- a/mallowpass/core/systems/requests.py
+++ b/mallowpass/core/systems/requests.py
@@ -48,9 +48,9 @@
 
 _WAITING = frozenset(
     {
-        RequestState.WAITING_FLOOR,
+        RequestState.AWAITING_FLOOR,
         RequestState.QUEUED,
-        RequestState.HELD,
+        RequestState.AWAITING_PRIMARY,
         RequestState.BACKOFF,
     }
 )
@@ -126,21 +126,21 @@
         """Take in a statement that stands alone."""
         running = session.requests.get(request.request_id)
         if running is not None:
-            self.writes.join(running, session, request)
+            self.writes.attach_duplicate(running, session, request)
             return
         key = database_key(session.service, request.database)
         if request.access is Access.WRITE:
             if self.writes.join_running(session, request, key):
                 return
-            row = self.take_in(session, request, key, Access.WRITE)
+            row = self.register(session, request, key, Access.WRITE)
             if row is not None:
-                self.writes.begin(row, session)
+                self.writes.submit(row, session)
             return
-        row = self.take_in(session, request, key, Access.READ)
+        row = self.register(session, request, key, Access.READ)
         if row is not None:
-            self.floors.begin(row)
+            self.floors.route_with_floor(row)
 
-    def take_in(
+    def register(
         self, session: SessionRow, request: CallerRequest, key: str, access: Access
     ) -> RequestRow | None:
         """Make a request's row; None when it was refused on arrival."""
@@ -158,18 +158,18 @@
             self.answers.refuse(session, request, ErrorCode.DEADLINE_PASSED)
             return None
         row = RequestRow(
-            number=self._node.number(),
+            number=self._node.next_number(),
             stream=session.stream,
             request=request,
             database=key,
             access=access,
-            arrived=self.now,
-            expires=self.now + deadline,
+            arrived_at=self.now,
+            expires_at=self.now + deadline,
             request_class=getattr(request, "request_class", "")
             or session.request_class
             or service.service.classes[0].name,
         )
-        row.timer = self.timers.at(row.expires, self._on_deadline, row)
+        row.timer = self.timers.at(row.expires_at, self._on_deadline, row)
         session.requests[request.request_id] = row.number
         self.tables.requests[row.number] = row
         self._active.setdefault(key, {})[row.number] = row
@@ -178,7 +178,9 @@
 
     # -- From pooling --------------------------------------------------------
 
-    def on_connection(self, request: RequestRow, connection: ConnectionRow) -> None:
+    def on_connection_granted(
+        self, request: RequestRow, connection: ConnectionRow
+    ) -> None:
         """Use a connection for a request that was queued for it."""
         if request.state is not RequestState.QUEUED:
             self._pooling.release(connection)
@@ -215,7 +217,7 @@
         """Find out what becomes of a request whose connection is gone."""
         database = self.tables.databases.get(request.database)
         if database is not None and connection.address == database.primary:
-            self._failover.suspicion(connection.address, why)
+            self._failover.probe_primary(connection.address, why)
         if request.transaction:
             self._transactions.on_statement_lost(request, why)
             return
@@ -238,12 +240,12 @@
         if error is ErrorCode.QUEUE_FULL and request.access is Access.READ:
             self.reads.turned_away(request, why, retry_after)
         elif error not in _REROUTED:
-            self.not_run(request, error, why, retry_after)
+            self.answer_not_run(request, error, why, retry_after)
         elif request.access is Access.WRITE:
             self.writes.refused(request, error, why)
         else:
             self.record(request.address, 0.0, ok=False)
-            self.reads.elsewhere(request, error, why)
+            self.reads.try_elsewhere(request, error, why)
 
     # -- Connections ---------------------------------------------------------
 
@@ -268,11 +270,11 @@
         if connection is not None:
             self._pooling.release(connection)
 
-    def suspect(self, request: RequestRow) -> None:
+    def abandon_silent(self, request: RequestRow) -> None:
         """Leave a connection that seems silent to pooling, and have others checked."""
         connection = self.tables.connections.get(request.connection)
         if connection is not None:
-            self._pooling.suspect(connection)
+            self._pooling.check_older_idle(connection)
         self.abandon(request)
 
     def discard(self, request: RequestRow, why: str) -> None:
@@ -291,7 +293,9 @@
     def route(self, request: RequestRow) -> None:
         """Send a request on its way, whatever it waited for."""
         if request.database not in self.tables.databases:
-            self.not_run(request, ErrorCode.UNKNOWN_DATABASE, "removed meanwhile")
+            self.answer_not_run(
+                request, ErrorCode.UNKNOWN_DATABASE, "removed meanwhile"
+            )
         elif request.access is Access.WRITE:
             self.writes.route(request)
         else:
@@ -317,27 +321,31 @@
         for request in self._snapshot(signal.database):
             if request.state in _WAITING:
                 self._cancel(request)
-                self.not_run(request, ErrorCode.UNKNOWN_DATABASE, "removed")
+                self.answer_not_run(request, ErrorCode.UNKNOWN_DATABASE, "removed")
 
     def _snapshot(self, database: str) -> Iterable[RequestRow]:
         return list(self._active.get(database, {}).values())
 
     # -- The end -------------------------------------------------------------
 
-    def leave(self, session: SessionRow) -> None:
+    def abandon_session(self, session: SessionRow) -> None:
         """Drop what an ended session has waiting; what was sent runs on."""
         for number in list(session.requests.values()):
             request = self.tables.requests.get(number)
-            if request is None or request.transaction or request.followers:
+            if request is None or request.transaction or request.duplicates:
                 continue
             if request.state in _WAITING or request.access is Access.READ:
                 self._cancel(request)
-                self.not_run(request, ErrorCode.UNKNOWN_SESSION, "the caller left")
+                self.answer_not_run(
+                    request, ErrorCode.UNKNOWN_SESSION, "the caller left"
+                )
 
-    def done(self, request: RequestRow, rows: Any, position: LogPosition) -> None:
+    def answer_done(
+        self, request: RequestRow, rows: Any, position: LogPosition
+    ) -> None:
         """Answer a write or commit that ran and stays."""
         self._raise_floors(request, position)
-        self._retries.succeeded(service_of(request.database))
+        self._retries.record_success(service_of(request.database))
         answer = CallerAnswer(
             request_id=request.request.request_id,
             outcome=Outcome.DONE,
@@ -347,14 +355,14 @@
         )
         self.finish(request, answer)
 
-    def not_run(
+    def answer_not_run(
         self, request: RequestRow, code: ErrorCode, why: str, retry_after: float = 0.0
     ) -> None:
         """Answer a request that did not run and will not."""
         self._node.count("refused", code=code.code)
         self._fail(request, Outcome.NOT_RUN, code, why, retry_after)
 
-    def unknown(self, request: RequestRow, why: str) -> None:
+    def answer_unknown(self, request: RequestRow, why: str) -> None:
         """Answer a request of which nobody knows whether it ran."""
         self._fail(request, Outcome.UNKNOWN, ErrorCode.OUTCOME_UNKNOWN, why)
 
@@ -367,7 +375,7 @@
         retry_after: float = 0.0,
     ) -> None:
         message = f"{code.meaning} {why}"
-        self._node.decide(
+        self._node.record_decision(
             "refuse", request.request.request_id, f"{code.code} {outcome.value}: {why}"
         )
         answer = CallerAnswer(
@@ -384,7 +392,7 @@
         self._close(request)
         self.answers.final(request, answer)
 
-    def part(self, request: RequestRow, answer: CallerAnswer) -> None:
+    def send_part(self, request: RequestRow, answer: CallerAnswer) -> None:
         """Send a part of an answer that goes on."""
         request.parts_sent += 1
         self.answers.send(request.stream, request.request.request_id, answer)
@@ -408,7 +416,7 @@
 
     def _raise_floors(self, request: RequestRow, position: LogPosition) -> None:
         streams = [request.stream]
-        streams += [stream for stream, _ in request.followers or ()]
+        streams += [stream for stream, _ in request.duplicates or ()]
         for stream in streams:
             session = self.tables.sessions.get(stream)
             if session is not None:
@@ -426,21 +434,21 @@
             return
         if request.transaction:
             self._transactions.on_deadline(request)
-        elif state is RequestState.HELD:
+        elif state is RequestState.AWAITING_PRIMARY:
             code = ErrorCode.FAILING_OVER
-            self.not_run(request, code, request.detail, RETRY_AFTER)
-        elif state is RequestState.WAITING_FLOOR:
+            self.answer_not_run(request, code, request.detail, RETRY_AFTER)
+        elif state is RequestState.AWAITING_FLOOR:
             code = ErrorCode.FLOOR_NOT_REACHED
-            self.not_run(request, code, request.detail, RETRY_AFTER)
+            self.answer_not_run(request, code, request.detail, RETRY_AFTER)
         elif state in _WAITING:
             self._cancel(request)
             code = ErrorCode.DEADLINE_PASSED
-            self.not_run(request, code, request.detail, RETRY_AFTER)
+            self.answer_not_run(request, code, request.detail, RETRY_AFTER)
         elif isinstance(request.request, BeginRequest):
             why = f"the deadline passed while {state.value}"
-            self.not_run(request, ErrorCode.DEADLINE_PASSED, why)
+            self.answer_not_run(request, ErrorCode.DEADLINE_PASSED, why)
         else:
-            self.unknown(request, f"the deadline passed while {state.value}")
+            self.answer_unknown(request, f"the deadline passed while {state.value}")
 
     def _cancel(self, request: RequestRow) -> None:
         if request.state is RequestState.QUEUED:
--- a/mallowpass/core/systems/sessions.py
+++ b/mallowpass/core/systems/sessions.py
@@ -105,9 +105,11 @@
         database = self.tables.databases.get(database_key)
         if database is None or not older.term < newer.term:
             return False
-        return self._liveness.floor_lost(database, older)
+        return self._liveness.is_floor_lost(database, older)
 
-    def seen(self, session: SessionRow, database_key: str) -> tuple[LogPosition, ...]:
+    def seen_positions(
+        self, session: SessionRow, database_key: str
+    ) -> tuple[LogPosition, ...]:
         """Return the places that the session's reads must contain, newest first."""
         keys = (database_key, lost_key(database_key))
         return tuple(session.floors[key] for key in keys if key in session.floors)
@@ -161,7 +163,7 @@
         if not token or token == session.token:
             return
         floors = decode_token(self._node.identity.token_key, token)
-        session.token_seen = True
+        session.has_presented_token = True
         for database_key, position in floors.items():
             self.raise_floor(session, database_key, position)
 
@@ -223,9 +225,9 @@
         return None
 
     def _end(self, session: SessionRow) -> None:
-        self._transactions.roll_back_all(session.stream)
+        self._transactions.roll_back_session(session.stream)
         del self.tables.sessions[session.stream]
-        self._requests.leave(session)
+        self._requests.abandon_session(session)
 
     # -- Answers of its own --------------------------------------------------
 
--- a/mallowpass/core/systems/status.py
+++ b/mallowpass/core/systems/status.py
@@ -88,7 +88,7 @@
             _member_status(node, endpoint, connections)
             for endpoint in row.endpoints.values()
         ),
-        waiting=node.system(Pooling).waiting(row.key),
+        waiting=node.system(Pooling).queued_count(row.key),
         steward=node.system(Membership).highest_ranked(row.key),
     )
 
@@ -110,8 +110,8 @@
         connections_open=opened,
         connections_used=used,
         connections_share=node.system(Pooling).share(row),
-        report_age=node.timers.now - row.report_at if report else None,
-        leaving=row.leaving,
+        report_age=node.timers.now - row.last_report_at if report else None,
+        leaving=row.is_leaving,
     )
 
 
--- a/tests/fakes/poolpath.py
+++ b/tests/fakes/poolpath.py
@@ -72,7 +72,9 @@
         self.refused: list[tuple[int, str, float]] = []
         self.hold = False
 
-    def on_connection(self, request: RequestRow, connection: ConnectionRow) -> None:
+    def on_connection_granted(
+        self, request: RequestRow, connection: ConnectionRow
+    ) -> None:
         self.granted.append((request.number, connection.number))
         if not self.hold:
             self._node.system(Pooling).send(connection, CALL)
@@ -179,7 +181,7 @@
 
     @property
     def pool(self) -> Any:
-        return self.pooling.pool(ADDRESS)
+        return self.pooling.get_or_create_pool(ADDRESS)
 
     def _add_service(self, limit: int, concurrent: int, queue_length: int) -> None:
         member = Member("a", ADDRESS, "casa-ainsebaa")
@@ -278,7 +280,7 @@
             connection_limit=limit,
             **abilities,
         )
-        self.endpoint.report_at = self.endpoint.heard_at = self.now
+        self.endpoint.last_report_at = self.endpoint.last_reply_at = self.now
 
     # -- The endpoint's side -------------------------------------------------
 
