--- a/mallowpass/core/systems/digestdifference.py
+++ b/mallowpass/core/systems/digestdifference.py
@@ -1,4 +1,7 @@
-"""How long two hosts' digests have differed: news on their way, or a gap."""
+"""For how many heartbeats the digests of two hosts have differed.
+
+A short difference is a notice on its way; a long one is a notice that was lost.
+"""
 
 from __future__ import annotations
 
@@ -9,27 +12,27 @@
 
 @record
 class DigestDifference:
-    """Count a neighbour's heartbeats in a row whose digest was another."""
+    """The consecutive heartbeats of a neighbour that had a different digest."""
 
-    mine: bytes = b""
-    theirs: bytes = b""
-    steady: int = 0  # with both digests standing still
+    own: bytes = b""
+    peer: bytes = b""
+    unchanged: int = 0  # heartbeats since one of the two digests last changed
     heartbeats: int = 0
 
-    def after(self, mine: bytes, theirs: bytes) -> DigestDifference:
+    def after(self, own: bytes, peer: bytes) -> DigestDifference:
         """Return the difference after one more heartbeat."""
-        if mine == theirs:
+        if own == peer:
             return NO_DIFFERENCE
-        steady = self.steady + 1 if (self.mine, self.theirs) == (mine, theirs) else 1
-        return DigestDifference(mine, theirs, steady, self.heartbeats + 1)
+        unchanged = self.unchanged + 1 if (self.own, self.peer) == (own, peer) else 1
+        return DigestDifference(own, peer, unchanged, self.heartbeats + 1)
 
-    def is_gap(self, steady: int, restless: int) -> bool:
-        """Tell whether it lasts: digests that move are news on their way.
+    def is_gap(self, unchanged_min: int, heartbeats_min: int) -> bool:
+        """Return whether the difference has lasted too long for a notice on its way.
 
-        Under changes without end they never stand still. Then the number of
-        heartbeats tells, else a gap would stay until the changes end.
+        Digests that change show that notices still arrive. While changes never end,
+        only the number of heartbeats reveals a lost notice.
         """
-        return self.steady >= steady or self.heartbeats >= restless
+        return self.unchanged >= unchanged_min or self.heartbeats >= heartbeats_min
 
 
 NO_DIFFERENCE = DigestDifference()
--- a/mallowpass/core/systems/hostlinks.py
+++ b/mallowpass/core/systems/hostlinks.py
@@ -1,9 +1,10 @@
-"""The links of this host to its peers: few, chosen by rendezvous, repaired.
+"""Links of this host to a few neighbours, chosen by rendezvous hashing.
 
-The number of links does not depend on the size of the fleet, and with it neither
-does the control traffic. Neighbours are chosen by a weight that both ends of a pair
-compute alike, some in the own failure domain and some elsewhere, so that news cross
-the fleet in few hops and a failure domain that is cut off stays connected inside.
+The number of links, and so the control traffic of a host, does not depend on the size
+of the fleet. Neighbours are chosen by a weight that both hosts of a pair compute
+alike, some in this host's failure domain and some in others. Notices therefore cross
+the fleet in few hops, and the hosts of a failure domain that is cut off stay
+connected with each other.
 """
 
 from __future__ import annotations
@@ -21,57 +22,58 @@
 __all__ = ["HostLink", "HostLinks"]
 
 LINKS_MAX = 24
-DIAL_TIMEOUT = 3.0
+DIAL_TIMEOUT = 3.0  # seconds
 DIALS_AT_ONCE = 4
-RETRY_MIN = 1.0
-RETRY_MAX = 30.0
-UNWANTED_LINGER = 10.0  # seconds that a link nobody chose may stay
-CHOOSE_GAP = 1.0  # seconds between two choices of neighbours
-REJOIN_PERIOD = 2.0
+BACKOFF_MIN = 1.0  # seconds after a first failed dial; doubled by each further one
+BACKOFF_MAX = 30.0
+UNWANTED_LINK_TIME = 10.0  # seconds until a link to no chosen neighbour is closed
+CHOICE_INTERVAL = 1.0  # seconds at least between two choices of neighbours
+REJOIN_INTERVAL = 2.0  # seconds on average between dials of seeds and dead hosts
 SEEDS_AT_ONCE = 2
-FAILURES_TO_DOUBT = 2
-CHECK = 3.0  # seconds that a link made for news stays
+FAILURES_TO_SUSPECT = 2  # failed dials after which a host is reported as unreachable
+PROBE_LINK_TIME = 3.0  # seconds that a link dialled as a probe stays
 
 
 @dataclass(slots=True, eq=False)
 class HostLink:
-    """Hold one link; `host` is empty until its Greeting came."""
+    """A link to a peer; `host` is empty until its Greeting arrives."""
 
     number: int
     address: str
     opened_at: float
-    outgoing: bool
-    up: bool = False
+    is_outgoing: bool
+    is_up: bool = False
     host: str = ""
     last_message_at: float = float("-inf")
-    temporary_until: float = 0.0
-    difference: DigestDifference = NO_DIFFERENCE  # of the two ends' tables of hosts
+    temporary_until: float = 0.0  # 0: not temporary
+    # Between this host's table of hosts and the peer's.
+    difference: DigestDifference = NO_DIFFERENCE
 
 
 @dataclass(slots=True)
-class _Retry:
-    """Hold when an address may be dialled again."""
+class _Backoff:
+    """The backoff of an address after failed dials."""
 
-    at: float
+    retry_at: float
     failures: int
 
 
 class HostLinks:
-    """Own the links: dial, choose, prune, send."""
+    """Dial, choose and close this host's links, and send over them."""
 
     __slots__ = (
+        "_avoided_until",
+        "_backoffs",
         "_by_host",
-        "_checked",
         "_chosen_at",
-        "_dirty",
+        "_has_to_choose",
         "_hosts",
         "_links",
+        "_neighbours",
         "_node",
         "_on_unreachable",
+        "_probed",
         "_rejoin_at",
-        "_retries",
-        "_shunned",
-        "_wanted",
     )
 
     def __init__(
@@ -82,17 +84,17 @@
         self._on_unreachable = on_unreachable
         self._links: dict[int, HostLink] = {}
         self._by_host: dict[str, HostLink] = {}
-        self._wanted: dict[str, HostRow] = {}
-        self._checked: dict[str, HostRow] = {}  # dialled for news, by address
-        self._retries: dict[str, _Retry] = {}  # by address
-        self._shunned: dict[str, float] = {}  # name -> until
-        self._dirty = True
+        self._neighbours: dict[str, HostRow] = {}
+        self._probed: dict[str, HostRow] = {}  # dialled as a probe, by address
+        self._backoffs: dict[str, _Backoff] = {}  # by address
+        self._avoided_until: dict[str, float] = {}  # by host
+        self._has_to_choose = True
         self._chosen_at = float("-inf")
         self._rejoin_at = float("-inf")
 
     @property
     def established(self) -> Iterable[HostLink]:
-        """Return the links whose host is known; one a host."""
+        """Return the links whose host is known, at most one per host."""
         return self._by_host.values()
 
     @property
@@ -103,11 +105,11 @@
         return iter(tuple(self._links.values()))
 
     def get(self, number: int) -> HostLink | None:
-        """Return a link by number, None when it is gone."""
+        """Return a link by number, or None if it is closed."""
         return self._links.get(number)
 
     def link_to(self, host: str) -> HostLink | None:
-        """Return the link to a host, None when there is none."""
+        """Return the link to a host, or None."""
         return self._by_host.get(host)
 
     def send(self, link: HostLink, message: PeerMessage) -> None:
@@ -116,31 +118,34 @@
         self._node.count("peer_messages", direction="sent", kind=kind)
         self._node.emit(SendPeer(link.number, message))
 
-    # -- Life of a link ------------------------------------------------------
+    # -- Lifecycle of a link -------------------------------------------------
 
     def on_connected(self, number: int, address: str) -> HostLink:
-        """Note that a link is up, whoever made it."""
+        """Note that a link is up, dialled by either end."""
         link = self._links.get(number)
         if link is None:
-            link = HostLink(number, address, self._now, outgoing=False)
+            link = HostLink(number, address, self._now, is_outgoing=False)
             self._links[number] = link
-        link.up = True
+        link.is_up = True
         link.last_message_at = self._now
         return link
 
     def establish(self, link: HostLink, host: str) -> bool:
-        """Bind a link to its host; tell whether the link is kept.
+        """Bind a link to its host; return whether the link is kept.
 
         Two hosts may dial each other at the same moment. Both ends keep the link
-        that the host with the lower name made, else each might close the other's.
+        that the host with the lower name dialled: with any other rule each end might
+        close the link that the other keeps.
         """
         link.host = host
-        earlier = self._by_host.get(host)
-        if earlier is not None and earlier is not link:
-            if self._preferred(earlier, host) and not self._preferred(link, host):
+        existing = self._by_host.get(host)
+        if existing is not None and existing is not link:
+            if self._is_preferred(existing, host) and not self._is_preferred(
+                link, host
+            ):
                 self.close(link)
                 return False
-            self.close(earlier)
+            self.close(existing)
         self._by_host[host] = link
         self._forget_failures(link.address)
         row = self._node.tables.hosts.get(host)
@@ -151,43 +156,43 @@
         return link.number in self._links
 
     def on_lost(self, number: int) -> None:
-        """Note that a link ended, or could not be made."""
+        """Note that a link was lost, or that a dial failed."""
         link = self._links.get(number)
         if link is None:
             return
-        self._forget(link)
-        if link.outgoing and not link.host:
-            self._dial_failed(link.address)
+        self._remove(link)
+        if link.is_outgoing and not link.host:
+            self._on_dial_failed(link.address)
 
     def close(self, link: HostLink) -> None:
-        """End a link."""
+        """Close a link."""
         self._node.emit(ClosePeer(link.number))
-        self._forget(link)
+        self._remove(link)
 
     def close_all(self) -> None:
-        """End all links."""
+        """Close all links."""
         for link in tuple(self._links.values()):
             self.close(link)
 
     # -- Choice --------------------------------------------------------------
 
     def on_hosts_changed(self) -> None:
-        """Choose neighbours anew at the next tick."""
-        self._dirty = True
+        """Choose neighbours anew at the next maintenance."""
+        self._has_to_choose = True
 
     def avoid(self, host: str, seconds: float) -> None:
-        """Choose another neighbour in place of this host for a while."""
-        self._shunned[host] = self._now + seconds
-        self._dirty = True
+        """Don't choose a host as a neighbour for some seconds."""
+        self._avoided_until[host] = self._now + seconds
+        self._has_to_choose = True
 
     def get_or_dial(self, row: HostRow, seconds: float) -> HostLink | None:
-        """Return the link to a host; without one, dial it for a while.
+        """Return the link to a host, or dial a temporary one and return None.
 
-        The link that is dialled is not up yet: None, ask again when it is.
+        `seconds` is how long a temporary link stays.
         """
         link = self._by_host.get(row.name)
         if link is None:
-            self._retries.pop(row.address, None)
+            self._backoffs.pop(row.address, None)
             self._dial(row.address, temporary=seconds)
             return None
         if link.temporary_until:
@@ -195,114 +200,119 @@
         return link
 
     def probe(self, row: HostRow) -> None:
-        """Dial a host to hear from itself how it is; in vain, it is unreachable."""
+        """Dial a host to get its state from the host itself.
+
+        A host that does not answer is reported as unreachable.
+        """
         if row.name not in self._by_host:
-            self._checked[row.address] = row
-            self._dial(row.address, temporary=CHECK)
+            self._probed[row.address] = row
+            self._dial(row.address, temporary=PROBE_LINK_TIME)
 
     def maintain(self) -> None:
-        """Dial the neighbours that lack a link, drop what nobody wants."""
+        """Dial neighbours without a link, and close links that are not needed."""
         self._drop_stuck_dials()
-        if self._dirty and self._now - self._chosen_at >= CHOOSE_GAP:
+        if self._has_to_choose and self._now - self._chosen_at >= CHOICE_INTERVAL:
             self._choose()
-        for row in self._wanted.values():
+        for row in self._neighbours.values():
             if row.name not in self._by_host and row.state is not HostState.LEAVING:
                 self._dial(row.address)
         self._rejoin()
         self._prune()
 
     def _choose(self) -> None:
-        self._dirty = False
+        self._has_to_choose = False
         self._chosen_at = self._now
-        self._shunned = {n: t for n, t in self._shunned.items() if t > self._now}
+        self._avoided_until = {
+            n: t for n, t in self._avoided_until.items() if t > self._now
+        }
         tuning = self._node.tuning
         own = self._node.identity.failure_domain
-        near = self._best(self._candidates(own))[: tuning.peers_in_domain]
-        far = self._best_elsewhere(own)[: tuning.peers_elsewhere]
-        self._wanted = {row.name: row for row in (*near, *far)}
+        near = self._by_weight(self._candidates(own))[: tuning.peers_in_domain]
+        far = self._by_weight_elsewhere(own)[: tuning.peers_elsewhere]
+        self._neighbours = {row.name: row for row in (*near, *far)}
 
     def _candidates(self, failure_domain: str) -> list[HostRow]:
         rows = self._hosts.live_hosts(failure_domain)
-        return [row for row in rows if row.name not in self._shunned]
+        return [row for row in rows if row.name not in self._avoided_until]
 
-    def _best(self, rows: Iterable[HostRow]) -> list[HostRow]:
+    def _by_weight(self, rows: Iterable[HostRow]) -> list[HostRow]:
         return sorted(rows, key=self._weight, reverse=True)
 
-    def _best_elsewhere(self, own: str) -> list[HostRow]:
-        # One of each failure domain first: two links to the same one would leave
-        # another unheard of when these two are cut.
+    def _by_weight_elsewhere(self, own: str) -> list[HostRow]:
+        # One host of each failure domain comes first. With all links to one failure
+        # domain, the loss of that one would cut this host off from the others too.
         domains = {row.failure_domain for row in self._hosts.live_hosts()} - {own}
-        ranked = [self._best(self._candidates(name)) for name in sorted(domains)]
+        ranked = [self._by_weight(self._candidates(name)) for name in sorted(domains)]
         count = self._node.tuning.peers_elsewhere
-        firsts = self._best(rows[0] for rows in ranked if rows)
-        seconds = self._best(row for rows in ranked for row in rows[1 : count + 1])
+        firsts = self._by_weight(rows[0] for rows in ranked if rows)
+        seconds = self._by_weight(row for rows in ranked for row in rows[1 : count + 1])
         return [*firsts, *seconds]
 
     def _weight(self, row: HostRow) -> int:
         first, second = sorted((row.name, self._node.identity.name))
         return rendezvous_weight(first, second)
 
-    def _preferred(self, link: HostLink, host: str) -> bool:
+    def _is_preferred(self, link: HostLink, host: str) -> bool:
         own_is_lower = self._node.identity.name < host
-        return link.up and link.outgoing == own_is_lower
+        return link.is_up and link.is_outgoing == own_is_lower
 
     # -- Dialling ------------------------------------------------------------
 
     def _dial(self, address: str, temporary: float = 0.0) -> None:
         if address == self._node.identity.peers_address or not address:
             return
-        if self._dials_pending() >= DIALS_AT_ONCE:
+        if self._pending_dials() >= DIALS_AT_ONCE:
             return
         if any(link.address == address for link in self._links.values()):
             return
-        retry = self._retries.get(address)
-        if retry is not None and self._now < retry.at:
+        entry = self._backoffs.get(address)
+        if entry is not None and self._now < entry.retry_at:
             return
         number = self._node.next_number()
         until = self._now + temporary if temporary else 0.0
         link = HostLink(
-            number, address, self._now, outgoing=True, temporary_until=until
+            number, address, self._now, is_outgoing=True, temporary_until=until
         )
         self._links[number] = link
         self._node.emit(ConnectPeer(number, address))
 
-    def _dials_pending(self) -> int:
-        return sum(not link.up for link in self._links.values())
+    def _pending_dials(self) -> int:
+        return sum(not link.is_up for link in self._links.values())
 
-    def _dial_failed(self, address: str) -> None:
-        retry = self._retries.setdefault(address, _Retry(0.0, 0))
-        retry.failures += 1
-        backoff = min(RETRY_MAX, RETRY_MIN * 2 ** (retry.failures - 1))
-        retry.at = self._now + backoff * self._node.random.uniform(0.5, 1.0)
-        if retry.failures < FAILURES_TO_DOUBT:
+    def _on_dial_failed(self, address: str) -> None:
+        entry = self._backoffs.setdefault(address, _Backoff(0.0, 0))
+        entry.failures += 1
+        backoff = min(BACKOFF_MAX, BACKOFF_MIN * 2 ** (entry.failures - 1))
+        entry.retry_at = self._now + backoff * self._node.random.uniform(0.5, 1.0)
+        if entry.failures < FAILURES_TO_SUSPECT:
             return
-        for row in (*self._wanted.values(), self._checked.pop(address, None)):
+        for row in (*self._neighbours.values(), self._probed.pop(address, None)):
             if row is not None and row.address == address:
                 self._on_unreachable(row)
 
     def _forget_failures(self, address: str) -> None:
-        self._retries.pop(address, None)
-        self._checked.pop(address, None)
+        self._backoffs.pop(address, None)
+        self._probed.pop(address, None)
 
     def _drop_stuck_dials(self) -> None:
-        # An adapter's connect that hangs would keep its address from being dialled
-        # ever again, and its place among the dials at once from being used.
+        # A dial of the adapter that hangs would otherwise block its address, and one
+        # of the concurrent dials, for good.
         limit = self._now - DIAL_TIMEOUT
         for link in tuple(self._links.values()):
             if not link.host and link.opened_at < limit:
                 self.close(link)
-                if link.outgoing:
-                    self._dial_failed(link.address)
+                if link.is_outgoing:
+                    self._on_dial_failed(link.address)
 
     def _rejoin(self) -> None:
-        """Dial seeds and hosts taken for dead: a partition may have ended.
+        """Dial seeds and dead hosts, in case a partition has ended.
 
-        Each side of a partition buries the other. Without these dials the two
-        halves would stay apart after it, each content with its own neighbours.
+        Each side of a partition declares the other side dead. Without these dials
+        both sides would keep to their own neighbours after the partition.
         """
         if self._now < self._rejoin_at:
             return
-        pause = REJOIN_PERIOD * self._node.random.uniform(0.75, 1.25)
+        pause = REJOIN_INTERVAL * self._node.random.uniform(0.75, 1.25)
         self._rejoin_at = self._now + pause
         identity = self._node.identity
         seeds = list(identity.seeds)
@@ -317,32 +327,36 @@
             if row.state is HostState.DEAD
         ]
         known = {row.address for row in self._hosts.live_hosts()}
-        doubtful = sorted({*dead, *(seed for seed in seeds if seed not in known)})
-        if doubtful:
-            self._dial(self._node.random.choice(doubtful))
+        candidates = sorted({*dead, *(seed for seed in seeds if seed not in known)})
+        if candidates:
+            self._dial(self._node.random.choice(candidates))
 
     # -- Pruning -------------------------------------------------------------
 
     def _prune(self) -> None:
         for link in tuple(self._by_host.values()):
             if link.temporary_until:
-                if self._now > link.temporary_until and link.host not in self._wanted:
+                if (
+                    self._now > link.temporary_until
+                    and link.host not in self._neighbours
+                ):
                     self.close(link)
-            elif self._is_unwanted(link) and link.outgoing:
+            elif self._is_unwanted(link) and link.is_outgoing:
                 self.close(link)
 
     def _is_unwanted(self, link: HostLink) -> bool:
-        lingered = self._now - link.opened_at > UNWANTED_LINGER
-        return lingered and bool(self._wanted) and link.host not in self._wanted
+        is_old = self._now - link.opened_at > UNWANTED_LINK_TIME
+        return is_old and bool(self._neighbours) and link.host not in self._neighbours
 
     def _make_room(self, newest: HostLink) -> None:
         if len(self._by_host) <= LINKS_MAX:
             return
-        unwanted = [k for k in self._by_host.values() if k.host not in self._wanted]
-        # The oldest goes: a host that has just started needs its first link most.
+        unwanted = [k for k in self._by_host.values() if k.host not in self._neighbours]
+        # The oldest link is closed, not the newest: a host that has just started needs
+        # its first link most.
         self.close(min(unwanted, key=lambda k: k.opened_at, default=newest))
 
-    def _forget(self, link: HostLink) -> None:
+    def _remove(self, link: HostLink) -> None:
         self._links.pop(link.number, None)
         if self._by_host.get(link.host) is link:
             del self._by_host[link.host]
--- a/mallowpass/core/systems/membership.py
+++ b/mallowpass/core/systems/membership.py
@@ -1,8 +1,8 @@
-"""Who else is there: heartbeats, suspicion, farewells, and the relaying of news.
+"""Membership of the fleet: heartbeats, failure detection and relayed notices.
 
-Each host hears its few neighbours directly and of all others through relayed
-notices. A notice is relayed by each host once, when it is new to it, so an event
-costs each host as many messages as it has links, however large the fleet is.
+A host exchanges heartbeats with its few neighbours only, and learns of all other
+hosts from relayed notices. Each host relays a notice once, when the notice is new to
+it: an event costs each host one message per link, whatever the size of the fleet.
 """
 
 from __future__ import annotations
@@ -32,13 +32,16 @@
 
 __all__ = ["Membership"]
 
-LATE_SHARE = 1.0  # of a heartbeat: a tick this late means that this host was paused
-# Heartbeats that hosts must differ for before a repair, at rest and under changes.
-REPAIR_BEATS = 3
-RESTLESS_BEATS = 30
-REPAIR_GAP = 2.0
-SHUN = 60.0
-REACH = 10.0
+# A tick that is late by this fraction of the heartbeat interval shows that this host
+# was paused.
+PAUSE_SHARE = 1.0
+# Consecutive heartbeats with differing tables of hosts that count as a gap: while the
+# tables stay the same, and while they keep changing.
+GAP_HEARTBEATS_UNCHANGED = 3
+GAP_HEARTBEATS_CHANGING = 30
+REPAIR_INTERVAL = 2.0  # seconds at least between two repairs
+AVOID_TIME = 60.0  # seconds without a link to a host that only this host cannot reach
+DIALLED_LINK_TIME = 10.0  # seconds that a link dialled for a message stays
 
 _STATES = frozenset(state.value for state in HostState)
 _M = TypeVar("_M", bound=PeerMessage)
@@ -46,54 +49,56 @@
 
 
 class Membership(System):
-    """Keep the table of hosts true, and carry messages between hosts."""
+    """Maintain the table of hosts, and carry messages between hosts."""
 
     __slots__ = (
-        "_beat",
         "_digest",
-        "_doubted",
-        "_draining",
-        "_endpoints",
+        "_endpoint_notices",
         "_handlers",
+        "_heartbeats_sent",
+        "_host_list",
         "_hosts",
         "_incarnation",
+        "_is_draining",
         "_links",
-        "_list",
-        "_parked",
         "_repaired_at",
+        "_suspected_incarnations",
         "_tick_due",
         "_timer",
+        "_unsent",
     )
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
         self._hosts = HostTable(node)
         self._links = HostLinks(node, self._hosts, self._on_unreachable)
-        self._endpoints = EndpointNotices(node, self)
-        self._list = HostList(node, self._hosts, self._learn, self._links.probe)
+        self._endpoint_notices = EndpointNotices(node, self)
+        self._host_list = HostList(node, self._hosts, self._learn, self._links.probe)
         self._handlers: dict[type, list[Callable[..., None]]] = {}
-        self._parked: dict[str, list[PeerMessage]] = {}  # for links being dialled
-        self._doubted: dict[str, int] = {}  # name -> incarnation suspected from here
+        # By host, until the link that is being dialled is up.
+        self._unsent: dict[str, list[PeerMessage]] = {}
+        # The incarnation in which this host itself suspected another, by its name.
+        self._suspected_incarnations: dict[str, int] = {}
         self._incarnation = node.identity.incarnation
-        self._beat = 0
+        self._heartbeats_sent = 0
         self._digest: Callable[[], bytes] = bytes
-        self._draining = False
+        self._is_draining = False
         self._repaired_at = float("-inf")
         self._tick_due = 0.0
         self._timer: Timer | None = None
 
     @property
     def incarnation(self) -> int:
-        """Return this host's incarnation; it grows when rumours are refuted."""
+        """Return this host's incarnation; each refutation increments it."""
         return self._incarnation
 
     @property
     def linked_hosts(self) -> list[str]:
-        """Return the names of the hosts that there is a link to."""
+        """Return the names of the hosts that this host has a link to."""
         return [link.host for link in self._links.established]
 
     def start(self) -> None:
-        """Subscribe to links and timers, and look for peers."""
+        """Subscribe to events of links, start heartbeats and dial peers."""
         node = self._node
         node.subscribe(PeerConnected, self._on_connected)
         node.subscribe(PeerLost, self._on_lost)
@@ -105,16 +110,17 @@
         self.on_message(HostNotice, self._on_host_notice)
         self.on_message(HostsDigest, self._on_hosts_digest)
         self._hosts.update_own_digest(self._incarnation, leaving=False)
-        self._endpoints.start()
-        self._list.start()
-        # Hosts that start together must not beat in step for ever.
+        self._endpoint_notices.start()
+        self._host_list.start()
+        # A random phase: hosts that start together would otherwise send all their
+        # heartbeats at the same moments.
         first = node.random.uniform(0, node.tuning.heartbeat)
         self._tick_due = self.now + first
         self._timer = self.timers.every(node.tuning.heartbeat, self._tick, first=first)
         self.timers.after(0.0, self._links.maintain)
 
     def stop(self) -> None:
-        """End all links."""
+        """Close all links."""
         if self._timer is not None:
             self._timer.cancel()
         self._links.close_all()
@@ -122,26 +128,26 @@
     # -- For other systems ---------------------------------------------------
 
     def live_hosts(self, failure_domain: str | None = None) -> list[HostRow]:
-        """Return the other live hosts; suspected ones are among them.
+        """Return the other live hosts, including suspected ones.
 
-        The list is shared: don't change it.
+        The list is shared and must not be modified.
         """
         return self._hosts.live_hosts(failure_domain)
 
     def rank(self, key: str, failure_domain: str | None = None) -> int:
-        """Return this host's rank for a key among live hosts, 0 for the first."""
+        """Return this host's rank for a key among live hosts; 0 is the highest."""
         return self._hosts.rank(key, failure_domain)
 
     def highest_ranked(self, key: str) -> str:
-        """Return the name of the live host that ranks first for a key."""
+        """Return the name of the live host with the highest rank for a key."""
         return self._hosts.highest_ranked(key)
 
     def on_message(self, kind: type[_M], handler: Handler[_M]) -> None:
-        """Have a handler called with the sender's name and each message of a type."""
+        """Call a handler with the sender's name and each message of a type."""
         self._handlers.setdefault(kind, []).append(handler)
 
     def send(self, host: str, message: PeerMessage) -> bool:
-        """Send a message to a host that there is a link to; tell whether there is."""
+        """Send a message over the link to a host; return False without a link."""
         link = self._links.link_to(host)
         if link is None:
             return False
@@ -149,26 +155,30 @@
         return True
 
     def send_or_dial(self, host: str, message: PeerMessage) -> bool:
-        """Send a message to any live host, over a link made for it if need be."""
+        """Send a message to a host, over a temporary link if there is none.
+
+        Return False if the host is unknown. A message to a host that cannot be
+        dialled in time is dropped.
+        """
         row = self.tables.hosts.get(host)
         if row is None:
             return False
-        link = self._links.get_or_dial(row, REACH)
+        link = self._links.get_or_dial(row, DIALLED_LINK_TIME)
         if link is None:
-            self._parked.setdefault(host, []).append(message)
-            self.timers.after(REACH, self._parked.pop, host, None)
+            self._unsent.setdefault(host, []).append(message)
+            self.timers.after(DIALLED_LINK_TIME, self._unsent.pop, host, None)
         else:
             self._links.send(link, message)
         return True
 
     def broadcast(self, message: PeerMessage, exclude: str = "") -> None:
-        """Send a message to all neighbours, except to the one that it came from."""
+        """Send a message to all neighbours but `exclude`, its sender."""
         for link in tuple(self._links.established):
             if link.host != exclude and not link.temporary_until:
                 self._links.send(link, message)
 
     def set_service_digest(self, digest: Callable[[], bytes]) -> None:
-        """Have heartbeats carry the digest of this host's services."""
+        """Set the function that returns the digest of services for heartbeats."""
         self._digest = digest
 
     # -- Links ---------------------------------------------------------------
@@ -198,11 +208,11 @@
         if isinstance(message, Greeting):
             self._on_greeting(link, message)
         elif link.host:
-            self._hear(link)
+            self._note_contact(link)
             for handler in self._handlers.get(type(message), ()):
                 handler(link.host, message)
 
-    def _hear(self, link: HostLink) -> None:
+    def _note_contact(self, link: HostLink) -> None:
         link.last_message_at = self.now
         row = self.tables.hosts.get(link.host)
         if row is not None:
@@ -224,13 +234,14 @@
         row = self.tables.hosts[greeting.host]
         if not self._links.establish(link, greeting.host):
             return
-        self._hear(link)
+        self._note_contact(link)
         if row.state in (HostState.DEAD, HostState.LEAVING):
-            # It is here, so the rumour is wrong or its last life's: let it refute.
+            # The host is connected: its state is wrong, or belongs to its previous
+            # process. The host refutes the state once it gets the notice.
             self._links.send(link, make_notice(row))
         self._links.send(link, self._heartbeat())
-        self._endpoints.sync_peer(greeting.host)
-        for message in self._parked.pop(greeting.host, ()):
+        self._endpoint_notices.sync_peer(greeting.host)
+        for message in self._unsent.pop(greeting.host, ()):
             self._links.send(link, message)
 
     def _on_own_name(self, link: HostLink, greeting: Greeting) -> None:
@@ -243,23 +254,24 @@
     # -- Heartbeats ----------------------------------------------------------
 
     def _tick(self) -> None:
-        late = self.now - self._tick_due
-        period = self._node.tuning.heartbeat
-        self._tick_due = self.now + period
-        if late > period * LATE_SHARE:
-            self._forgive_silence(late)
-        self._beat += 1
+        lateness = self.now - self._tick_due
+        interval = self._node.tuning.heartbeat
+        self._tick_due = self.now + interval
+        if lateness > interval * PAUSE_SHARE:
+            self._restart_detection(lateness)
+        self._heartbeats_sent += 1
         heartbeat = self._heartbeat()
         for link in tuple(self._links.established):
             self._links.send(link, heartbeat)
-        self._watch_silence()
-        self._bury_silent()
+        self._check_links()
+        self._expire_suspicions()
         self._links.maintain()
 
-    def _forgive_silence(self, late: float) -> None:
-        # Paused hosts wake to timers first and to their peers' messages after: all
-        # peers look silent. Acting on that would tell the fleet that all are dead.
-        self._node.log("warning", "paused", seconds=late)
+    def _restart_detection(self, lateness: float) -> None:
+        # After a pause, timers run before the messages that arrived during the pause
+        # are read: all peers look silent. Without a restart of the detection this
+        # host would declare the whole fleet dead.
+        self._node.log("warning", "paused", seconds=lateness)
         for link in self._links.established:
             link.last_message_at = self.now
         self._hosts.restart_suspicions()
@@ -268,100 +280,105 @@
         return Heartbeat(
             self._node.identity.name,
             self._incarnation,
-            self._beat,
+            self._heartbeats_sent,
             self._digest(),
-            self._draining,
+            self._is_draining,
             self._hosts.digest,
         )
 
-    def _watch_silence(self) -> None:
+    def _check_links(self) -> None:
         tuning = self._node.tuning
         for link in tuple(self._links.established):
-            silence = self.now - link.last_message_at
-            if silence > tuning.suspicion:
-                self._doubt(link.host)
-            if silence > tuning.death:
+            elapsed = self.now - link.last_message_at
+            if elapsed > tuning.suspicion:
+                self._suspect(link.host)
+            if elapsed > tuning.death:
                 self._links.close(link)
 
-    def _bury_silent(self) -> None:
+    def _expire_suspicions(self) -> None:
         grace = self._node.tuning.death - self._node.tuning.suspicion
         for name, since in tuple(self._hosts.suspected_since.items()):
             if self.now - since > grace:
                 row = self.tables.hosts[name]
                 self._hosts.mark_dead(row)
                 self._node.record_decision(
-                    "membership", name, f"silent, incarnation {row.incarnation}: dead"
+                    "membership",
+                    name,
+                    f"declared dead: no refutation of incarnation {row.incarnation}",
                 )
                 self.broadcast(make_notice(row))
 
     def _on_unreachable(self, row: HostRow) -> None:
         if self.now - row.last_contact_at > self._node.tuning.suspicion:
-            self._doubt(row.name)
+            self._suspect(row.name)
 
-    def _doubt(self, name: str) -> None:
+    def _suspect(self, name: str) -> None:
         row = self.tables.hosts[name]
         if self._hosts.suspect(row):
-            self._doubted[name] = row.incarnation
+            self._suspected_incarnations[name] = row.incarnation
             self.broadcast(make_notice(row))
 
-    def _on_heartbeat(self, host: str, beat: Heartbeat) -> None:
+    def _on_heartbeat(self, host: str, heartbeat: Heartbeat) -> None:
         row = self.tables.hosts[host]
-        state = HostState.LEAVING if beat.draining else HostState.ALIVE
-        if (row.incarnation, row.state) != (beat.incarnation, state):
-            self._learn_own_word(row, beat.incarnation, state)
-        self._hosts.note_contact(row, beat.beat)
+        state = HostState.LEAVING if heartbeat.draining else HostState.ALIVE
+        if (row.incarnation, row.state) != (heartbeat.incarnation, state):
+            self._learn_own_state(row, heartbeat.incarnation, state)
+        self._hosts.note_contact(row, heartbeat.beat)
         link = self._links.link_to(host)
         if link is not None:
-            self._compare_hosts(link, beat)
+            self._compare_hosts(link, heartbeat)
 
-    # -- News of hosts -------------------------------------------------------
+    # -- Notices of hosts ----------------------------------------------------
 
-    def _learn(self, news: HostNotice, exclude: str = "") -> None:
-        if not self._hosts.merge(news):
+    def _learn(self, notice: HostNotice, exclude: str = "") -> None:
+        if not self._hosts.merge(notice):
             return
-        row = self.tables.hosts[news.host]
-        doubted = self._doubted.get(news.host)
-        if doubted is not None and news.incarnation > doubted:
-            del self._doubted[news.host]
-            if exclude != news.host:
-                self._use_another_way(news.host)
+        row = self.tables.hosts[notice.host]
+        suspected = self._suspected_incarnations.get(notice.host)
+        if suspected is not None and notice.incarnation > suspected:
+            del self._suspected_incarnations[notice.host]
+            if exclude != notice.host:
+                self._avoid_link(notice.host)
         self.broadcast(make_notice(row), exclude=exclude)
 
-    def _use_another_way(self, host: str) -> None:
-        # Others hear it and this host does not: only the way between is cut. Over
-        # the silent link it would be doubted and refute again with every heartbeat,
-        # each time with two notices to the whole fleet.
+    def _avoid_link(self, host: str) -> None:
+        # Other hosts still get the host's messages: only the path between the two
+        # hosts is cut. With the silent link kept, this host would suspect the other
+        # and be refuted at every heartbeat, each time with two notices to the fleet.
         link = self._links.link_to(host)
         if link is not None:
             self._links.close(link)
-        self._links.avoid(host, SHUN)
+        self._links.avoid(host, AVOID_TIME)
 
-    def _on_host_notice(self, host: str, news: HostNotice) -> None:
-        if news.state not in _STATES:
+    def _on_host_notice(self, host: str, notice: HostNotice) -> None:
+        if notice.state not in _STATES:
             return
-        if news.host == self._node.identity.name:
-            self._refute(news)
+        if notice.host == self._node.identity.name:
+            self._refute(notice)
         else:
-            self._learn(news, exclude=host)
-
-    def _refute(self, news: HostNotice) -> None:
-        leaving = news.state == HostState.LEAVING.value
-        if news.incarnation < self._incarnation or news.state == HostState.ALIVE.value:
+            self._learn(notice, exclude=host)
+
+    def _refute(self, notice: HostNotice) -> None:
+        is_leaving = notice.state == HostState.LEAVING.value
+        if (
+            notice.incarnation < self._incarnation
+            or notice.state == HostState.ALIVE.value
+        ):
             return
-        if leaving and self._draining and news.incarnation == self._incarnation:
+        if is_leaving and self._is_draining and notice.incarnation == self._incarnation:
             return
-        self._incarnation = news.incarnation + 1
-        self._hosts.update_own_digest(self._incarnation, self._draining)
+        self._incarnation = notice.incarnation + 1
+        self._hosts.update_own_digest(self._incarnation, self._is_draining)
         self._node.record_decision(
             "membership",
             self._node.identity.name,
-            f"told {news.state}, refuted with incarnation {self._incarnation}",
+            f"refuted the state {notice.state} with incarnation {self._incarnation}",
         )
         self.broadcast(self._own_notice())
 
     def _own_notice(self) -> HostNotice:
         identity = self._node.identity
-        state = HostState.LEAVING if self._draining else HostState.ALIVE
+        state = HostState.LEAVING if self._is_draining else HostState.ALIVE
         return HostNotice(
             identity.name,
             identity.failure_domain,
@@ -374,18 +391,20 @@
     def _on_goodbye(self, host: str, goodbye: Goodbye) -> None:
         row = self.tables.hosts.get(host)
         if row is not None and goodbye.host == host:
-            self._learn_own_word(row, goodbye.incarnation, HostState.LEAVING)
+            self._learn_own_state(row, goodbye.incarnation, HostState.LEAVING)
 
-    def _learn_own_word(self, row: HostRow, incarnation: int, state: HostState) -> None:
-        news = dataclasses.replace(
+    def _learn_own_state(
+        self, row: HostRow, incarnation: int, state: HostState
+    ) -> None:
+        notice = dataclasses.replace(
             make_notice(row), incarnation=incarnation, state=state.value
         )
-        self._learn(news, exclude=row.name)
+        self._learn(notice, exclude=row.name)
 
     def _on_drain(self, signal: DrainBegan) -> None:
-        self._draining = True
+        self._is_draining = True
         self._hosts.update_own_digest(self._incarnation, leaving=True)
-        self._list.leave()
+        self._host_list.leave()
         self.broadcast(Goodbye(self._node.identity.name, self._incarnation))
 
     def _on_host_changed(self, signal: HostStateChanged) -> None:
@@ -393,16 +412,19 @@
 
     # -- Repair of gaps ------------------------------------------------------
 
-    def _compare_hosts(self, link: HostLink, beat: Heartbeat) -> None:
-        link.difference = link.difference.after(self._hosts.digest, beat.hosts)
+    def _compare_hosts(self, link: HostLink, heartbeat: Heartbeat) -> None:
+        link.difference = link.difference.after(self._hosts.digest, heartbeat.hosts)
         if not link.difference.heartbeats:
             return
-        # A newcomer asks at once. After a partition hosts find each other one by
-        # one; a repair that came sooner would have all of them refute at once.
-        newcomer = len(self._hosts.live_hosts()) <= 1
-        gap = link.difference.is_gap(REPAIR_BEATS, RESTLESS_BEATS)
-        due = self.now - self._repaired_at >= REPAIR_GAP
-        if newcomer or (gap and due):
+        # A host that knows no more than one other asks at once. After a partition
+        # hosts find each other one by one; a repair without delay would have all of
+        # them refute at the same moment.
+        is_new = len(self._hosts.live_hosts()) <= 1
+        has_gap = link.difference.is_gap(
+            GAP_HEARTBEATS_UNCHANGED, GAP_HEARTBEATS_CHANGING
+        )
+        is_due = self.now - self._repaired_at >= REPAIR_INTERVAL
+        if is_new or (has_gap and is_due):
             self._repaired_at = self.now
             link.difference = NO_DIFFERENCE
             self._links.send(link, HostsDigest(self._hosts.buckets))
--- a/tests/core/systems/test_membership.py
+++ b/tests/core/systems/test_membership.py
@@ -1,3 +1,5 @@
+"""Membership of the fleet: links, failure detection and relayed notices."""
+
 from __future__ import annotations
 
 import dataclasses
@@ -30,13 +32,13 @@
 
 
 def states(fleet: Fleet, name: str) -> set[HostState]:
-    """Return what the other running hosts believe of one."""
+    """Return the states of a host in the tables of the other running hosts."""
     rows = (h.node.tables.hosts.get(name) for h in fleet.alive if h.name != name)
     return {row.state if row else None for row in rows}
 
 
 def watch_states(fleet: Fleet) -> list[tuple[str, str, str]]:
-    """Collect (by, host, state) of all changes from now on."""
+    """Collect (by, host, state) of all changes of state from now on."""
     seen: list[tuple[str, str, str]] = []
 
     def on_effect(host, effect):
@@ -49,7 +51,7 @@
 
 
 def report(fleet: Fleet, host: str, address: str, leaving: bool) -> None:
-    """Have a host's control stream bring a report."""
+    """Make a host receive an endpoint's report on its control stream."""
     node = fleet.hosts[host].node
     row = node.tables.endpoints[address]
     row.report = Report(member=row.name, term=1, role=Role.REPLICA, leaving=leaving)
@@ -74,10 +76,10 @@
 @pytest.mark.parametrize("own_first", [True, False])
 @pytest.mark.parametrize("peer", ["aaa", "zzz"])
 def test_two_hosts_that_dial_each_other_keep_one_link(peer, own_first):
-    """
-    Symptom: two hosts lose their link again and again, and news with it.
-    Sequence: both dial each other at once; greetings come in another order at each.
-    Cause: each end kept the link that it was greeted on last.
+    """Two hosts lose their link repeatedly, and notices with it.
+
+    Both dial each other at once, and greetings arrive in a different order at each end.
+    Each end kept the link of its last greeting.
     """
     fleet = Fleet((1, 1))
     dialled: list[int] = []
@@ -101,7 +103,7 @@
     assert closed == [links[0] if peer < FIRST else links[1]]
 
 
-def test_a_host_that_dies_silently_is_dead_everywhere():
+def test_a_silently_crashed_host_is_dead_everywhere():
     fleet = started()
     fleet.kill(OTHER, silent=True)
     tuning = fleet.tuning
@@ -111,11 +113,11 @@
     fleet.run_until(lambda: states(fleet, OTHER) == {ALIVE}, 5)
 
 
-def test_a_cut_link_between_two_hosts_kills_neither():
-    """
-    Symptom: a healthy host gets no more work from the whole fleet.
-    Sequence: the way between two hosts is cut; one tells all that the other is dead.
-    Cause: one host's silence was taken for proof, and the other had no say.
+def test_a_cut_link_between_two_hosts_leaves_both_alive():
+    """A healthy host gets no more work from the whole fleet.
+
+    The path between two hosts is cut, and one of them declares the other dead. That
+    declaration was accepted without a chance for the other host to refute it.
     """
     fleet = started()
     seen = watch_states(fleet)
@@ -126,15 +128,15 @@
     fleet.run(60)
     assert states(fleet, FIRST) == states(fleet, name) == {ALIVE}
     assert not [entry for entry in seen if entry[2] == "dead"]
-    # Refuted once, the doubt is not repeated with every dial that fails.
+    # Once refuted, a suspicion is not repeated with every dial that fails.
     assert len([entry for entry in seen if entry[2] == "suspected"]) < 40
 
 
-def test_a_host_that_was_paused_declares_nobody_dead():
-    """
-    Symptom: all hosts are told dead at once, by a host that was paused itself.
-    Sequence: a host is stopped for 20 s; it wakes to its timers before its messages.
-    Cause: its own silence was taken for that of its peers.
+def test_a_paused_host_declares_no_host_dead():
+    """A host that was paused declares all other hosts dead.
+
+    A host is stopped for 20 s, and runs its timers before it reads its messages. The
+    time of its own pause was counted as silence of its peers.
     """
     fleet = started()
     fleet.pause(FIRST)
@@ -148,11 +150,11 @@
     assert wrong == []
 
 
-def test_two_sides_of_a_partition_find_together_again():
-    """
-    Symptom: after a partition the fleet stays two fleets.
-    Sequence: a failure domain is cut off for a minute; each side buries the other.
-    Cause: nobody dials hosts that are taken for dead.
+def test_two_sides_of_a_partition_reconnect():
+    """The fleet stays divided after a partition.
+
+    A failure domain is cut off for a minute, and each side declares the other dead. No
+    host dialled dead hosts.
     """
     fleet = started()
     fleet.isolate(DOMAINS[0])
@@ -164,11 +166,11 @@
     )
 
 
-def test_a_host_that_leaves_is_known_to_within_seconds_and_stays_gone():
-    """
-    Symptom: a host that drained gets work again.
-    Sequence: it says goodbye to its neighbours; the platform's list still shows it.
-    Cause: the goodbye was not passed on, or the lagging list brought the host back.
+def test_a_leaving_host_is_known_within_seconds_and_stays_gone():
+    """A host that has drained gets work again.
+
+    The host says goodbye to its neighbours, and the platform's list still shows the
+    host. The goodbye was not relayed, or the lagging list restored the host.
     """
     fleet = started((12, 12, 12))
     listed = fleet.platform.hosts[OTHER]
@@ -182,11 +184,11 @@
     fleet.run_until(lambda: states(fleet, OTHER) == {ALIVE}, 5)
 
 
-def test_a_drain_longer_than_hosts_are_remembered_stops_nobody():
-    """
-    Symptom: hosts fail at each heartbeat of a host that has drained for long.
-    Sequence: a host drains for an hour; after 15 minutes its row is forgotten.
-    Cause: the row went although the host still had a link.
+def test_a_drain_longer_than_rows_are_kept_fails_no_host():
+    """Hosts fail at each heartbeat of a host that drains for long.
+
+    A host drains for an hour, and its row is removed after 15 minutes, although the
+    host still has a link.
     """
     fleet = started((2, 1))
     host = fleet.hosts[FIRST]
@@ -196,7 +198,7 @@
     assert states(fleet, FIRST) == {LEAVING}
 
 
-def test_the_platforms_list_kills_no_host_that_is_heard():
+def test_the_platforms_list_does_not_override_direct_contact():
     fleet = started()
     fleet.run(10)
     listed = fleet.platform.hosts[OTHER]
@@ -211,10 +213,10 @@
 
 
 def test_an_endpoint_that_leaves_is_known_to_hosts_cut_off_from_it():
-    """
-    Symptom: an endpoint that is leaving still gets work from some hosts.
-    Sequence: one host's report says leaving; others have no control stream to it.
-    Cause: the report was not passed on, or not beyond the neighbours.
+    """An endpoint that is leaving still gets work from some hosts.
+
+    One host receives the endpoint's report, and others have no control stream to the
+    endpoint. The report was not relayed, or not beyond the neighbours.
     """
     fleet = started((12, 12, 12))
     fleet.answer(FIRST, fleet.change(FIRST, make_service(), 0, "c1"))
@@ -235,11 +237,11 @@
     fleet.run_until(lambda: not any(row.is_leaving for row in rows), 3)
 
 
-def test_contradicting_notices_come_to_rest():
-    """
-    Symptom: hosts pass two notices round for ever; control traffic never ends.
-    Sequence: an endpoint leaves and is back at once, told from two places.
-    Cause: each notice was new again wherever the other had just been.
+def test_conflicting_notices_are_not_relayed_for_ever():
+    """Hosts relay two notices to each other for ever.
+
+    An endpoint leaves and returns at once, and different hosts report this. Each notice
+    counted as new again after the other one.
     """
     fleet = started((12, 12, 12))
     fleet.answer(FIRST, fleet.change(FIRST, make_service(), 0, "c1"))
@@ -268,7 +270,7 @@
     assert rates[1] < 1.3 * rates[0]
 
 
-def test_a_host_with_a_taken_name_is_refused():
+def test_a_host_with_this_hosts_name_is_refused():
     fleet = started()
     fleet.feed(FIRST, inn.PeerConnected(-99, "10.9.9.9:1"))
     greeting = Greeting(FIRST, DOMAINS[0], 0, "10.9.9.9:7000", 99)
