--- a/mallowpass/core/systems/changes.py
+++ b/mallowpass/core/systems/changes.py
@@ -1,8 +1,9 @@
-"""One operator's change of a service, from the request to its certain answer.
+"""An operator's change of a service, from the request to a definite answer.
 
-The change is a conditional write of one row. Its answer may be lost after it took
-effect: the row keeps the ids of its newest changes, so reading it back tells what
-became of the write, and the same change sent again later changes nothing twice.
+A change is a conditional write of one row. The platform's answer may be lost after
+the write took effect. The row therefore records the ids of its latest changes: reading
+it back shows the outcome of the write, and a change that is sent again takes effect
+only once.
 """
 
 from __future__ import annotations
@@ -30,24 +31,28 @@
 __all__ = ["SERVICES_TABLE", "Change", "content_hash", "decode_version"]
 
 SERVICES_TABLE = "services"
-HISTORY_LENGTH = 8
-TRIES = 5  # of writes and read-backs together
-BACKOFF = 0.2  # seconds before the first read-back; doubles
+HISTORY_LENGTH = 8  # changes that a row records
+ATTEMPTS_MAX = 5  # writes and read-backs together
+BACKOFF = 0.2  # seconds on average before the first read-back; doubled by each further
 
 Callback = Callable[[ServiceChangedAnswer], None]
 
 
 def content_hash(request: ChangeServiceRequest) -> bytes:
-    """Return a hash of what a change asks for, to know it again by."""
-    asked = ServiceVersion(request.name, request.from_version, request.service)
-    return xxhash.xxh64_digest(encode_service(asked))
+    """Return a hash of a change's content, which identifies the change with its id."""
+    requested = ServiceVersion(request.name, request.from_version, request.service)
+    return xxhash.xxh64_digest(encode_service(requested))
 
 
 def decode_version(row: TableRow) -> ServiceVersion:
-    """Return the service in a row; raises BadRequestError for what is not one."""
+    """Return the version of a service in a row.
+
+    Raise MallowpassError if the row holds none, or contradicts its key or version.
+    """
     version = decode_service(row.value)
     if (version.name, version.version) != (row.key, row.version):
-        # Whoever wrote it, two truths about its version would never be reconciled.
+        # Hosts compare the service's version and the platform that of the row: with
+        # different versions the two would never agree.
         raise MallowpassError(
             ErrorCode.MALFORMED_MESSAGE,
             "A row of the services table contradicts its key or version.",
@@ -58,16 +63,16 @@
 
 
 class Change:
-    """Carry one change out; the callback gets exactly one answer."""
+    """Carry out one change; the callback gets exactly one answer."""
 
     __slots__ = (
         "_accept",
-        "_ambiguous",
+        "_attempts",
         "_callback",
         "_content",
+        "_is_ambiguous",
         "_node",
         "_request",
-        "_tries",
     )
 
     def __init__(
@@ -82,8 +87,8 @@
         self._accept = accept
         self._callback = callback
         self._content = content_hash(request)
-        self._ambiguous = False  # a write left whose answer did not come
-        self._tries = 0
+        self._is_ambiguous = False  # whether a write was sent and its answer lost
+        self._attempts = 0
 
     @property
     def _client(self) -> PlatformClient:
@@ -91,12 +96,12 @@
 
     @staticmethod
     def is_recorded(version: ServiceVersion | None, change_id: str) -> bool:
-        """Tell whether a change is among the newest that led to a version."""
+        """Return whether a version records a change among its latest ones."""
         changes = version.history if version else ()
         return any(change.change_id == change_id for change in changes)
 
     def start(self, known: ServiceVersion | None) -> None:
-        """Begin from the version that this host knows."""
+        """Start from the version that this host knows."""
         version = known.version if known else 0
         if version > self._request.from_version:
             self._answer_from(known)
@@ -108,17 +113,17 @@
     # -- Writing -------------------------------------------------------------
 
     def _write(self, known: ServiceVersion | None) -> None:
-        self._tries += 1
+        self._attempts += 1
         request = self._request
         row = WriteRow(
             SERVICES_TABLE,
             request.name,
             request.from_version,
-            encode_service(self._wanted(known)),
+            encode_service(self._new_version(known)),
         )
         self._client.call(row, self._on_written, urgent=True)
 
-    def _wanted(self, known: ServiceVersion | None) -> ServiceVersion:
+    def _new_version(self, known: ServiceVersion | None) -> ServiceVersion:
         request = self._request
         version = request.from_version + 1
         change = AcceptedChange(request.change_id, version, self._content)
@@ -134,9 +139,9 @@
 
     def _on_written(self, reply: PlatformReply) -> None:
         if isinstance(reply, RowWritten) and reply.current is not None:
-            self._judge(reply.current)
+            self._on_row(reply.current)
         elif isinstance(reply, PlatformFailed):
-            self._ambiguous = self._ambiguous or reply.ambiguous
+            self._is_ambiguous = self._is_ambiguous or reply.ambiguous
             self._on_failed(reply)
         else:
             self._finish(ErrorCode.PLATFORM_ANSWER_AMBIGUOUS, "no row in the answer")
@@ -144,32 +149,32 @@
     # -- Reading back --------------------------------------------------------
 
     def _read_back(self) -> None:
-        self._tries += 1
+        self._attempts += 1
         read = ReadRow(SERVICES_TABLE, self._request.name)
         self._client.call(read, self._on_read, urgent=True)
 
     def _on_read(self, reply: PlatformReply) -> None:
         if isinstance(reply, RowRead):
-            self._judge(reply.row)
+            self._on_row(reply.row)
         elif isinstance(reply, PlatformFailed):
             self._on_failed(reply)
         else:
             self._finish(ErrorCode.PLATFORM_ANSWER_AMBIGUOUS, "no row in the answer")
 
     def _on_failed(self, reply: PlatformFailed) -> None:
-        if self._tries < TRIES and not reply.code:
-            backoff = BACKOFF * 2 ** (self._tries - 1)
+        if self._attempts < ATTEMPTS_MAX and not reply.code:
+            backoff = BACKOFF * 2 ** (self._attempts - 1)
             delay = backoff * self._node.random.uniform(0.5, 1.5)
             self._node.timers.after(delay, self._read_back)
-        elif self._ambiguous:
+        elif self._is_ambiguous:
             self._finish(ErrorCode.PLATFORM_ANSWER_AMBIGUOUS, reply.message)
         else:
             code = ErrorCode[reply.code] if reply.code else None
             self._finish(code or ErrorCode.PLATFORM_UNAVAILABLE, reply.message)
 
-    # -- Judging -------------------------------------------------------------
+    # -- Outcome -------------------------------------------------------------
 
-    def _judge(self, row: TableRow | None) -> None:
+    def _on_row(self, row: TableRow | None) -> None:
         try:
             current = decode_version(row) if row is not None else None
         except MallowpassError as error:
@@ -180,52 +185,54 @@
         version = current.version if current else 0
         if version != self._request.from_version:
             self._answer_from(current)
-        elif self._tries < TRIES:
-            # Not there yet. A write that is still under way may take effect later,
-            # so the same one is repeated: of the two, one at most succeeds.
+        elif self._attempts < ATTEMPTS_MAX:
+            # The row does not have the change yet. A write in flight may still take
+            # effect, so the same write is repeated: at most one of the two succeeds.
             self._write(current)
         else:
-            self._finish(ErrorCode.PLATFORM_ANSWER_AMBIGUOUS, "not settled in time")
+            self._finish(
+                ErrorCode.PLATFORM_ANSWER_AMBIGUOUS, "no attempt has succeeded"
+            )
 
     def _answer_from(self, current: ServiceVersion | None) -> None:
-        change = self._own_change(current)
+        change = self._find_change(current)
         if change is None:
-            self._conflict(current)
+            self._answer_conflict(current)
         elif change.content != self._content:
             self._finish(ErrorCode.CHANGE_ID_REUSED, f"for version {change.version}")
         else:
-            self._accepted(current, change.version)
+            self._answer_accepted(current, change.version)
 
-    def _own_change(self, current: ServiceVersion | None) -> AcceptedChange | None:
+    def _find_change(self, current: ServiceVersion | None) -> AcceptedChange | None:
         changes = current.history if current else ()
         return next(
             (c for c in changes if c.change_id == self._request.change_id), None
         )
 
-    def _accepted(self, current: ServiceVersion | None, version: int) -> None:
+    def _answer_accepted(self, current: ServiceVersion | None, version: int) -> None:
         message = f"accepted as version {version}"
         if current is not None and current.version != version:
-            message += f"; version {current.version} stands by now"
+            message += f"; the newest version is {current.version}"
         answer = ServiceChangedAnswer(accepted=True, current=current, message=message)
         self._callback(answer)
 
-    def _conflict(self, current: ServiceVersion | None) -> None:
+    def _answer_conflict(self, current: ServiceVersion | None) -> None:
         stated = self._request.from_version
         if current is None:
             self._finish(ErrorCode.SERVICE_NOT_FOUND, f"made from version {stated}")
             return
-        exists = stated == 0 and current.service is not None
-        code = ErrorCode.SERVICE_EXISTS if exists else ErrorCode.VERSION_CONFLICT
-        state = "stands" if current.service is not None else "is its deletion"
-        winner = (
+        is_taken = stated == 0 and current.service is not None
+        code = ErrorCode.SERVICE_EXISTS if is_taken else ErrorCode.VERSION_CONFLICT
+        state = "is in force" if current.service is not None else "deletes the service"
+        detail = (
             f"made from version {stated}, but version {current.version} {state}: "
             f"change {current.change_id!r} by {current.changed_by!r}"
         )
-        if not self._is_remembered(current):
-            winner += "; whether this change was accepted is too long ago to tell"
-        self._finish(code, winner, current)
+        if not self._has_history(current):
+            detail += "; whether this change was accepted is too long ago to tell"
+        self._finish(code, detail, current)
 
-    def _is_remembered(self, current: ServiceVersion) -> bool:
+    def _has_history(self, current: ServiceVersion) -> bool:
         oldest = min((change.version for change in current.history), default=0)
         return self._request.from_version + 1 >= oldest
 
--- a/mallowpass/core/systems/configuration.py
+++ b/mallowpass/core/systems/configuration.py
@@ -1,10 +1,11 @@
-"""Which version of each service is in force here, and how it comes and goes.
-
-Versions come from the platform's table, from an operator's change accepted here, or
-from peers; they only go up, whatever order they come in. What is new here is passed
-on to all neighbours, so that it crosses the fleet in a few hops; digests in the
-heartbeats find what a neighbour missed. Deleted services stay as markers: without
-them an old notice would bring a deleted service back.
+"""Versions of the services in force on this host, and their distribution.
+
+A version comes from the platform's table, from an operator's change that this host
+accepted, or from a peer. Versions only increase, in whatever order they arrive. Each
+host relays a new version to all its neighbours, so that the version crosses the fleet
+in a few hops; digests in heartbeats reveal what a neighbour has missed. Deleted
+services stay as tombstones: without these an old notice would restore a deleted
+service.
 """
 
 from __future__ import annotations
@@ -29,54 +30,56 @@
 
 __all__ = ["Configuration"]
 
-# Heartbeats that digests must differ for before a repair, at rest and under changes.
-REPAIR_BEATS = 2
-RESTLESS_BEATS = 8
-REPAIR_GAP = 2.0  # seconds between two repairs
+# Consecutive heartbeats with a differing digest that count as a gap: while the digests
+# stay the same, and while they keep changing.
+GAP_HEARTBEATS_UNCHANGED = 2
+GAP_HEARTBEATS_CHANGING = 8
+REPAIR_INTERVAL = 2.0  # seconds at least between two repairs
 CHANGE_ID_LENGTH_MAX = 200
-NOTHING_KNOWN = b""
+UNKNOWN_DIGEST = b""  # of a host that does not know the fleet's services yet
 
 Callback = Callable[[ServiceChangedAnswer], None]
 
 
 class Configuration(System):
-    """Keep services, databases and endpoints as operators declared them."""
+    """Maintain services, databases and endpoints as operators declared them."""
 
     __slots__ = (
-        "_differing",
+        "_database_rows",
+        "_differences",
         "_digest",
-        "_known",
+        "_is_known",
         "_poll",
         "_repaired_at",
-        "_rows",
     )
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
-        self._rows = DatabaseRows(node)
+        self._database_rows = DatabaseRows(node)
         self._poll = ServicePoll(node, self.accept, self._on_complete)
         self._digest = 0
-        self._known = False
-        self._differing: dict[str, DigestDifference] = {}  # by host
+        self._is_known = False
+        self._differences: dict[str, DigestDifference] = {}  # by host
         self._repaired_at = float("-inf")
 
     @property
     def is_known(self) -> bool:
-        """Tell whether this host has learnt what the fleet serves.
+        """Return whether this host knows all services of the fleet.
 
-        False after a start until the platform or a peer that knows has told all:
-        a service that is missing here may then exist all the same.
+        False after a start, until this host has read the whole table or agrees with a
+        peer that knows all services. Until then a service that is missing here may
+        exist nevertheless.
         """
-        return self._known
+        return self._is_known
 
     @property
     def digest(self) -> bytes:
-        """Return a hash over all versions in force, empty while nothing is known."""
-        return self._digest.to_bytes(8, "big") if self._known else NOTHING_KNOWN
+        """Return a hash of all versions in force, empty until they are known."""
+        return self._digest.to_bytes(8, "big") if self._is_known else UNKNOWN_DIGEST
 
     @property
     def poll_age(self) -> float | None:
-        """Return the seconds since this host last read the table, None for never."""
+        """Return the seconds since this host last read the table, or None."""
         return self._poll.age
 
     @property
@@ -99,85 +102,93 @@
         """Create, change or delete a service; the callback gets one answer."""
         row = self.tables.services.get(request.name)
         known = row.accepted if row is not None else None
-        # A repeated change was sound when it was accepted; by now another service
-        # may have taken an address over, which must not turn its answer round.
-        repeated = Change.is_recorded(known, request.change_id)
-        faults = [] if repeated else self._faults(request)
-        if faults:
+        # A repeated change was valid when it was accepted. Another service may have
+        # taken over one of its addresses since; the answer must stay the same.
+        is_repeated = Change.is_recorded(known, request.change_id)
+        problems = [] if is_repeated else self._problems(request)
+        if problems:
             code = ErrorCode.INVALID_SERVICE
-            message = f"{code.meaning} " + "; ".join(faults)
+            message = f"{code.meaning} " + "; ".join(problems)
             answer = ServiceChangedAnswer(
                 accepted=False, code=code.code, message=message
             )
             callback(answer)
             return
-        began = self.now
+        started_at = self.now
 
         def finish(answer: ServiceChangedAnswer) -> None:
-            self._record(request, answer, began)
+            self._record(request, answer, started_at)
             callback(answer)
 
         Change(self._node, request, self.accept, finish).start(known)
 
-    def _faults(self, request: ChangeServiceRequest) -> list[str]:
-        faults = []
+    def _problems(self, request: ChangeServiceRequest) -> list[str]:
+        problems = []
         if not 1 <= len(request.change_id) <= CHANGE_ID_LENGTH_MAX:
-            faults.append(f"change_id: {request.change_id!r} is empty or too long")
+            problems.append(
+                f"change_id: {request.change_id!r} has not 1 to "
+                f"{CHANGE_ID_LENGTH_MAX} characters"
+            )
         if request.from_version < 0:
-            faults.append(f"from_version: {request.from_version} is negative")
+            problems.append(f"from_version: {request.from_version} is negative")
         if request.service is None:
             if request.from_version == 0:
-                faults.append("from_version: 0 names nothing to delete")
-            return faults
+                problems.append("from_version: 0 is no version that can be deleted")
+            return problems
         domains = (domain.name for domain in self._node.identity.domains)
         rows = self.tables.services.values()
-        found = find_problems(request.name, request.service, domains, rows)
-        return faults + [str(fault) for fault in found]
+        service_problems = find_problems(request.name, request.service, domains, rows)
+        return problems + [str(problem) for problem in service_problems]
 
     def _record(
-        self, request: ChangeServiceRequest, answer: ServiceChangedAnswer, began: float
+        self,
+        request: ChangeServiceRequest,
+        answer: ServiceChangedAnswer,
+        started_at: float,
     ) -> None:
         result = "accepted" if answer.accepted else answer.code
         self._node.record_decision(
             "configuration",
             request.name,
-            f"change {request.change_id} by {request.operator} from version "
+            f"change {request.change_id} by {request.operator} of version "
             f"{request.from_version}: {result} {answer.message}",
         )
         if answer.accepted:
-            self._node.observe("configuration_seconds", self.now - began)
+            self._node.observe("configuration_seconds", self.now - started_at)
 
     # -- Versions ------------------------------------------------------------
 
     def accept(self, version: ServiceVersion, source: str = "") -> None:
-        """Put a version in force if it is newer than what is; pass it on."""
+        """Put a version in force and relay it, if it is newer than the current one."""
         row = self.tables.services.get(version.name)
-        before = row.accepted if row is not None else None
-        if before is not None and version.version <= before.version:
-            self._check_same(before, version)
+        previous = row.accepted if row is not None else None
+        if previous is not None and version.version <= previous.version:
+            self._check_conflict(previous, version)
             return
         if row is None:
             self.tables.services[version.name] = ServiceRow(version)
         else:
             row.accepted = version
-        if before is not None:
-            self._digest ^= _hash(before)
+        if previous is not None:
+            self._digest ^= _hash(previous)
         self._digest ^= _hash(version)
         self._log(version, source)
         self._membership.broadcast(ServiceNotice(version), exclude=source)
-        self._rows.apply(before.service if before else None, version)
+        self._database_rows.apply(previous.service if previous else None, version)
         self._node.publish(ServiceAccepted(version.name))
 
-    def _check_same(self, before: ServiceVersion, version: ServiceVersion) -> None:
-        # The table gives each version to one change; two with the same number mean
-        # that it was set up anew or written by something else.
-        if version.version == before.version and version != before:
+    def _check_conflict(
+        self, previous: ServiceVersion, version: ServiceVersion
+    ) -> None:
+        # The table gives each version number to one change. Two changes with the same
+        # number show that the table was recreated or written by another program.
+        if version.version == previous.version and version != previous:
             self._node.log(
                 "error",
                 "service_version_twice",
                 service=version.name,
                 version=version.version,
-                kept=before.change_id,
+                kept=previous.change_id,
                 dropped=version.change_id,
             )
 
@@ -197,47 +208,51 @@
             "configuration",
             version.name,
             f"version {version.version} {state}: change {version.change_id} by "
-            f"{version.changed_by}, learnt from {source or 'the platform'}",
+            f"{version.changed_by}, received from {source or 'the platform'}",
         )
 
     def _on_complete(self) -> None:
-        self._known = True
+        self._is_known = True
 
     # -- Peers ---------------------------------------------------------------
 
     def _on_service_notice(self, host: str, notice: ServiceNotice) -> None:
         self.accept(notice.service, host)
 
-    def _on_heartbeat(self, host: str, beat: Heartbeat) -> None:
-        mine = self._digest.to_bytes(8, "big")
-        if beat.digest == NOTHING_KNOWN:
-            self._differing.pop(host, None)
+    def _on_heartbeat(self, host: str, heartbeat: Heartbeat) -> None:
+        own = self._digest.to_bytes(8, "big")
+        if heartbeat.digest == UNKNOWN_DIGEST:
+            self._differences.pop(host, None)
             return
-        if beat.digest == mine:
-            self._differing.pop(host, None)
-            self._known = True
+        if heartbeat.digest == own:
+            self._differences.pop(host, None)
+            self._is_known = True
             return
-        before = self._differing.get(host, NO_DIFFERENCE)
-        self._differing[host] = before.after(mine, beat.digest)
-        gap = self._differing[host].is_gap(REPAIR_BEATS, RESTLESS_BEATS)
-        if (gap or not self._known) and self.now - self._repaired_at >= REPAIR_GAP:
+        previous = self._differences.get(host, NO_DIFFERENCE)
+        self._differences[host] = previous.after(own, heartbeat.digest)
+        has_gap = self._differences[host].is_gap(
+            GAP_HEARTBEATS_UNCHANGED, GAP_HEARTBEATS_CHANGING
+        )
+        if (
+            has_gap or not self._is_known
+        ) and self.now - self._repaired_at >= REPAIR_INTERVAL:
             self._repaired_at = self.now
-            del self._differing[host]
+            del self._differences[host]
             self._node.count("configuration_repairs")
-            self._membership.send(host, self._versions())
+            self._membership.send(host, self._own_versions())
 
-    def _versions(self) -> Digest:
+    def _own_versions(self) -> Digest:
         rows = self.tables.services.values()
         return Digest(tuple((r.accepted.name, r.accepted.version) for r in rows))
 
     def _on_digest(self, host: str, digest: Digest) -> None:
-        theirs = dict(digest.versions)
+        peer_versions = dict(digest.versions)
         for name, row in self.tables.services.items():
-            if row.accepted.version > theirs.get(name, 0):
+            if row.accepted.version > peer_versions.get(name, 0):
                 self._membership.send(host, ServiceNotice(row.accepted))
-        missing = [n for n, v in digest.versions if v > self._version(n)]
-        if missing:
-            self._membership.send(host, ServicesCall(tuple(missing)))
+        outdated = [n for n, v in digest.versions if v > self._version(n)]
+        if outdated:
+            self._membership.send(host, ServicesCall(tuple(outdated)))
 
     def _on_services_call(self, host: str, call: ServicesCall) -> None:
         for name in call.names or tuple(self.tables.services):
--- a/tests/core/systems/test_configuration.py
+++ b/tests/core/systems/test_configuration.py
@@ -1,3 +1,5 @@
+"""Changes of services, and their distribution to all hosts."""
+
 from __future__ import annotations
 
 import dataclasses
@@ -38,17 +40,17 @@
 
 
 def change(fleet, host, version, change_id, service=None, **fields):
-    """Change a service and return the answer."""
+    """Make a change of a service, and return the answer."""
     definition = dataclasses.replace(service or make_service(), **fields)
     return fleet.answer(host, fleet.change(host, definition, version, change_id))
 
 
 def delete(fleet, host, version, change_id):
-    """Delete the service and return the answer."""
+    """Delete the service, and return the answer."""
     return fleet.answer(host, fleet.change(host, None, version, change_id, NAME))
 
 
-# -- From the operator to all hosts ------------------------------------------
+# -- Distribution to all hosts -----------------------------------------------
 
 
 def test_an_accepted_change_is_in_force_everywhere_at_once():
@@ -62,22 +64,22 @@
         assert len(host.node.tables.endpoints) == 9
 
 
-def test_what_others_wrote_into_the_table_is_read_by_few():
+def test_few_hosts_poll_the_table():
     fleet = started((12, 12, 12))
     version = ServiceVersion(NAME, 1, make_service(), "c1", "amina")
     before = fleet.platform.calls["ScanRows"]
     fleet.platform.handle(WriteRow("services", NAME, 0, encode_service(version)))
     fleet.run_until(lambda: fleet.in_force(NAME, 1), 5)
     fleet.run(10)
-    # Two pollers in each of three failure domains, about once a second.
+    # Two pollers in each of three failure domains scan about once a second.
     assert fleet.platform.calls["ScanRows"] - before < 12 * 6 * 1.5
 
 
 def test_a_notice_that_was_lost_is_made_up_for_without_the_platform():
-    """
-    Symptom: one host keeps an old version until the next change.
-    Sequence: its links are cut for a moment, just when a change is passed on.
-    Cause: news were passed on once and never compared.
+    """A host keeps an old version until the next change.
+
+    The host's links are cut for a moment, just when a change is relayed. A change was
+    relayed once, and digests were not compared.
     """
     fleet = started()
     fleet.cut(DOMAINS[2], DOMAINS[0])
@@ -90,11 +92,11 @@
     fleet.run_until(lambda: fleet.in_force(NAME, 1), 5)
 
 
-def test_a_gap_is_found_while_changes_never_end():
-    """
-    Symptom: a host lacks a version for as long as others keep changing.
-    Sequence: it misses one notice; another service changes several times a second.
-    Cause: a gap was only looked for while digests stood still.
+def test_a_lost_notice_is_repaired_while_changes_continue():
+    """A host lacks a version until changes of other services end.
+
+    The host misses one notice, and another service changes several times a second.
+    A gap was only detected while the digests stayed the same.
     """
     fleet = started()
     fleet.cut(DOMAINS[2], DOMAINS[0])
@@ -102,7 +104,7 @@
     assert change(fleet, FIRST, 0, "c1").accepted
     fleet.run(0.2)
     fleet.heal()
-    # Nobody reads the table, so that only the neighbours can make up for it.
+    # No host can read the table: only neighbours can send the missing version.
     fleet.platform._ScanRows = lambda request: PlatformFailed("no answer")
     other = make_service("lease-ledger")
     for n in range(30):
@@ -124,11 +126,10 @@
 
 @pytest.mark.parametrize("fault", ["lose", "late"])
 def test_a_lost_answer_is_resolved_by_reading_back(fault):
-    """
-    Symptom: an operator is told that a change failed, and it stands; or it is
-    applied twice.
-    Sequence: the write takes effect, at once or late, and its answer is lost.
-    Cause: the answer was taken for the outcome.
+    """An operator gets an error for a change in force, or a change is applied twice.
+
+    The write takes effect, at once or late, and its answer is lost. The missing answer
+    was taken for a failure of the write.
     """
     fleet = started()
     fleet.platform.faults.append(fault)
@@ -139,11 +140,11 @@
 
 
 def test_a_change_during_an_outage_can_be_repeated_safely():
-    """
-    Symptom: a change whose outcome was unknown is made twice.
-    Sequence: its answer is lost, the platform goes down, a later change is
-    accepted elsewhere; the operator repeats the first one.
-    Cause: only the newest change's id was kept.
+    """A change whose outcome was unknown is applied twice.
+
+    Its answer is lost, the platform goes down, and another host accepts a later change
+    before the operator repeats the first one. Only the id of the newest change was
+    recorded.
     """
     fleet = started()
     fleet.platform.faults.append("lose")
@@ -164,14 +165,14 @@
     assert reused.code == ErrorCode.CHANGE_ID_REUSED.code
 
 
-def test_a_change_that_never_left_is_refused_for_good():
+def test_a_change_that_was_never_sent_has_no_effect():
     fleet = started()
     fleet.platform.mode = "down"
     fleet.run(10)
     probe = fleet.change(FIRST, make_service("lease-ledger"), 0, "c1")
     answer = change(fleet, FIRST, 0, "c2")
     assert answer.code == ErrorCode.PLATFORM_CIRCUIT_OPEN.code
-    # The one that went out to see whether the platform is back may have got there.
+    # The change that was sent as a probe of the platform may have arrived.
     ambiguous = fleet.answer(FIRST, probe)
     assert ambiguous.code == ErrorCode.PLATFORM_ANSWER_AMBIGUOUS.code
     fleet.heal()
@@ -179,7 +180,7 @@
     assert fleet.platform.writes == []
 
 
-def test_a_host_that_starts_during_an_outage_gets_all_from_peers():
+def test_a_host_that_starts_during_an_outage_gets_services_from_peers():
     fleet = started()
     assert change(fleet, FIRST, 0, "c1").accepted
     assert delete(fleet, FIRST, 1, "c2").accepted
@@ -195,12 +196,11 @@
     assert host.accepted(NAME).service is None
 
 
-def test_a_fleet_that_starts_during_an_outage_says_that_it_knows_nothing():
-    """
-    Symptom: after a restart of all hosts, callers are told that their service
-    does not exist.
-    Sequence: the platform is down, and hosts keep nothing.
-    Cause: "not known yet" was not told from "not there".
+def test_a_fleet_that_starts_during_an_outage_reports_no_configuration():
+    """Callers are refused because their service does not exist, though it does.
+
+    All hosts restart while the platform is down, and hosts store no configuration. A
+    service that was not known yet was taken for one that does not exist.
     """
     fleet = Fleet()
     fleet.platform.mode = "down"
@@ -220,7 +220,7 @@
 # -- Versions only go up -----------------------------------------------------
 
 
-def test_of_racing_operators_one_wins_and_the_others_see_who():
+def test_one_of_several_concurrent_changes_is_accepted():
     fleet = started()
     calls = {
         host.name: fleet.change(
@@ -242,10 +242,10 @@
 
 
 def test_old_versions_and_deleted_services_never_come_back():
-    """
-    Symptom: a change is undone, or a deleted service is back.
-    Sequence: old notices and answers of the platform come late and crossed.
-    Cause: whatever came last was taken for what is newest.
+    """A change is undone, or a deleted service returns.
+
+    Old notices and answers of the platform arrive late and out of order. The version
+    that arrived last was taken for the newest.
     """
     fleet = started()
     assert change(fleet, FIRST, 0, "c1").accepted
@@ -265,11 +265,11 @@
     assert change(fleet, OTHER, 3, "c5").current.version == 4
 
 
-def test_a_row_that_cannot_be_read_keeps_no_other_back():
-    """
-    Symptom: no change that another host accepted comes in any more.
-    Sequence: something writes a row into the table that is no service.
-    Cause: the scan ended at the row, and began again before it each time.
+def test_an_unreadable_row_does_not_block_other_rows():
+    """A host gets no changes from the table any more.
+
+    Another program writes a row into the table that is no service. Each scan ended at
+    that row, and the next one started before the row again.
     """
     fleet = started()
     fleet.platform.handle(WriteRow("services", "broken", 0, b"\xff"))
@@ -283,7 +283,7 @@
 # -- Rows --------------------------------------------------------------------
 
 
-def test_rows_come_change_and_go_with_signals():
+def test_changes_of_databases_are_published_as_signals():
     fleet = started()
     node = fleet.hosts[OTHER].node
     seen: list = []
@@ -302,32 +302,32 @@
     ]
     seen.clear()
     kept = service.databases[0]
-    lost = kept.members[2].address
+    removed = kept.members[2].address
     smaller = dataclasses.replace(kept, members=kept.members[:2])
     change(fleet, FIRST, 1, "c2", service, databases=(smaller,))
     fleet.run(1)
     assert seen == [
         DatabaseRemoved(f"{NAME}/db-1"),
         True,
-        DatabaseChanged(f"{NAME}/db-0", (lost,)),
+        DatabaseChanged(f"{NAME}/db-0", (removed,)),
         ServiceAccepted(NAME),
     ]
     assert sorted(node.tables.endpoints) == [m.address for m in smaller.members]
 
 
 def test_an_address_declared_twice_at_once_has_the_same_owner_everywhere():
-    """
-    Symptom: hosts send statements of one database to another's endpoint.
-    Sequence: two operators declare one address in two services at one moment.
-    Cause: neither saw the other's, and each host kept what came first.
+    """Hosts send statements of one database to the endpoint of another.
+
+    Two operators declare one address in two services at the same moment, and neither
+    change shows the other. Each host kept the declaration that arrived first.
     """
     fleet = started()
     member = make_service().databases[0].members[0]
-    rival = make_service("aaa")
-    taken = dataclasses.replace(rival.databases[0], members=(member,))
-    rival = dataclasses.replace(rival, databases=(taken,))
+    conflicting = make_service("aaa")
+    taken = dataclasses.replace(conflicting.databases[0], members=(member,))
+    conflicting = dataclasses.replace(conflicting, databases=(taken,))
     fleet.change(FIRST, make_service(), 0, "c1")
-    fleet.change(OTHER, rival, 0, "c2")
+    fleet.change(OTHER, conflicting, 0, "c2")
     fleet.run(3)
     for host in fleet.alive:
         assert host.node.tables.endpoints[member.address].database == "aaa/db-0"
@@ -339,7 +339,7 @@
         assert len(host.node.tables.databases[f"{NAME}/db-0"].endpoints) == 3
 
 
-def test_all_faults_of_a_definition_are_told_together():
+def test_all_problems_of_a_definition_are_reported_together():
     fleet = started()
     assert change(fleet, FIRST, 0, "c1", make_service("lease-ledger")).accepted
     taken = make_service("lease-ledger").databases[0].members[0].address
@@ -369,7 +369,14 @@
     for part in (
         *("is declared twice", "0 is not from 1", "nan", "not an IP number"),
         *("'nowhere' is unknown", "belongs to database lease-ledger/db-0"),
-        *("0 of 1 to", "'no-such'", "'none'", "-1.0s", "queue_length", "deadline"),
+        *(
+            "0 declared, not 1 to",
+            "'no-such'",
+            "'none'",
+            "-1.0s",
+            "queue_length",
+            "deadline",
+        ),
     ):
         assert part in answer.message, part
     assert len(fleet.platform.writes) == 1
@@ -377,14 +384,14 @@
     assert find_problems(NAME, good, DOMAINS, rows) == []
 
 
-def test_a_refused_conditional_write_without_a_row_is_no_crash():
+def test_a_refused_write_without_a_row_is_ambiguous():
     fleet = started()
     fleet.platform._WriteRow = lambda request: RowWritten(False, None)
     answer = change(fleet, FIRST, 0, "c1")
     assert answer.code == ErrorCode.PLATFORM_ANSWER_AMBIGUOUS.code
 
 
-def test_each_change_is_explained_and_measured():
+def test_each_change_is_recorded_and_measured():
     fleet = started()
     observed: list[str] = []
     fleet.on_effect = lambda host, effect: (
--- a/tests/core/systems/test_configuration_machine.py
+++ b/tests/core/systems/test_configuration_machine.py
@@ -1,4 +1,4 @@
-"""Fuzz configuration against an oracle of what was accepted."""
+"""Random operations on the configuration, checked against the accepted changes."""
 
 from __future__ import annotations
 
@@ -21,22 +21,23 @@
 
 SERVICES = ("claims-core", "lease-ledger")
 HOSTS = tuple(f"{domain}-{seat}" for domain in DOMAINS for seat in range(2))
-# After these the change may or may not stand.
-OPEN_CODES = {ErrorCode.PLATFORM_ANSWER_AMBIGUOUS.code}
-# These prove that this call did nothing; an earlier one of the same change may have.
+# Codes after which the change may or may not have taken effect.
+AMBIGUOUS_CODES = {ErrorCode.PLATFORM_ANSWER_AMBIGUOUS.code}
+# Codes which prove that the call had no effect; an earlier call of the same change may
+# have had one.
 NOT_SENT_CODES = {
     ErrorCode.PLATFORM_UNAVAILABLE.code,
     ErrorCode.PLATFORM_CIRCUIT_OPEN.code,
     ErrorCode.PLATFORM_BUDGET_SPENT.code,
 }
-HEALED = 25.0  # seconds: the longest backoffs and a few rounds
+RECOVERY_TIME = 25.0  # seconds; the longest backoffs and a few heartbeats
 
 hosts = st.sampled_from(HOSTS)
 services = st.sampled_from(SERVICES)
 
 
 class ConfigurationMachine(RuleBasedStateMachine):
-    """Race operators on several hosts under every fault at hand."""
+    """Concurrent changes on several hosts under faults of links, hosts and platform."""
 
     @initialize(seed=st.integers(0, 1 << 16))
     def begin(self, seed):
@@ -45,7 +46,7 @@
         self.fleet.run(2)
         self.requests: list[ChangeServiceRequest] = []
         self.asked: list[tuple] = []  # host object, call, request
-        self.seen: dict[tuple, int] = {}  # a host's one life and service -> version
+        self.seen: dict[tuple, int] = {}  # version by host object and service
 
     # -- Operators
 
@@ -70,9 +71,9 @@
         self._ask(host, self.requests[which % len(self.requests)])
 
     def _ask(self, host, request):
-        life = self.fleet.hosts[host]
-        if life.alive:
-            self.asked.append((life, self.fleet.ask(host, request), request))
+        process = self.fleet.hosts[host]
+        if process.alive:
+            self.asked.append((process, self.fleet.ask(host, request), request))
 
     # -- Faults
 
@@ -136,7 +137,7 @@
         fleet.platform.faults.clear()
         for host in [host for host in fleet.alive if host.paused]:
             fleet.resume(host.name)
-        fleet.run(HEALED)
+        fleet.run(RECOVERY_TIME)
         self.versions_only_go_up()
         written = [decode_service(row.value) for row in fleet.platform.writes]
         for service in SERVICES:
@@ -153,19 +154,19 @@
             elif answer.accepted:
                 assert winners[request.change_id] == request.from_version + 1
             elif answer.code in NOT_SENT_CODES and request.change_id in winners:
-                assert self._others_may_have_won(call, request), answer
-            elif answer.code not in OPEN_CODES and request.change_id in winners:
-                # Only the newest changes are remembered; the answer says so.
+                assert self._may_have_succeeded_otherwise(call, request), answer
+            elif answer.code not in AMBIGUOUS_CODES and request.change_id in winners:
+                # Only the newest changes are recorded; the answer says so.
                 newest = answer.current.version
                 assert newest - winners[request.change_id] >= HISTORY_LENGTH, answer
                 assert "too long ago" in answer.message
 
-    def _others_may_have_won(self, call, request):
-        """Tell whether the same change was asked for in another call that may stand."""
+    def _may_have_succeeded_otherwise(self, call, request):
+        """Return whether another call of the same change may have succeeded."""
         for host, other, asked in self.asked:
             if other != call and asked is request:
                 answer = host.answers.get(other)
-                if answer is None or answer.accepted or answer.code in OPEN_CODES:
+                if answer is None or answer.accepted or answer.code in AMBIGUOUS_CODES:
                     return True
         return False
 
