--- a/mallowpass/core/systems/platformclient.py
+++ b/mallowpass/core/systems/platformclient.py
@@ -1,9 +1,9 @@
-"""The client of the platform's service: budget, coalescing, circuit breaker.
+"""Client of the platform's service, with a rate limit and a circuit breaker.
 
-The platform is shared by the whole fleet and has outages. Each host spends at most
-its share of the fleet's calls, an operator's call goes before a poll, and after
-repeated failures calls are answered here at once: an outage costs freshness, never
-service. Every call is answered exactly once, in time.
+The platform is shared by the whole fleet and has outages. Each host makes at most its
+share of the fleet's calls, and an operator's calls go before polls. After repeated
+failures the client refuses calls at once: during an outage hosts get no changes, but
+serve on. Every call gets exactly one reply, within a bounded time.
 """
 
 from __future__ import annotations
@@ -28,28 +28,28 @@
 
 __all__ = ["CircuitState", "PlatformClient"]
 
-# What the platform bears, with room left for what is not ours.
+# The rates that the platform sustains, less a reserve for its other clients.
 FLEET_READS_PER_SECOND = 1_500.0
 FLEET_WRITES_PER_SECOND = 200.0
-BURST_MIN = 4.0  # a change and its read-back must not wait for tokens
+BURST_MIN = 4.0  # tokens; a change and its read-back must not wait for tokens
 
 IN_FLIGHT_MAX = 16
 QUEUE_MAX = 256
-QUEUE_WAIT_MAX = 3.0  # seconds until a call that got no token is answered
-ANSWER_MARGIN = 0.25  # seconds beyond the timeout that the adapter was given
+QUEUE_WAIT_MAX = 3.0  # seconds until a call without a token is refused
+REPLY_MARGIN = 0.25  # seconds that a reply may follow the timeout of its call
 
 FAILURES_TO_OPEN = 4
-OPEN_MIN = 0.5
-OPEN_MAX = 8.0
-URGENT_PROBE_GAP = 0.5
-READ_TRIES = 2
-RETRY_BACKOFF = 0.1
+OPEN_TIME_MIN = 0.5  # seconds that the circuit stays open after it opened
+OPEN_TIME_MAX = 8.0
+URGENT_PROBE_INTERVAL = 0.5  # seconds at least between two urgent probes
+READ_ATTEMPTS_MAX = 2
+RETRY_BACKOFF = 0.1  # seconds on average
 
 Callback = Callable[[PlatformReply], None]
 
 
 class CircuitState(Enum):
-    """Say whether calls go out: all, one as a probe, or none."""
+    """Which calls are sent: all, one at a time as a probe, or only urgent probes."""
 
     CLOSED = "closed"
     HALF_OPEN = "half-open"
@@ -57,19 +57,19 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Pending:
-    """Hold one call until it is answered."""
+class _PendingCall:
+    """A call that has no reply yet."""
 
     request: PlatformCall
     callbacks: list[Callback]
-    urgent: bool
-    tries: int = 0
+    is_urgent: bool
+    attempts: int = 0
     number: int = 0  # of the call in flight; 0: queued
     timer: Timer | None = field(default=None, repr=False)
 
     @property
     def is_write(self) -> bool:
-        """Tell whether a lost answer leaves the platform's state unknown."""
+        """Return whether the platform's state is unknown when the reply is lost."""
         return isinstance(self.request, WriteRow | RegisterHost)
 
 
@@ -79,40 +79,47 @@
     __slots__ = (
         "_breaker",
         "_in_flight",
-        "_pump_timer",
+        "_queued_reads",
         "_queues",
-        "_reads",
-        "_readable",
-        "_writable",
+        "_read_bucket",
+        "_send_timer",
+        "_write_bucket",
     )
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
-        seats = max(1, sum(domain.hosts for domain in node.identity.domains))
+        host_count = max(1, sum(domain.hosts for domain in node.identity.domains))
         tuning = node.tuning
-        reads = min(tuning.platform_reads_per_second, FLEET_READS_PER_SECOND / seats)
-        writes = min(tuning.platform_writes_per_second, FLEET_WRITES_PER_SECOND / seats)
-        self._readable = _Bucket(reads, node.timers.now)
-        self._writable = _Bucket(writes, node.timers.now)
+        reads = min(
+            tuning.platform_reads_per_second, FLEET_READS_PER_SECOND / host_count
+        )
+        writes = min(
+            tuning.platform_writes_per_second, FLEET_WRITES_PER_SECOND / host_count
+        )
+        self._read_bucket = _Bucket(reads, node.timers.now)
+        self._write_bucket = _Bucket(writes, node.timers.now)
         self._breaker = _Breaker(node)
-        self._queues: tuple[deque[_Pending], deque[_Pending]] = (deque(), deque())
-        self._reads: dict[PlatformCall, _Pending] = {}  # queued, by content
-        self._in_flight: dict[int, _Pending] = {}
-        self._pump_timer: Timer | None = None
+        self._queues: tuple[deque[_PendingCall], deque[_PendingCall]] = (
+            deque(),
+            deque(),
+        )
+        self._queued_reads: dict[PlatformCall, _PendingCall] = {}  # by request
+        self._in_flight: dict[int, _PendingCall] = {}
+        self._send_timer: Timer | None = None
 
     @property
     def circuit_state(self) -> CircuitState:
-        """Return the state of the circuit."""
+        """Return the state of the circuit breaker."""
         return self._breaker.state
 
     @property
     def queued_calls(self) -> int:
-        """Return how many calls wait for budget."""
+        """Return the number of calls that wait for a token or a free slot."""
         return sum(map(len, self._queues))
 
     @property
     def last_answer_at(self) -> float | None:
-        """Return when the platform last answered, None for never."""
+        """Return the time of the platform's last successful reply, or None."""
         return self._breaker.last_answer_at
 
     def start(self) -> None:
@@ -124,108 +131,111 @@
     ) -> None:
         """Call the platform; the callback gets exactly one reply.
 
-        A failure that is not ambiguous proves that the platform did not get the
-        call. An operator's call is urgent: it goes before all that wait.
+        A failure that is not ambiguous proves that the platform did not receive the
+        call. An urgent call, an operator's, goes before all other queued calls.
         """
-        pending = _Pending(request, [callback], urgent)
-        if self._join(pending):
+        pending = _PendingCall(request, [callback], urgent)
+        if self._join_queued_read(pending):
             return
-        if not self._breaker.admits(urgent):
+        if not self._breaker.can_send(urgent):
             self._refuse(pending, ErrorCode.PLATFORM_CIRCUIT_OPEN)
         elif self.queued_calls >= QUEUE_MAX:
             self._refuse(pending, ErrorCode.PLATFORM_BUDGET_SPENT)
         else:
             self._enqueue(pending)
-            self._pump()
+            self._send_queued()
 
     def stop(self) -> None:
-        """Answer what still waits; nothing else will."""
+        """Refuse all queued calls, which would otherwise get no reply."""
         for queue in self._queues:
             for pending in tuple(queue):
                 self._refuse(pending, ErrorCode.PLATFORM_UNAVAILABLE)
 
     # -- Queue ---------------------------------------------------------------
 
-    def _join(self, pending: _Pending) -> bool:
-        # Only a read that has not left yet is shared: one in flight may have been
-        # answered before a write that the new caller already knows of.
-        earlier = None if pending.is_write else self._reads.get(pending.request)
-        if earlier is None:
+    def _join_queued_read(self, pending: _PendingCall) -> bool:
+        # Only a queued read is shared: the platform may have answered a read in
+        # flight before a write that the new call must see.
+        queued = None if pending.is_write else self._queued_reads.get(pending.request)
+        if queued is None:
             return False
-        earlier.callbacks += pending.callbacks
-        if pending.urgent and not earlier.urgent:
-            self._queues[1].remove(earlier)
-            earlier.urgent = True
-            self._queues[0].append(earlier)
-            self._pump()
+        queued.callbacks += pending.callbacks
+        if pending.is_urgent and not queued.is_urgent:
+            self._queues[1].remove(queued)
+            queued.is_urgent = True
+            self._queues[0].append(queued)
+            self._send_queued()
         return True
 
-    def _enqueue(self, pending: _Pending) -> None:
-        self._queues[0 if pending.urgent else 1].append(pending)
+    def _enqueue(self, pending: _PendingCall) -> None:
+        self._queues[0 if pending.is_urgent else 1].append(pending)
         if not pending.is_write:
-            self._reads[pending.request] = pending
+            self._queued_reads[pending.request] = pending
         pending.timer = self.timers.after(
             QUEUE_WAIT_MAX, self._refuse, pending, ErrorCode.PLATFORM_BUDGET_SPENT
         )
 
-    def _dequeue(self, pending: _Pending) -> None:
-        queue = self._queues[0 if pending.urgent else 1]
+    def _dequeue(self, pending: _PendingCall) -> None:
+        queue = self._queues[0 if pending.is_urgent else 1]
         if pending in queue:
             queue.remove(pending)
-        if self._reads.get(pending.request) is pending:
-            del self._reads[pending.request]
+        if self._queued_reads.get(pending.request) is pending:
+            del self._queued_reads[pending.request]
         if pending.timer is not None:
             pending.timer.cancel()
 
-    def _pump(self) -> None:
-        if self._pump_timer is not None:
-            self._pump_timer.cancel()
-            self._pump_timer = None
-        # Writes that wait for budget must not hold up reads that have theirs.
-        blocked: dict[bool, float] = {}
+    def _send_queued(self) -> None:
+        if self._send_timer is not None:
+            self._send_timer.cancel()
+            self._send_timer = None
+        # Keyed by is_write, with the seconds until the next token: writes that wait
+        # for a token must not hold up reads, or the reverse.
+        delays: dict[bool, float] = {}
         for queue in self._queues:
             for pending in tuple(queue):
                 if len(self._in_flight) >= IN_FLIGHT_MAX:
                     return
-                if pending.is_write not in blocked:
-                    self._send_or_block(pending, blocked)
-        if blocked:
-            self._pump_timer = self.timers.after(min(blocked.values()), self._pump)
-
-    def _send_or_block(self, pending: _Pending, blocked: dict[bool, float]) -> None:
-        if not self._breaker.admits(pending.urgent):
+                if pending.is_write not in delays:
+                    self._send_or_defer(pending, delays)
+        if delays:
+            self._send_timer = self.timers.after(
+                min(delays.values()), self._send_queued
+            )
+
+    def _send_or_defer(self, pending: _PendingCall, delays: dict[bool, float]) -> None:
+        if not self._breaker.can_send(pending.is_urgent):
             self._refuse(pending, ErrorCode.PLATFORM_CIRCUIT_OPEN)
             return
-        bucket = self._writable if pending.is_write else self._readable
+        bucket = self._write_bucket if pending.is_write else self._read_bucket
         delay = bucket.take(self.now)
         if delay > 0:
-            blocked[pending.is_write] = delay
+            delays[pending.is_write] = delay
         else:
             self._send(pending)
 
-    def _send(self, pending: _Pending) -> None:
+    def _send(self, pending: _PendingCall) -> None:
         self._dequeue(pending)
-        self._breaker.sent()
+        self._breaker.on_sent()
         timeout = self._node.tuning.platform_timeout
-        pending.tries += 1
+        pending.attempts += 1
         pending.number = self._node.next_number()
         self._in_flight[pending.number] = pending
         pending.timer = self.timers.after(
-            timeout + ANSWER_MARGIN, self._on_silence, pending.number
+            timeout + REPLY_MARGIN, self._on_no_reply, pending.number
         )
         self._node.emit(CallPlatform(pending.number, pending.request, timeout))
 
     # -- Replies -------------------------------------------------------------
 
     def _on_replied(self, event: PlatformReplied) -> None:
-        self._settle(event.call, event.reply)
+        self._on_reply(event.call, event.reply)
 
-    def _on_silence(self, number: int) -> None:
-        # The adapter promises an answer; if it breaks that promise an operator
-        # would wait for ever and the poll would never go out again.
-        self._settle(number, PlatformFailed("no answer in time"))
+    def _on_no_reply(self, number: int) -> None:
+        # The adapter has to reply within the timeout. If it fails to, an operator
+        # would otherwise wait for ever, and no poll would be sent again.
+        self._on_reply(number, PlatformFailed("no answer in time"))
 
-    def _settle(self, number: int, reply: PlatformReply) -> None:
+    def _on_reply(self, number: int, reply: PlatformReply) -> None:
         pending = self._in_flight.pop(number, None)
         if pending is None:
             self._count("late")
@@ -236,33 +246,33 @@
             self._on_failed(pending, reply)
         else:
             self._count("answered")
-            self._breaker.succeeded()
+            self._breaker.on_success()
             self._answer(pending, reply)
-        self._pump()
+        self._send_queued()
 
-    def _on_failed(self, pending: _Pending, reply: PlatformFailed) -> None:
+    def _on_failed(self, pending: _PendingCall, reply: PlatformFailed) -> None:
         self._count("failed")
-        self._breaker.failed()
-        if pending.is_write or pending.tries >= READ_TRIES:
-            # The adapter may not know whether the platform got the call.
+        self._breaker.on_failure()
+        if pending.is_write or pending.attempts >= READ_ATTEMPTS_MAX:
+            # A write is not repeated here: the platform may have received the call.
             self._answer(pending, reply)
             return
         delay = RETRY_BACKOFF * self._node.random.uniform(0.5, 1.5)
         self.timers.after(delay, self._retry, pending)
 
-    def _retry(self, pending: _Pending) -> None:
-        if self._breaker.admits(pending.urgent):
+    def _retry(self, pending: _PendingCall) -> None:
+        if self._breaker.can_send(pending.is_urgent):
             self._enqueue(pending)
-            self._pump()
+            self._send_queued()
         else:
             self._refuse(pending, ErrorCode.PLATFORM_CIRCUIT_OPEN)
 
-    def _refuse(self, pending: _Pending, code: ErrorCode) -> None:
+    def _refuse(self, pending: _PendingCall, code: ErrorCode) -> None:
         self._dequeue(pending)
         self._count("refused")
         self._answer(pending, PlatformFailed(code.meaning, False, code.name))
 
-    def _answer(self, pending: _Pending, reply: PlatformReply) -> None:
+    def _answer(self, pending: _PendingCall, reply: PlatformReply) -> None:
         for callback in pending.callbacks:
             callback(reply)
 
@@ -271,21 +281,21 @@
 
 
 class _Bucket:
-    """Meter calls: `rate` tokens a second, a few saved up."""
+    """A token bucket that fills at `rate` tokens per second."""
 
-    __slots__ = ("_burst", "_rate", "_refilled", "_tokens")
+    __slots__ = ("_burst", "_rate", "_refilled_at", "_tokens")
 
     def __init__(self, rate: float, now: float) -> None:
         self._rate = rate
         self._burst = max(BURST_MIN, rate)
         self._tokens = self._burst
-        self._refilled = now
+        self._refilled_at = now
 
     def take(self, now: float) -> float:
-        """Take a token and return 0, or return the seconds until there is one."""
-        refill = (now - self._refilled) * self._rate
+        """Take a token and return 0, or return the seconds until the next token."""
+        refill = (now - self._refilled_at) * self._rate
         self._tokens = min(self._burst, self._tokens + refill)
-        self._refilled = now
+        self._refilled_at = now
         if self._tokens >= 1:
             self._tokens -= 1
             return 0.0
@@ -293,12 +303,12 @@
 
 
 class _Breaker:
-    """Hold calls back after repeated failures, and probe for the end of it."""
+    """A circuit breaker, which opens after repeated failures."""
 
     __slots__ = (
         "_failures",
         "_node",
-        "_open_for",
+        "_open_time",
         "_opened_at",
         "_probe_at",
         "_state",
@@ -309,60 +319,60 @@
         self._node = node
         self._state = CircuitState.CLOSED
         self._failures = 0
-        self._open_for = OPEN_MIN
+        self._open_time = OPEN_TIME_MIN
         self._opened_at = 0.0
         self._probe_at = float("-inf")
         self.last_answer_at: float | None = None
 
     @property
     def state(self) -> CircuitState:
-        """Return the state now; an open circuit turns half-open by time."""
-        waited = self._node.timers.now - self._opened_at
-        if self._state is CircuitState.OPEN and waited >= self._open_for:
+        """Return the state; an open circuit becomes half-open after a while."""
+        open_duration = self._node.timers.now - self._opened_at
+        if self._state is CircuitState.OPEN and open_duration >= self._open_time:
             self._state = CircuitState.HALF_OPEN
         return self._state
 
-    def admits(self, urgent: bool) -> bool:
-        """Tell whether a call may go out now.
+    def can_send(self, urgent: bool) -> bool:
+        """Return whether a call may be sent now.
 
-        An operator who acts when the platform is back must not wait for the next
-        probe: an urgent call is a probe itself, only not many a second.
+        When the platform has recovered, an operator must not wait for the next probe:
+        an urgent call serves as a probe itself, at a limited rate.
         """
         state = self.state
         if state is CircuitState.CLOSED:
             return True
         since_probe = self._node.timers.now - self._probe_at
         if state is CircuitState.HALF_OPEN:
-            return since_probe >= self._node.tuning.platform_timeout + ANSWER_MARGIN
-        return urgent and since_probe >= URGENT_PROBE_GAP
+            return since_probe >= self._node.tuning.platform_timeout + REPLY_MARGIN
+        return urgent and since_probe >= URGENT_PROBE_INTERVAL
 
-    def sent(self) -> None:
-        """Note that a call went out: with the circuit not closed it is a probe."""
+    def on_sent(self) -> None:
+        """Note that a call was sent; unless the circuit is closed it is a probe."""
         if self.state is not CircuitState.CLOSED:
             self._probe_at = self._node.timers.now
 
-    def succeeded(self) -> None:
+    def on_success(self) -> None:
         """Close the circuit."""
         self.last_answer_at = self._node.timers.now
         self._failures = 0
         if self._state is not CircuitState.CLOSED:
             self._state = CircuitState.CLOSED
-            self._open_for = OPEN_MIN
+            self._open_time = OPEN_TIME_MIN
             self._probe_at = float("-inf")
             self._node.log("info", "platform_circuit", state="closed")
 
-    def failed(self) -> None:
-        """Open the circuit after repeated failures, longer after each probe."""
+    def on_failure(self) -> None:
+        """Open the circuit after repeated failures, and longer after a failed probe."""
         self._failures += 1
         if self._state is CircuitState.CLOSED:
             if self._failures < FAILURES_TO_OPEN:
                 return
             self._node.log("warning", "platform_circuit", state="open")
         else:
-            self._open_for = min(OPEN_MAX, self._open_for * 2)
+            self._open_time = min(OPEN_TIME_MAX, self._open_time * 2)
         self._state = CircuitState.OPEN
         self._opened_at = self._node.timers.now
-        # Jitter: else all hosts probe a platform that struggles to its feet at once.
-        self._open_for = min(
-            OPEN_MAX, self._open_for * self._node.random.uniform(0.75, 1.25)
+        # Jitter: all hosts would otherwise probe a recovering platform at once.
+        self._open_time = min(
+            OPEN_TIME_MAX, self._open_time * self._node.random.uniform(0.75, 1.25)
         )
--- a/tests/core/systems/test_platformclient.py
+++ b/tests/core/systems/test_platformclient.py
@@ -1,3 +1,5 @@
+"""The client of the platform: rate limit, queue and circuit breaker."""
+
 from __future__ import annotations
 
 from mallowpass.core import effects as out
@@ -23,7 +25,7 @@
 
 
 class Client:
-    """Drive one platform client by hand."""
+    """A platform client with a simulated clock and scripted replies."""
 
     def __init__(self, hosts: int = 8) -> None:
         domain = FailureDomain("casa", "r", hosts)
@@ -74,7 +76,7 @@
     assert len(codes) == 120
 
 
-def test_equal_reads_that_wait_are_sent_once():
+def test_equal_queued_reads_are_sent_once():
     client = Client(hosts=1_500)  # one read a second
     for n in range(4):
         client.call(ScanRows("services", n))
@@ -89,11 +91,11 @@
     assert len(client.replies) == 6
 
 
-def test_a_read_never_joins_one_under_way():
-    """
-    Symptom: a read-back after a lost answer says that the write isn't there.
-    Sequence: an equal read left before the write; the read-back is joined to it.
-    Cause: a read under way was shared with a caller that knew of a later write.
+def test_a_read_is_not_coalesced_with_one_in_flight():
+    """A read-back after a lost answer does not show the write.
+
+    An equal read was sent before the write, and the read-back was answered with the
+    reply to that read.
     """
     client = Client()
     client.call(READ)
@@ -101,7 +103,7 @@
     assert len(client.sent) == 2
 
 
-def test_urgent_calls_go_before_polls_and_writes_hold_up_no_reads():
+def test_urgent_calls_go_first_and_writes_do_not_delay_reads():
     client = Client(hosts=1_500)  # one read a second, a write in 7.5 seconds
     for n in range(6):
         client.call(ScanRows("services", n))
@@ -114,10 +116,9 @@
 
 
 def test_every_call_is_answered_once_and_late_replies_are_dropped():
-    """
-    Symptom: an operator waits for ever; or a poll takes a reply for another's.
-    Sequence: the adapter never answers, or answers after the time is over.
-    Cause: the core trusted that an answer comes, and took any that came.
+    """An operator waits for ever, or a call gets the late reply of another call.
+
+    The adapter never replies, or replies after the timeout of the call.
     """
     client = Client()
     client.call(WRITE)
@@ -129,10 +130,10 @@
 
 
 def test_an_outage_opens_the_circuit_and_a_probe_closes_it():
-    """
-    Symptom: a platform that recovers is flooded; or calls wait out their timeouts.
-    Sequence: the platform is down; polls and operators go on calling.
-    Cause: nothing remembered that calls had just failed.
+    """A recovering platform is overloaded, or each call waits for its timeout.
+
+    The platform is down while polls and operators continue to call. Each call was sent,
+    although the calls before it had failed.
     """
     client = Client()
     client.fail_until_open()
@@ -144,7 +145,7 @@
     for _ in range(400):
         client.run(0.25)
         client.call(READ)
-    # Probes only, less and less often.
+    # Only probes are sent, at growing intervals.
     assert len(client.sent) - sent < 30
     client.run(10)
     client.call(READ)
