--- a/mallowpass/core/systems/draining.py
+++ b/mallowpass/core/systems/draining.py
@@ -1,8 +1,9 @@
-"""Leaving without cutting anything off.
+"""Drain of this host, which ends without interrupting requests.
 
-A draining host says so to peers and platform, takes no new sessions, and finishes
-what is in flight. At the limit open transactions are rolled back, so that their
-callers know that nothing ran; requests that were sent are waited for.
+A draining host announces the drain to its peers and the platform, accepts no new
+sessions and finishes its requests in flight. At the limit it rolls back open
+transactions, so that their callers know that nothing took effect, and still waits for
+requests that were sent to endpoints.
 """
 
 from __future__ import annotations
@@ -23,41 +24,41 @@
 
 __all__ = ["Draining"]
 
-CHECK_PERIOD = 0.05
-LINGER = 1.0  # seconds in which callers learn to go elsewhere
-CLOSING = 0.2  # seconds between the last refusals and the end
-LIMIT_MAX = 3_600.0
+CHECK_INTERVAL = 0.05  # seconds
+REDIRECT_TIME = 1.0  # seconds at least in which answers set go_elsewhere
+CLOSING_TIME = 0.2  # seconds in which new requests are refused before the exit
+LIMIT_MAX = 3_600.0  # seconds
 
 
 class Draining(System):
-    """Decide when this host takes no more work, and when it may end."""
+    """Decide when this host refuses new work, and when its process exits."""
 
-    __slots__ = ("_began", "_closing_since", "_deadline", "_ended", "_timer")
+    __slots__ = ("_began_at", "_closing_at", "_deadline", "_has_ended", "_timer")
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
-        self._began = 0.0
+        self._began_at = 0.0
         self._deadline: float | None = None
-        self._closing_since: float | None = None
-        self._ended = False
+        self._closing_at: float | None = None
+        self._has_ended = False
         self._timer: Timer | None = None
 
     @property
     def is_draining(self) -> bool:
-        """Tell whether this host takes no new sessions; answers say go elsewhere."""
+        """Return whether new sessions are refused; answers set go_elsewhere."""
         return self._deadline is not None
 
     @property
     def is_closing(self) -> bool:
-        """Tell whether open sessions' new requests are refused too, as not run."""
-        return self._closing_since is not None
+        """Return whether new requests of open sessions are refused too, as not run."""
+        return self._closing_at is not None
 
     @property
     def deadline(self) -> float | None:
-        """Return when open transactions are rolled back, None when not draining."""
+        """Return when open transactions are rolled back, or None without a drain."""
         return self._deadline
 
-    # Imported late: these two stand on this module.
+    # Imported here, as the modules of these two systems import this one.
 
     @property
     def _requests(self) -> Requests:
@@ -72,28 +73,28 @@
         return self._node.system(Transactions)
 
     def start(self) -> None:
-        """Subscribe to the request to shut down."""
+        """Subscribe to the shutdown request."""
         self._node.subscribe(ShutdownRequested, self._on_shutdown)
 
     def begin(self, limit: float = 0.0) -> DrainAnswer:
-        """Begin to drain; `limit` in seconds, 0 for the usual one.
+        """Start a drain with a limit in seconds; 0 stands for the default limit.
 
-        Begun a second time, the earlier of the two limits counts.
+        If a drain is in progress, the earlier of the two deadlines applies.
         """
         limit = min(limit, LIMIT_MAX) if limit > 0 else self._node.tuning.drain_limit
         deadline = self.now + limit
         if self._deadline is not None:
             self._deadline = min(self._deadline, deadline)
-            return DrainAnswer(accepted=True, message="is draining already")
-        self._began = self.now
+            return DrainAnswer(accepted=True, message="the host is draining already")
+        self._began_at = self.now
         self._deadline = deadline
         self._node.log("info", "drain_began", limit=limit)
         self._node.record_decision(
             "drain", self._node.identity.name, f"began, limit {limit}s"
         )
         self._node.publish(DrainBegan(deadline))
-        self._timer = self.timers.every(CHECK_PERIOD, self._check)
-        return DrainAnswer(accepted=True, message=f"drains for at most {limit:g}s")
+        self._timer = self.timers.every(CHECK_INTERVAL, self._check)
+        return DrainAnswer(accepted=True, message=f"draining for at most {limit:g}s")
 
     def _on_shutdown(self, event: ShutdownRequested) -> None:
         self.begin(event.limit)
@@ -101,25 +102,26 @@
     # -- Finishing -----------------------------------------------------------
 
     def _check(self) -> None:
-        if self._ended:
+        if self._has_ended:
             return
-        if self._closing_since is None:
+        if self._closing_at is None:
             if self.now >= self._deadline:
                 self._begin_closing(roll_back=True)
-            elif self._is_idle() and self.now - self._began >= LINGER:
+            elif self._is_idle() and self.now - self._began_at >= REDIRECT_TIME:
                 self._begin_closing(roll_back=False)
-        elif self._is_idle() and self.now - self._closing_since >= CLOSING:
+        elif self._is_idle() and self.now - self._closing_at >= CLOSING_TIME:
             self._end()
-        elif self.now - self._closing_since > self._node.tuning.default_deadline:
-            # Every request has a deadline, so this is a fault: don't hang for it.
-            self._complain()
+        elif self.now - self._closing_at > self._node.tuning.default_deadline:
+            # Each request has a deadline: a request that lasts longer is a defect, and
+            # the process must not wait for its end.
+            self._log_timeout()
             self._end()
 
     def _is_idle(self) -> bool:
         return not self._requests.in_flight and not self._transactions.open_count
 
     def _begin_closing(self, roll_back: bool) -> None:
-        self._closing_since = self.now
+        self._closing_at = self.now
         if not roll_back:
             return
         streams = {row.stream for row in self.tables.transactions.values()}
@@ -131,7 +133,7 @@
             f"limit reached: transactions of {len(streams)} sessions rolled back",
         )
 
-    def _complain(self) -> None:
+    def _log_timeout(self) -> None:
         code = ErrorCode.DRAIN_TIMEOUT
         self._node.log(
             "error",
@@ -142,7 +144,7 @@
         )
 
     def _end(self) -> None:
-        self._ended = True
+        self._has_ended = True
         if self._timer is not None:
             self._timer.cancel()
         streams = sorted(self.tables.sessions)
@@ -150,5 +152,5 @@
             system.stop()
         for stream in streams:
             self._node.emit(CloseCaller(stream))
-        self._node.log("info", "drain_ended", seconds=self.now - self._began)
+        self._node.log("info", "drain_ended", seconds=self.now - self._began_at)
         self._node.emit(Exit())
--- a/mallowpass/core/systems/operators.py
+++ b/mallowpass/core/systems/operators.py
@@ -1,7 +1,7 @@
-"""What operators ask for: changes, lists, drains, hand-overs, status, explanations.
+"""Requests of operators: changes, lists, drains, promotions, status, explanations.
 
-The adapter has authenticated them. Every action is a log line and a journal entry
-with the operator's name; looking at something is neither.
+The adapter has authenticated the operators. Each action is logged and recorded in the
+journal with the operator's name; requests that only read are not.
 """
 
 from __future__ import annotations
@@ -35,25 +35,25 @@
 
 __all__ = ["Operations"]
 
-RELAY_TIMEOUT = 5.0
+RELAY_TIMEOUT = 5.0  # seconds that another host has to answer a drain
 
 
 class Operations(System):
-    """Answer operators, each call exactly once."""
+    """Answer each call of an operator exactly once."""
 
-    __slots__ = ("_drains", "_explaining")
+    __slots__ = ("_explaining", "_relayed_drains")
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
         self._explaining = Explaining(node)
-        self._drains: dict[str, int] = {}  # relayed: id -> the operator's call
+        self._relayed_drains: dict[str, int] = {}  # the operator's call, by drain id
 
     @property
     def _configuration(self) -> Configuration:
         return self._node.system(Configuration)
 
     def start(self) -> None:
-        """Subscribe to operators and to what peers ask on an operator's behalf."""
+        """Subscribe to operators' requests and to drains that peers relay."""
         self._node.subscribe(OperatorRequested, self._on_requested)
         membership = self._node.system(Membership)
         membership.on_message(DrainCall, self._on_drain_call)
@@ -61,28 +61,28 @@
         self._explaining.start()
 
     def _on_requested(self, event: OperatorRequested) -> None:
-        self._carry_out(event.request, event.call)
+        self._handle(event.request, event.call)
 
-    def _answer(self, call: int, answer: OperatorAnswer) -> None:
-        self._node.emit(AnswerOperator(call, answer))
+    def _answer(self, call: int, on_answer: OperatorAnswer) -> None:
+        self._node.emit(AnswerOperator(call, on_answer))
 
     # -- Requests ------------------------------------------------------------
 
     @singledispatchmethod
-    def _carry_out(self, request: OperatorRequest, call: int) -> None:
+    def _handle(self, request: OperatorRequest, call: int) -> None:
         code = ErrorCode.MALFORMED_MESSAGE
-        message = f"{type(request).__name__} is not known here"
+        message = f"this host does not know the request {type(request).__name__}"
         self._answer(call, OperatorAnswer(code=code.code, message=message))
 
-    @_carry_out.register
+    @_handle.register
     def _(self, request: ChangeServiceRequest, call: int) -> None:
-        def answer(result: OperatorAnswer) -> None:
+        def on_answer(result: OperatorAnswer) -> None:
             self._log_action(request, "change", request.name, result)
             self._answer(call, result)
 
-        self._node.system(Configuration).change(request, answer)
+        self._node.system(Configuration).change(request, on_answer)
 
-    @_carry_out.register
+    @_handle.register
     def _(self, request: ListServicesRequest, call: int) -> None:
         rows = self.tables.services
         names = [request.name] if request.name else sorted(rows)
@@ -90,27 +90,27 @@
         if request.name and not found:
             self._answer(call, self._not_found(request.name))
             return
-        message = "" if self._configuration.is_known else _NOTHING_KNOWN
+        message = "" if self._configuration.is_known else _CONFIGURATION_UNKNOWN
         self._answer(call, ServicesListedAnswer(services=found, message=message))
 
-    @_carry_out.register
+    @_handle.register
     def _(self, request: StatusRequest, call: int) -> None:
         self._answer(call, status_of(self._node))
 
-    @_carry_out.register
+    @_handle.register
     def _(self, request: ExplainRequest, call: int) -> None:
-        def answer(result: OperatorAnswer) -> None:
+        def on_answer(result: OperatorAnswer) -> None:
             self._answer(call, result)
 
-        self._explaining.explain(request, answer)
+        self._explaining.explain(request, on_answer)
 
-    @_carry_out.register
+    @_handle.register
     def _(self, request: PromoteRequest, call: int) -> None:
         from mallowpass.core.systems.failover import Failover
 
         key = database_key(request.service, request.database)
 
-        def answer(accepted: bool, term: int, why: str) -> None:
+        def on_answer(accepted: bool, term: int, why: str) -> None:
             code = "" if accepted else ErrorCode.FAILING_OVER.code
             result = PromoteAnswer(accepted=accepted, term=term, code=code, message=why)
             self._log_action(request, "promote", f"{key} {request.member}", result)
@@ -123,9 +123,9 @@
             result = PromoteAnswer(accepted=False, code=code.code, message=message)
             self._answer(call, result)
             return
-        self._node.system(Failover).promote(key, request.member, answer)
+        self._node.system(Failover).promote(key, request.member, on_answer)
 
-    @_carry_out.register
+    @_handle.register
     def _(self, request: DrainRequest, call: int) -> None:
         own = self._node.identity.name
         if request.host in ("", own):
@@ -147,16 +147,16 @@
         name = f"{self._node.identity.name}/{self._node.next_number()}"
         message = DrainCall(name, request.host, request.operator, request.limit)
         if not self._node.system(Membership).send_or_dial(request.host, message):
-            self._answer(call, _unknown_host(request.host, "is not known here"))
+            self._answer(call, _unreachable_host(request.host, "is unknown here"))
             return
-        self._drains[name] = call
-        self.timers.after(RELAY_TIMEOUT, self._give_up_drain, name, request.host)
+        self._relayed_drains[name] = call
+        self.timers.after(RELAY_TIMEOUT, self._on_relay_timeout, name, request.host)
 
-    def _give_up_drain(self, name: str, host: str) -> None:
-        call = self._drains.pop(name, None)
+    def _on_relay_timeout(self, name: str, host: str) -> None:
+        call = self._relayed_drains.pop(name, None)
         if call is not None:
-            why = "did not answer; it may have begun to drain, see its status"
-            self._answer(call, _unknown_host(host, why))
+            why = "did not answer; the host may be draining: check its status"
+            self._answer(call, _unreachable_host(host, why))
 
     def _on_drain_call(self, host: str, call: DrainCall) -> None:
         if call.host != self._node.identity.name:
@@ -168,7 +168,7 @@
         self._node.system(Membership).send(host, reply)
 
     def _on_drain_reply(self, host: str, reply: DrainReply) -> None:
-        call = self._drains.pop(reply.call, None)
+        call = self._relayed_drains.pop(reply.call, None)
         if call is not None:
             result = DrainAnswer(
                 accepted=reply.accepted, code=reply.code, message=reply.message
@@ -198,18 +198,18 @@
 
     def _not_found(self, name: str) -> ServicesListedAnswer:
         code = ErrorCode.SERVICE_NOT_FOUND
-        detail = "" if self._configuration.is_known else f" {_NOTHING_KNOWN}"
+        detail = "" if self._configuration.is_known else f" {_CONFIGURATION_UNKNOWN}"
         message = f"{code.meaning} {name!r}{detail}"
         return ServicesListedAnswer(code=code.code, message=message)
 
 
-_NOTHING_KNOWN = (
-    "This host knows no configuration yet: it has reached neither the platform nor "
-    "a peer that knows."
+_CONFIGURATION_UNKNOWN = (
+    "This host knows no configuration yet: it has reached neither the platform nor a "
+    "peer that knows the configuration."
 )
 
 
-def _unknown_host(host: str, why: str) -> DrainAnswer:
+def _unreachable_host(host: str, why: str) -> DrainAnswer:
     code = ErrorCode.UNKNOWN_HOST
     return DrainAnswer(
         accepted=False, code=code.code, message=f"{code.meaning} {host!r} {why}"
--- a/mallowpass/core/systems/status.py
+++ b/mallowpass/core/systems/status.py
@@ -1,4 +1,4 @@
-"""The state of this host and what it sees, read from its tables."""
+"""Status of this host and of the fleet as this host sees it, for operators."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 
 def status_of(node: Node) -> StatusAnswer:
-    """Return the status of a node; not known configuration has a code."""
+    """Return the status of a node; it has an error code without a configuration."""
     configuration = node.system(Configuration)
     tables = node.tables
     connections = _count_connections(node)
     return StatusAnswer(
         code="" if configuration.is_known else ErrorCode.PLATFORM_UNAVAILABLE.code,
-        message="" if configuration.is_known else _NOTHING_KNOWN,
+        message="" if configuration.is_known else _CONFIGURATION_UNKNOWN,
         host=node.identity.name,
         failure_domain=node.identity.failure_domain,
         draining=node.system(Draining).is_draining,
@@ -99,7 +99,7 @@
     from mallowpass.core.systems.pooling import Pooling
 
     report = row.report
-    opened, used = connections.get(row.address, (0, 0))
+    open_count, in_use = connections.get(row.address, (0, 0))
     return MemberStatus(
         name=row.name,
         failure_domain=row.member.failure_domain,
@@ -107,8 +107,8 @@
         term=report.term if report else 0,
         received=report.received.position if report else 0,
         applied=report.applied.position if report else 0,
-        connections_open=opened,
-        connections_used=used,
+        connections_open=open_count,
+        connections_used=in_use,
         connections_share=node.system(Pooling).share(row),
         report_age=node.timers.now - row.last_report_at if report else None,
         leaving=row.is_leaving,
@@ -124,7 +124,7 @@
     return counts
 
 
-_NOTHING_KNOWN = (
-    "no configuration is known yet: neither the platform nor a peer that knows was "
-    "reached since this host started"
+_CONFIGURATION_UNKNOWN = (
+    "no configuration is known yet: since its start this host has reached neither the "
+    "platform nor a peer that knows the configuration"
 )
--- a/tests/core/systems/test_draining.py
+++ b/tests/core/systems/test_draining.py
@@ -1,3 +1,5 @@
+"""Drains of hosts, at a shutdown or by an operator."""
+
 from __future__ import annotations
 
 from mallowpass.core import effects as out
@@ -13,8 +15,8 @@
 FIRST, OTHER, LAST = "casa-ainsebaa-0", "tanger-ksar-0", "agadir-anza-1"
 
 
-class Work:
-    """Stand in for Requests and Transactions."""
+class FakeWork:
+    """A fake of Requests and Transactions."""
 
     def __init__(self, host: Host) -> None:
         self.in_flight = 0
@@ -40,10 +42,10 @@
         self.stopped = True
 
 
-def started() -> tuple[Fleet, dict[str, Work]]:
+def started() -> tuple[Fleet, dict[str, FakeWork]]:
     fleet = Fleet()
     fleet.start_all()
-    work = {host.name: Work(host) for host in fleet.alive}
+    work = {host.name: FakeWork(host) for host in fleet.alive}
     fleet.run(3)
     return fleet, work
 
@@ -53,10 +55,10 @@
 
 
 def test_a_shutdown_cuts_off_no_request_in_flight():
-    """
-    Symptom: a caller's request has no answer after a rolling restart.
-    Sequence: the process is told to stop while a request waits for its endpoint.
-    Cause: the process ended when it was told to, or at the limit.
+    """A caller's request gets no answer during a rolling restart.
+
+    The process is shut down while a request waits for its endpoint. The process ended
+    at once, or at the limit of the drain.
     """
     fleet, works = started()
     host, work = fleet.hosts[FIRST], works[FIRST]
@@ -75,10 +77,10 @@
 
 
 def test_transactions_finish_or_are_rolled_back_at_the_limit():
-    """
-    Symptom: a drain never ends, or a caller can't tell whether its commit ran.
-    Sequence: a session keeps a transaction open past the limit.
-    Cause: the drain waited for it for ever, or cut its connection.
+    """A drain never ends, or a caller does not know whether its commit took effect.
+
+    A session keeps a transaction open past the limit. The drain waited for the
+    transaction without limit, or closed its connection.
     """
     fleet, works = started()
     work = works[FIRST]
@@ -93,7 +95,7 @@
     assert work.rolled_back == [7] and exited(fleet.hosts[FIRST])
 
 
-def test_an_idle_host_lingers_before_it_ends():
+def test_an_idle_host_waits_before_it_exits():
     fleet, _ = started()
     fleet.feed(FIRST, inn.ShutdownRequested(20.0))
     fleet.run(0.5)
@@ -102,7 +104,7 @@
     assert exited(fleet.hosts[FIRST])
 
 
-def test_a_request_that_never_finishes_does_not_hold_the_process_for_ever():
+def test_a_request_that_never_ends_does_not_prevent_the_exit():
     fleet, works = started()
     works[FIRST].in_flight = 1
     fleet.feed(FIRST, inn.ShutdownRequested(1.0))
@@ -123,7 +125,7 @@
     assert again.accepted and "already" in again.message
 
 
-def test_a_drain_of_a_host_that_cannot_be_reached_is_answered():
+def test_a_drain_of_an_unreachable_host_is_answered():
     fleet, _ = started()
     unknown = fleet.ask(FIRST, DrainRequest(host="nobody"))
     assert fleet.answer(FIRST, unknown).code == ErrorCode.UNKNOWN_HOST.code
--- a/tests/core/systems/test_operators.py
+++ b/tests/core/systems/test_operators.py
@@ -1,3 +1,5 @@
+"""Requests of operators: status, lists, explanations and promotions."""
+
 from __future__ import annotations
 
 from mallowpass.core.operations import (
@@ -16,8 +18,8 @@
 KEY = "claims-core/db-0"
 
 
-class Others:
-    """Stand in for Pooling and Failover."""
+class FakeSystems:
+    """A fake of Pooling and Failover."""
 
     def queued_count(self, key: str) -> int:
         return 3
@@ -33,7 +35,7 @@
     fleet = Fleet()
     fleet.start_all()
     for host in fleet.alive:
-        host.node._systems[Pooling] = host.node._systems[Failover] = Others()
+        host.node._systems[Pooling] = host.node._systems[Failover] = FakeSystems()
     fleet.run(3)
     call = fleet.change(FIRST, make_service(), 0, "c1")
     assert fleet.answer(FIRST, call).accepted
@@ -45,7 +47,7 @@
     return fleet.answer(host, fleet.ask(host, request))
 
 
-def test_status_tells_what_a_host_sees():
+def test_status_reports_what_a_host_knows():
     fleet = started()
     status = ask(fleet, OTHER, StatusRequest())
     assert status.code == "" and not status.draining
@@ -67,10 +69,10 @@
 
 
 def test_decisions_of_the_whole_fleet_are_collected_for_an_operator():
-    """
-    Symptom: "why was this request refused" finds nothing.
-    Sequence: the request came through another host than the one that is asked.
-    Cause: only the journal of the asked host was searched.
+    """An explanation of a refused request finds no decisions.
+
+    The request arrived at another host than the operator's. Only the journal of the
+    operator's host was searched.
     """
     fleet = started()
     fleet.hosts[LAST].node.record_decision("refusal", "caller-1/r17", "queue full")
@@ -83,14 +85,14 @@
     assert ask(fleet, FIRST, ExplainRequest(subject="x", name="")).code
 
 
-def test_a_host_that_does_not_answer_holds_no_explanation_up():
+def test_an_explanation_does_not_wait_for_silent_hosts():
     fleet = started()
     fleet.pause(LAST)
     answer = ask(fleet, FIRST, ExplainRequest(subject="database", name=KEY))
     assert LAST in answer.message
 
 
-def test_hand_overs_are_ordered_and_recorded():
+def test_promotions_are_ordered_and_recorded():
     fleet = started()
     request = {"operator": "amina", "service": "claims-core", "database": "db-0"}
     done = ask(fleet, FIRST, PromoteRequest(**request, member="m1"))
