--- a/mallowpass/core/systems/activity.py
+++ b/mallowpass/core/systems/activity.py
@@ -1,4 +1,4 @@
-"""Which databases this host uses, and so how closely their members are watched."""
+"""Activity of databases on this host, and the watch calls to their members."""
 
 from __future__ import annotations
 
@@ -14,86 +14,99 @@
 
 __all__ = ["STEWARD_COUNT", "Activity"]
 
-STEWARD_COUNT = 3  # so many hosts of the lowest ranks watch a group's primary closely
-RANK_REVIEW = 0.2
+# Hosts of the highest ranks that watch a group's primary closely.
+STEWARD_COUNT = 3
+RANK_REVIEW_DELAY = 0.2  # seconds after a host's state changed
 
 
 class Activity:
-    """Note each use of a database, and watch closely for a while after it."""
+    """Note each use of a database, and watch its members closely for a while after."""
 
-    __slots__ = ("_active", "_control", "_node", "_rank_review", "_turn", "_views")
+    __slots__ = (
+        "_active_databases",
+        "_control",
+        "_node",
+        "_rank_timer",
+        "_steward_rank",
+        "_views",
+    )
 
     def __init__(
         self,
         node: Node,
         control: ControlStreams,
         views: Mapping[str, GroupView],
-        turn: Callable[[DatabaseRow], int],
+        steward_rank: Callable[[DatabaseRow], int],
     ) -> None:
         self._node = node
         self._control = control
         self._views = views
-        self._turn = turn  # of this host among a group's stewards
-        self._active = 0  # databases in use
-        self._rank_review: Timer | None = None
+        self._steward_rank = steward_rank  # of this host for a group
+        self._active_databases = 0
+        self._rank_timer: Timer | None = None
 
     def note_read(self, view: GroupView) -> None:
-        """Note that positions of a database were asked for."""
+        """Note that a read needs log positions of a database."""
         view.last_read_at = self._node.timers.now
-        self._note(view)
+        self._mark_active(view)
 
     def note_write(self, view: GroupView, *, awaits_positions: bool) -> None:
-        """Note that a write waits for a majority, by asking for its place or not."""
+        """Note that a write waits for a majority.
+
+        `awaits_positions` is whether members are asked for the write's log position.
+        """
         now = self._node.timers.now
-        is_first = now - view.last_write_at > ACTIVE_TIME
+        was_idle = now - view.last_write_at > ACTIVE_TIME
         view.last_write_at = now
-        is_other_way = view.awaits_positions != awaits_positions
+        has_changed = view.awaits_positions != awaits_positions
         view.awaits_positions = awaits_positions
-        if is_first or is_other_way:
+        if was_idle or has_changed:
             self.update_watches(view)
-        self._note(view)
+        self._mark_active(view)
 
     def update_watches(self, view: GroupView) -> None:
-        """Have all members of a group report as often as is needed now."""
-        is_steward = self._turn(view.row) < STEWARD_COUNT
+        """Set how often each member of a group reports."""
+        is_steward = self._steward_rank(view.row) < STEWARD_COUNT
         for endpoint in view.row.endpoints.values():
-            watch = choose_watch(self._node, view, endpoint, is_steward, self._active)
+            watch = choose_watch(
+                self._node, view, endpoint, is_steward, self._active_databases
+            )
             self._control.add(endpoint, watch)
             self._control.watch(endpoint.address, watch)
 
     def forget(self, view: GroupView) -> None:
-        """Drop a database that is not served any more."""
+        """Drop a database that is no longer served."""
         if view.activity_timer is not None:
             view.activity_timer.cancel()
-            self._active -= 1
+            self._active_databases -= 1
 
     def on_hosts_changed(self, signal: HostStateChanged) -> None:
-        """Review this host's ranks soon: they may have moved."""
-        # Many hosts come and go together: one review for all.
-        if self._rank_review is None:
+        """Schedule a review of this host's ranks among stewards."""
+        # Many hosts start and stop together: one review covers all of them.
+        if self._rank_timer is None:
             review = self._review_ranks
-            self._rank_review = self._node.timers.after(RANK_REVIEW, review)
+            self._rank_timer = self._node.timers.after(RANK_REVIEW_DELAY, review)
 
-    def _note(self, view: GroupView) -> None:
+    def _mark_active(self, view: GroupView) -> None:
         if view.activity_timer is None:
-            self._active += 1
+            self._active_databases += 1
             view.activity_timer = self._node.timers.after(
-                ACTIVE_TIME, self._review, view
+                ACTIVE_TIME, self._review_activity, view
             )
             self.update_watches(view)
 
-    def _review(self, view: GroupView) -> None:
+    def _review_activity(self, view: GroupView) -> None:
         view.activity_timer = None
-        newest = max(view.last_read_at, view.last_write_at)
-        if self._node.timers.now - newest <= ACTIVE_TIME:
+        last_use = max(view.last_read_at, view.last_write_at)
+        if self._node.timers.now - last_use <= ACTIVE_TIME:
             view.activity_timer = self._node.timers.after(
-                ACTIVE_TIME, self._review, view
+                ACTIVE_TIME, self._review_activity, view
             )
         else:
-            self._active -= 1
+            self._active_databases -= 1
         self.update_watches(view)
 
     def _review_ranks(self) -> None:
-        self._rank_review = None
+        self._rank_timer = None
         for view in self._views.values():
             self.update_watches(view)
--- a/mallowpass/core/systems/controlstreams.py
+++ b/mallowpass/core/systems/controlstreams.py
@@ -1,4 +1,4 @@
-"""Control streams: one for each endpoint, renewed when they break or fall silent."""
+"""Control streams: one per endpoint, replaced when it is lost or silent."""
 
 from __future__ import annotations
 
@@ -14,15 +14,17 @@
 
 __all__ = ["ControlStreams", "ControlTraffic", "ReplyCallback"]
 
-BACKOFF_MIN = 0.05
+BACKOFF_MIN = 0.05  # seconds
 BACKOFF_MAX = 2.0
-# A silent endpoint is asked again after this share of its silence so far.
+# The next probe of a silent endpoint follows after this fraction of the time since its
+# last reply.
 PROBE_SHARE = 0.25
-# A stream is silent when a report is overdue by this share of the detection time.
-# It leaves half of that time for a fresh stream to prove that the endpoint lives.
+# A stream is silent when a report is overdue by this fraction of the detection time.
+# This leaves half of the detection time for a second stream to show that the endpoint
+# is alive.
 OVERDUE_SHARE = 0.25
-ROUND_TRIP_WEIGHT = 0.2
-# Typical sizes: message, gRPC prefix and HTTP/2 frame header, for the estimate.
+ROUND_TRIP_WEIGHT = 0.2  # weight of the newest measurement in the moving average
+# Typical sizes of a message with its gRPC prefix and HTTP/2 frame header.
 CALL_BYTES = 24
 REPLY_BYTES = 92
 
@@ -31,7 +33,7 @@
 
 @dataclass(slots=True)
 class ControlTraffic:
-    """Count what control streams cost; bytes are an estimate from typical sizes."""
+    """The traffic of control streams; its bytes are an estimate."""
 
     calls: int = 0
     replies: int = 0
@@ -39,121 +41,126 @@
 
     @property
     def bytes(self) -> int:
-        """Return the estimated bytes in both directions."""
+        """Return the bytes in both directions, estimated from typical sizes."""
         return self.calls * CALL_BYTES + self.replies * REPLY_BYTES
 
 
 @dataclass(slots=True)
-class _Pending:
+class _PendingCall:
+    """A call that has no reply yet."""
+
     call: ControlCall
     callback: ReplyCallback
     timer: Timer
 
 
 @dataclass(slots=True)
-class _Link:
-    """Hold the streams of one endpoint and the calls that wait for replies."""
+class _EndpointStreams:
+    """The streams of one endpoint and the calls that wait for replies."""
 
     endpoint: EndpointRow
     created_at: float
     watch: WatchCall
-    watched_at: float = float("-inf")  # silence before this was as agreed
-    watch_sent_at: float | None = None  # its first report is still to come
-    round_trip: float = float("inf")
-    current: int = 0
+    # Until then the endpoint was silent no longer than the previous watch allowed.
+    watched_at: float = float("-inf")
+    watch_sent_at: float | None = None  # until its first report arrives
+    round_trip: float = float("inf")  # seconds; inf: unknown
+    current: int = 0  # number of the stream in use, 0 for none
     is_open: bool = False
-    candidate: int = 0
+    candidate: int = 0  # number of the stream being opened to replace it, 0 for none
     candidate_at: float = 0.0
     failures: int = 0
-    pending: dict[int, _Pending] = field(default_factory=dict)
-    check: Timer | None = None
-    retry: Timer | None = None
+    pending: dict[int, _PendingCall] = field(default_factory=dict)
+    check_timer: Timer | None = None
+    retry_timer: Timer | None = None
 
 
 class ControlStreams:
-    """Keep a working control stream to each endpoint and match replies to calls."""
+    """Keep a control stream open to each endpoint, and match replies to calls."""
 
-    __slots__ = ("_links", "_node", "_on_reply", "_heard_since", "traffic")
+    __slots__ = ("_awake_since", "_by_address", "_node", "_on_reply", "traffic")
 
     def __init__(
         self,
         node: Node,
         on_reply: Callable[[EndpointRow, ControlReply], None],
-        heard_since: Callable[[], float],
+        awake_since: Callable[[], float],
     ) -> None:
         self._node = node
         self._on_reply = on_reply
-        self._heard_since = heard_since
-        self._links: dict[str, _Link] = {}
+        self._awake_since = awake_since
+        self._by_address: dict[str, _EndpointStreams] = {}
         self.traffic = ControlTraffic()
-        node.subscribe(ControlOpened, self._opened)
-        node.subscribe(ControlLost, self._lost)
-        node.subscribe(ControlReplied, self._replied)
+        node.subscribe(ControlOpened, self._on_opened)
+        node.subscribe(ControlLost, self._on_lost)
+        node.subscribe(ControlReplied, self._on_replied)
 
     # -- Endpoints -----------------------------------------------------------
 
     def add(self, endpoint: EndpointRow, watch: WatchCall) -> None:
-        """Open a stream to an endpoint that is in force from now on."""
-        link = self._links.get(endpoint.address)
-        if link is not None:
-            link.endpoint = endpoint
+        """Open a stream to an endpoint, and keep one open from now on."""
+        streams = self._by_address.get(endpoint.address)
+        if streams is not None:
+            streams.endpoint = endpoint
             return
-        link = _Link(endpoint, self._node.timers.now, watch)
-        self._links[endpoint.address] = link
-        self._open(link)
-        self._check(link)
+        streams = _EndpointStreams(endpoint, self._node.timers.now, watch)
+        self._by_address[endpoint.address] = streams
+        self._open(streams)
+        self._check(streams)
 
     def remove(self, address: str) -> None:
-        """Close the streams of an endpoint; calls in flight get no reply."""
-        link = self._links.pop(address, None)
-        if link is None:
+        """Close the streams of an endpoint; its calls in flight get None as reply."""
+        streams = self._by_address.pop(address, None)
+        if streams is None:
             return
-        for timer in (link.check, link.retry):
+        for timer in (streams.check_timer, streams.retry_timer):
             if timer is not None:
                 timer.cancel()
-        for stream in (link.current, link.candidate):
-            self._close(link, stream)
-        for sequence in list(link.pending):
-            self._give_up(link, sequence)
+        for stream in (streams.current, streams.candidate):
+            self._close(streams, stream)
+        for sequence in list(streams.pending):
+            self._fail_call(streams, sequence)
 
     def watch(self, address: str, watch: WatchCall) -> None:
         """Change how often an endpoint reports."""
-        link = self._links.get(address)
-        if link is None or link.watch == watch:
+        streams = self._by_address.get(address)
+        if streams is None or streams.watch == watch:
             return
-        if not self._is_silent(link):
-            # Under a slow watch an endpoint is quiet for long; that is no evidence
-            # once it is watched closely.
-            link.watched_at = self._node.timers.now
-        link.watch = watch
-        if link.is_open:
-            self._send_watch(link)
-        if link.check is not None:
-            link.check.cancel()
-        self._check(link)
+        if not self._is_silent(streams):
+            # With a longer report interval the endpoint was silent as agreed: the
+            # time until now must not count once its reports are more frequent.
+            streams.watched_at = self._node.timers.now
+        streams.watch = watch
+        if streams.is_open:
+            self._send_watch(streams)
+        if streams.check_timer is not None:
+            streams.check_timer.cancel()
+        self._check(streams)
 
     def time_since_reply(self, address: str) -> float:
-        """Return for how long nothing was heard of an endpoint, in seconds.
+        """Return the seconds since an endpoint's last reply.
 
-        Time before this host's own last pause does not count: whoever was
-        stopped himself cannot tell who else was silent.
+        Time before the end of this host's own last pause does not count: a paused
+        host reads no replies.
         """
-        link = self._links.get(address)
-        if link is None:
+        streams = self._by_address.get(address)
+        if streams is None:
             return 0.0
-        heard_at = link.endpoint.last_reply_at
-        since = max(heard_at, link.created_at, link.watched_at, self._heard_since())
+        last_reply_at = streams.endpoint.last_reply_at
+        since = max(
+            last_reply_at, streams.created_at, streams.watched_at, self._awake_since()
+        )
         return self._node.timers.now - since
 
     def report_interval(self, address: str) -> float:
-        """Return how long the watch alone may keep an endpoint quiet, in seconds."""
-        link = self._links.get(address)
-        return link.watch.interval if link is not None else 0.0
+        """Return the longest time between two reports of an endpoint, in seconds."""
+        streams = self._by_address.get(address)
+        return streams.watch.interval if streams is not None else 0.0
 
     def round_trip(self, address: str) -> float:
-        """Return how long an endpoint takes to answer, in seconds; inf: unknown."""
-        link = self._links.get(address)
-        return link.round_trip if link is not None else float("inf")
+        """Return the round-trip time to an endpoint in seconds, inf if unknown."""
+        streams = self._by_address.get(address)
+        return streams.round_trip if streams is not None else float("inf")
 
     # -- Calls ---------------------------------------------------------------
 
@@ -164,178 +171,185 @@
         callback: ReplyCallback,
         timeout: float,
     ) -> None:
-        """Make a control call; the callback gets None when no reply came in time.
+        """Make a control call; the callback gets None without a reply in time.
 
-        Without an open stream the call waits for one. It may go out twice, when
+        Without an open stream the call waits for one. A call may be sent twice, when
         a stream is replaced: all control calls are idempotent.
         """
-        link = self._links.get(address)
-        if link is None:
-            # Not at once: the caller may still be setting up what it counts on.
+        streams = self._by_address.get(address)
+        if streams is None:
+            # Not before this method returns: the calling code may still be setting
+            # up the state that its callback needs.
             self._node.timers.after(0.0, callback, None)
             return
         sequence = self._node.next_number()
-        timer = self._node.timers.after(timeout, self._give_up, link, sequence)
-        link.pending[sequence] = _Pending(call, callback, timer)
-        if link.is_open:
-            self._send(link, sequence, call)
+        timer = self._node.timers.after(timeout, self._fail_call, streams, sequence)
+        streams.pending[sequence] = _PendingCall(call, callback, timer)
+        if streams.is_open:
+            self._send(streams, sequence, call)
 
     def open_second_stream(self, address: str) -> None:
-        """Open a second stream beside one that may be silent for good."""
-        link = self._links.get(address)
-        if link is not None and not link.candidate:
-            self._open(link)
+        """Open a second stream beside one that may never carry a reply again."""
+        streams = self._by_address.get(address)
+        if streams is not None and not streams.candidate:
+            self._open(streams)
 
-    def _give_up(self, link: _Link, sequence: int) -> None:
-        pending = link.pending.pop(sequence, None)
+    def _fail_call(self, streams: _EndpointStreams, sequence: int) -> None:
+        pending = streams.pending.pop(sequence, None)
         if pending is None:
             return
         pending.timer.cancel()
         pending.callback(None)
 
-    def _send(self, link: _Link, sequence: int, call: ControlCall) -> None:
+    def _send(
+        self, streams: _EndpointStreams, sequence: int, call: ControlCall
+    ) -> None:
         self.traffic.calls += 1
-        address = link.endpoint.address
-        self._node.emit(SendControl(address, link.current, sequence, call))
+        address = streams.endpoint.address
+        self._node.emit(SendControl(address, streams.current, sequence, call))
 
-    def _send_watch(self, link: _Link) -> None:
-        link.endpoint.watch_sequence = self._node.next_number()
-        link.watch_sent_at = self._node.timers.now
-        self._send(link, link.endpoint.watch_sequence, link.watch)
+    def _send_watch(self, streams: _EndpointStreams) -> None:
+        streams.endpoint.watch_sequence = self._node.next_number()
+        streams.watch_sent_at = self._node.timers.now
+        self._send(streams, streams.endpoint.watch_sequence, streams.watch)
 
     # -- Opening and closing -------------------------------------------------
 
-    def _open(self, link: _Link) -> None:
-        link.retry = None
-        if link.candidate:
+    def _open(self, streams: _EndpointStreams) -> None:
+        streams.retry_timer = None
+        if streams.candidate:
             return
-        link.candidate = self._node.next_number()
-        link.candidate_at = self._node.timers.now
+        streams.candidate = self._node.next_number()
+        streams.candidate_at = self._node.timers.now
         self.traffic.opened += 1
-        address = link.endpoint.address
-        self._node.emit(OpenControl(address, link.candidate, self._open_timeout))
+        address = streams.endpoint.address
+        self._node.emit(OpenControl(address, streams.candidate, self._open_timeout))
 
-    def _close(self, link: _Link, stream: int) -> None:
+    def _close(self, streams: _EndpointStreams, stream: int) -> None:
         if stream:
-            self._node.emit(CloseControl(link.endpoint.address, stream))
+            self._node.emit(CloseControl(streams.endpoint.address, stream))
 
     @property
     def _open_timeout(self) -> float:
         return self._node.tuning.connect_timeout / 2
 
-    def _opened(self, event: ControlOpened) -> None:
-        link = self._links.get(event.address)
-        if link is None or event.stream != link.candidate:
+    def _on_opened(self, event: ControlOpened) -> None:
+        streams = self._by_address.get(event.address)
+        if streams is None or event.stream != streams.candidate:
             return
-        self._close(link, link.current)
-        link.current, link.candidate = link.candidate, 0
-        link.is_open = True
-        link.failures = 0
-        link.endpoint.control_stream = link.current
-        link.endpoint.is_control_open = True
-        self._send_watch(link)
-        for sequence, pending in list(link.pending.items()):
-            self._send(link, sequence, pending.call)
-
-    def _lost(self, event: ControlLost) -> None:
-        link = self._links.get(event.address)
-        if link is None:
+        self._close(streams, streams.current)
+        streams.current, streams.candidate = streams.candidate, 0
+        streams.is_open = True
+        streams.failures = 0
+        streams.endpoint.control_stream = streams.current
+        streams.endpoint.is_control_open = True
+        self._send_watch(streams)
+        for sequence, pending in list(streams.pending.items()):
+            self._send(streams, sequence, pending.call)
+
+    def _on_lost(self, event: ControlLost) -> None:
+        streams = self._by_address.get(event.address)
+        if streams is None:
             return
-        if event.stream == link.candidate:
-            link.candidate = 0
-        elif event.stream == link.current:
-            link.current = 0
-            link.is_open = False
-            link.endpoint.control_stream = 0
-            link.endpoint.is_control_open = False
+        if event.stream == streams.candidate:
+            streams.candidate = 0
+        elif event.stream == streams.current:
+            streams.current = 0
+            streams.is_open = False
+            streams.endpoint.control_stream = 0
+            streams.endpoint.is_control_open = False
         else:
             return
-        link.failures += 1
-        self._retry_later(link)
+        streams.failures += 1
+        self._retry_later(streams)
 
-    def _retry_later(self, link: _Link) -> None:
-        if link.retry is not None:
+    def _retry_later(self, streams: _EndpointStreams) -> None:
+        if streams.retry_timer is not None:
             return
-        highest = min(BACKOFF_MAX, BACKOFF_MIN * 2 ** min(link.failures, 10))
-        # Jitter: all hosts lose an endpoint at the same moment and would come
-        # back at the same moment, just when it starts again.
+        highest = min(BACKOFF_MAX, BACKOFF_MIN * 2 ** min(streams.failures, 10))
+        # Jitter: all hosts lose an endpoint at the same moment, and would otherwise
+        # reconnect at the same moment, just when the endpoint starts again.
         delay = self._node.random.uniform(BACKOFF_MIN / 2, highest)
-        link.retry = self._node.timers.after(delay, self._open_again, link)
+        streams.retry_timer = self._node.timers.after(delay, self._open_again, streams)
 
-    def _open_again(self, link: _Link) -> None:
-        link.retry = None
-        if not link.is_open or self._is_silent(link):
-            self._open(link)
+    def _open_again(self, streams: _EndpointStreams) -> None:
+        streams.retry_timer = None
+        if not streams.is_open or self._is_silent(streams):
+            self._open(streams)
 
-    # -- Silence -------------------------------------------------------------
+    # -- Checks of silent streams --------------------------------------------
 
-    def _is_silent(self, link: _Link) -> bool:
+    def _is_silent(self, streams: _EndpointStreams) -> bool:
         return (
-            self.time_since_reply(link.endpoint.address) >= self._overdue(link) - 1e-9
+            self.time_since_reply(streams.endpoint.address)
+            >= self._overdue_after(streams) - 1e-9
         )
 
-    def _overdue(self, link: _Link) -> float:
-        return link.watch.interval + self._node.tuning.detection * OVERDUE_SHARE
+    def _overdue_after(self, streams: _EndpointStreams) -> float:
+        return streams.watch.interval + self._node.tuning.detection * OVERDUE_SHARE
 
-    def _check(self, link: _Link) -> None:
-        """Try a fresh stream when the present one is silent; look again later.
+    def _check(self, streams: _EndpointStreams) -> None:
+        """Open a second stream if the current one is silent, and check again later.
 
-        Something between two ends may lose track of an open connection: it then
-        stays silent for good while new ones work. Without a fresh one beside it
-        a living primary would be taken for dead.
+        A middlebox may drop the state of an open connection, which then stays silent
+        for good while new connections work. Without a second stream, a healthy
+        primary would be suspected.
         """
-        if self._is_silent(link) and link.is_open:
-            self._probe_silent(link)
-        self._drop_stuck_candidate(link)
-        link.check = self._node.timers.after(self._check_delay(link), self._check, link)
-
-    def _check_delay(self, link: _Link) -> float:
-        """Return when to look again: ever more rarely while an endpoint is silent."""
-        silence = self.time_since_reply(link.endpoint.address)
+        if self._is_silent(streams) and streams.is_open:
+            self._probe(streams)
+        self._drop_stuck_candidate(streams)
+        streams.check_timer = self._node.timers.after(
+            self._seconds_to_check(streams), self._check, streams
+        )
+
+    def _seconds_to_check(self, streams: _EndpointStreams) -> float:
+        """Return the seconds until the next check, which grow with the silence."""
+        elapsed = self.time_since_reply(streams.endpoint.address)
         interval = self._node.tuning.probe_interval
-        left = self._overdue(link) - silence
-        return max(left, interval, min(silence * PROBE_SHARE, BACKOFF_MAX))
-
-    def _probe_silent(self, link: _Link) -> None:
-        self._send(link, self._node.next_number(), ProbeCall())
-        if link.retry is None:
-            self._open(link)
-
-    def _drop_stuck_candidate(self, link: _Link) -> None:
-        opened_for = self._node.timers.now - link.candidate_at
-        if link.candidate and opened_for > 2 * self._open_timeout:
-            self._close(link, link.candidate)
-            link.candidate = 0
-            link.failures += 1
-            self._retry_later(link)
+        left = self._overdue_after(streams) - elapsed
+        return max(left, interval, min(elapsed * PROBE_SHARE, BACKOFF_MAX))
+
+    def _probe(self, streams: _EndpointStreams) -> None:
+        self._send(streams, self._node.next_number(), ProbeCall())
+        if streams.retry_timer is None:
+            self._open(streams)
+
+    def _drop_stuck_candidate(self, streams: _EndpointStreams) -> None:
+        opened_for = self._node.timers.now - streams.candidate_at
+        if streams.candidate and opened_for > 2 * self._open_timeout:
+            self._close(streams, streams.candidate)
+            streams.candidate = 0
+            streams.failures += 1
+            self._retry_later(streams)
 
     # -- Replies -------------------------------------------------------------
 
-    def _replied(self, event: ControlReplied) -> None:
-        link = self._links.get(event.address)
-        if link is None or event.stream != link.current:
-            return  # of a stream that was replaced: older than what is known
+    def _on_replied(self, event: ControlReplied) -> None:
+        streams = self._by_address.get(event.address)
+        if streams is None or event.stream != streams.current:
+            return  # A replaced stream's reply is older than those of the current one.
         self.traffic.replies += 1
-        link.endpoint.last_reply_at = self._node.timers.now
-        if event.reply.sequence == link.endpoint.watch_sequence:
-            self._measure(link)
-        self._on_reply(link.endpoint, event.reply)
-        pending = link.pending.pop(event.reply.sequence, None)
+        streams.endpoint.last_reply_at = self._node.timers.now
+        if event.reply.sequence == streams.endpoint.watch_sequence:
+            self._measure_round_trip(streams)
+        self._on_reply(streams.endpoint, event.reply)
+        pending = streams.pending.pop(event.reply.sequence, None)
         if pending is not None:
             pending.timer.cancel()
             pending.callback(event.reply)
 
-    def _measure(self, link: _Link) -> None:
-        """Time a watch's first report, which is sent at once.
+    def _measure_round_trip(self, streams: _EndpointStreams) -> None:
+        """Measure the round trip of a watch call and its first report.
 
-        A pause makes one measure long; none is shorter than the way takes. So a
-        shorter one counts in full.
+        The endpoint sends that report at once. A pause of either end makes a
+        measurement too long, and nothing makes one too short: a shorter measurement
+        replaces the average.
         """
-        if link.watch_sent_at is None:
+        if streams.watch_sent_at is None:
             return
-        took = self._node.timers.now - link.watch_sent_at
-        link.watch_sent_at = None
-        if took < link.round_trip:
-            link.round_trip = took
+        elapsed = self._node.timers.now - streams.watch_sent_at
+        streams.watch_sent_at = None
+        if elapsed < streams.round_trip:
+            streams.round_trip = elapsed
         else:
-            link.round_trip += ROUND_TRIP_WEIGHT * (took - link.round_trip)
+            streams.round_trip += ROUND_TRIP_WEIGHT * (elapsed - streams.round_trip)
--- a/mallowpass/core/systems/followerrepair.py
+++ b/mallowpass/core/systems/followerrepair.py
@@ -1,4 +1,4 @@
-"""Members that follow nobody, a replaced primary, or are stranded in a higher term."""
+"""Repair of members that do not follow the primary or are in a higher term."""
 
 from __future__ import annotations
 
@@ -12,21 +12,26 @@
 
 __all__ = ["FollowerRepair"]
 
-FOLLOW_DELAY = 0.2  # seconds; whoever promoted tells the members itself, at once
-FOLLOW_GAP = 0.5
+# Seconds at most before a repair. The host that runs a promotion sends its own calls to
+# the members at once, so that most members need no repair.
+FOLLOW_DELAY = 0.2
+FOLLOW_INTERVAL = 0.5  # seconds at least between two calls to the same member
 
 
 class FollowerRepair:
-    """Bring one group's members back behind its primary; the first steward does."""
+    """Make the members of one group follow its primary.
+
+    Every host reviews reports, and only the group's first steward acts on them.
+    """
 
     __slots__ = (
+        "_follow_sent_at",
+        "_higher_term_since",
         "_liveness",
         "_node",
-        "_renew",
+        "_renew_term",
         "_row",
-        "_stranded_at",
         "_timers",
-        "_told_at",
     )
 
     def __init__(
@@ -34,44 +39,44 @@
         node: Node,
         liveness: Liveness,
         row: DatabaseRow,
-        renew: Callable[[], None],
+        renew_term: Callable[[], None],
     ) -> None:
         self._node = node
         self._liveness = liveness
         self._row = row
-        self._renew = renew
+        self._renew_term = renew_term
         self._timers: dict[str, Timer] = {}
-        self._told_at: dict[str, float] = {}
-        self._stranded_at: dict[str, float] = {}
+        self._follow_sent_at: dict[str, float] = {}
+        self._higher_term_since: dict[str, float] = {}
 
     def review(self, endpoint: EndpointRow, report: Report) -> None:
-        """Look at a member's report while there is a primary."""
+        """Check a member's report, and schedule a repair if necessary."""
         address = endpoint.address
         if address == self._row.primary:
             return
         if report.term > self._row.term:
-            self._strand(endpoint, report)
+            self._on_higher_term(endpoint, report)
             return
-        self._stranded_at.pop(address, None)
-        if self._is_astray(report) and address not in self._timers:
+        self._higher_term_since.pop(address, None)
+        if self._has_to_follow(report) and address not in self._timers:
             delay = self._node.random.uniform(FOLLOW_DELAY / 2, FOLLOW_DELAY)
-            timer = self._node.timers.after(delay, self._tell, endpoint)
+            timer = self._node.timers.after(delay, self._send_follow, endpoint)
             self._timers[address] = timer
 
     def forget(self, address: str) -> None:
-        """Drop what is kept of a member that was removed."""
+        """Drop the state of a member that was removed."""
         timer = self._timers.pop(address, None)
         if timer is not None:
             timer.cancel()
-        self._told_at.pop(address, None)
-        self._stranded_at.pop(address, None)
+        self._follow_sent_at.pop(address, None)
+        self._higher_term_since.pop(address, None)
 
     def stop(self) -> None:
-        """Drop all that is planned."""
+        """Cancel all scheduled repairs."""
         for address in list(self._timers):
             self.forget(address)
 
-    def _is_astray(self, report: Report) -> bool:
+    def _has_to_follow(self, report: Report) -> bool:
         primary = self._row.primary_row
         if primary is None or report.term > self._row.term:
             return False
@@ -82,40 +87,40 @@
     def _is_first(self) -> bool:
         return self._liveness.steward_rank(self._row) == 0
 
-    def _tell(self, endpoint: EndpointRow) -> None:
+    def _send_follow(self, endpoint: EndpointRow) -> None:
         self._timers.pop(endpoint.address, None)
         primary, report = self._row.primary_row, endpoint.report
-        if primary is None or report is None or not self._is_astray(report):
+        if primary is None or report is None or not self._has_to_follow(report):
             return
         now = self._node.timers.now
-        told_at = self._told_at.get(endpoint.address, float("-inf"))
-        if now - told_at < FOLLOW_GAP or not self._is_first:
+        sent_at = self._follow_sent_at.get(endpoint.address, float("-inf"))
+        if now - sent_at < FOLLOW_INTERVAL or not self._is_first:
             return
-        self._told_at[endpoint.address] = now
+        self._follow_sent_at[endpoint.address] = now
         term = self._row.term
-        text = f"{endpoint.name} is to follow {primary.name} in term {term}"
+        text = f"{endpoint.name} has to follow {primary.name} in term {term}"
         self._node.record_decision("follow", self._row.key, text)
         call = FollowCall(term, primary.name, primary.address)
         timeout = self._node.tuning.promise_timeout
         self._liveness.control_call(endpoint.address, call, _ignore, timeout)
 
-    def _strand(self, endpoint: EndpointRow, report: Report) -> None:
-        """Renew the primary's term when a member is stranded in a higher one.
+    def _on_higher_term(self, endpoint: EndpointRow, report: Report) -> None:
+        """Renew the primary's term when a member stays in a higher term.
 
-        A promotion that failed half-way leaves members that promised its term:
-        they refuse the primary's entries for good, and the group has one copy
-        less, until a term above theirs begins.
+        A promotion that failed half-way leaves members that have promised its term.
+        Such a member refuses the primary's log entries, and the group has one copy
+        less, until a term above the member's begins.
         """
         now = self._node.timers.now
-        since = self._stranded_at.setdefault(endpoint.address, now)
-        patience = self._node.tuning.promotion_hold_down
-        if now - since < patience or not self._is_first:
+        since = self._higher_term_since.setdefault(endpoint.address, now)
+        hold_down = self._node.tuning.promotion_hold_down
+        if now - since < hold_down or not self._is_first:
             return
-        self._stranded_at.clear()
-        text = f"{endpoint.name} is stranded in term {report.term}"
+        self._higher_term_since.clear()
+        text = f"{endpoint.name} stays in the higher term {report.term}"
         self._node.record_decision("renewal", self._row.key, text)
-        self._renew()
+        self._renew_term()
 
 
 def _ignore(reply: ControlReply | None) -> None:
-    """Leave a reply to the report in it, which liveness takes anyway."""
+    """Ignore a reply: Liveness handles the report in it."""
--- a/mallowpass/core/systems/majoritywaits.py
+++ b/mallowpass/core/systems/majoritywaits.py
@@ -1,4 +1,4 @@
-"""Waits for a majority to hold a place, and the notice that none holds more."""
+"""Waits of writes until a majority of a group's members holds a log position."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
 
 
 class MajorityWaits:
-    """Queue the waits of one group, and ask its members for what they wait for."""
+    """Queue the waits of one group, and ask its members for the awaited positions.
+
+    Publish MajorityPositionStalled when writes wait and the majority position does not
+    advance.
+    """
 
     __slots__ = ("_awaits", "_node", "_view")
 
@@ -24,50 +28,52 @@
 
     @property
     def awaits_positions(self) -> bool:
-        """Tell whether members should be asked for places, not watched."""
+        """Return whether members are asked for positions instead of watched closely."""
         return self._awaits.is_as_fast_as_watching
 
     @property
     def is_stalled(self) -> bool:
-        """Tell whether writes wait while what a majority holds stands still."""
+        """Return whether writes wait and the majority position does not advance."""
         return self._view.is_stalled and self._view.is_awaited
 
     def add(self, waiter: MajorityWaiter) -> None:
-        """Resolve a wait once it is known how it ends; maybe at once."""
+        """Add a wait, which is resolved once its outcome is known, maybe at once."""
         view = self._view
         if view.is_held_by_majority(waiter.position):
             waiter.resolve(True)
             return
         view.wait(waiter)
         view.resolve_waiters()
-        self._expect_progress()
+        self._schedule_progress_check()
         if view.awaits_positions:
             self._awaits.request(view.highest_awaited)
 
     def stop(self) -> None:
-        """Ask nothing more; all waits end without a majority."""
+        """Stop asking members, and fail all waits."""
         self._awaits.stop()
         self._view.fail_waiters()
 
-    def _expect_progress(self) -> None:
-        """Notice when writes wait and no majority holds more for a while.
+    def _schedule_progress_check(self) -> None:
+        """Check later whether the majority position has advanced.
 
-        A primary that has lost its replicas answers writes and reports as ever. One
-        sees each of them end UNKNOWN at its deadline.
+        A primary that has lost its replicas still answers writes and sends reports,
+        but each write ends as UNKNOWN at its deadline.
         """
         view = self._view
         if view.stall_timer is None:
             delay = self._node.tuning.probe_interval
             held = view.row.majority_position
-            view.stall_timer = self._node.timers.after(delay, self._review, held)
+            view.stall_timer = self._node.timers.after(
+                delay, self._check_progress, held
+            )
 
-    def _review(self, before: LogPosition) -> None:
+    def _check_progress(self, previous: LogPosition) -> None:
         view = self._view
         view.stall_timer = None
         if not view.is_awaited:
             view.is_stalled = False
             return
-        if view.row.majority_position == before and not view.is_stalled:
+        if view.row.majority_position == previous and not view.is_stalled:
             view.is_stalled = True
             self._node.publish(MajorityPositionStalled(view.row.key))
-        self._expect_progress()
+        self._schedule_progress_check()
--- a/mallowpass/core/systems/watchintervals.py
+++ b/mallowpass/core/systems/watchintervals.py
@@ -1,4 +1,4 @@
-"""How closely a member is watched: as closely as its reports are needed."""
+"""Choice of how often a member of a group sends reports to this host."""
 
 from __future__ import annotations
 
@@ -9,48 +9,50 @@
 
 __all__ = ["ACTIVE_TIME", "detection_margin", "choose_watch"]
 
-# A database that this host did not use for so long is watched as an idle one.
-ACTIVE_TIME = 2.0
+# Intervals are the longest times between two reports, and gaps the shortest; seconds.
+ACTIVE_TIME = 2.0  # seconds after its last use until a database counts as idle
 IDLE_INTERVAL = 2.0
 IDLE_GAP = 1.0
 READ_INTERVAL = 0.5
 READ_GAP = 0.05
-# So many databases in use at once are watched at full pace; more share it.
-CROWD = 4
+# Databases in use that are watched at the full rate; more databases share that rate.
+FULL_RATE_DATABASES = 4
 
 
 def choose_watch(
     node: Node, view: GroupView, endpoint: EndpointRow, is_steward: bool, active: int
 ) -> WatchCall:
-    """Choose how often a member reports; `active` databases are in use at this host.
+    """Return the watch call for a member; `active` is the number of databases in use.
 
-    All hosts watching all members closely would cost more than the whole control
-    budget: only who waits for positions needs each move of them, and only a primary
-    that stewards or callers of this host depend on has to be found silent at once.
+    If all hosts watched all members closely, the control traffic would exceed its
+    whole budget. Only a host that waits for log positions needs each new one, and only
+    the silence of a primary that stewards or callers of this host depend on has to be
+    detected at once.
     """
     now, tuning = node.timers.now, node.tuning
-    crowding = max(1.0, active / CROWD)
-    pace = min(READ_INTERVAL * crowding, IDLE_INTERVAL)
+    slowdown = max(1.0, active / FULL_RATE_DATABASES)
+    interval = min(READ_INTERVAL * slowdown, IDLE_INTERVAL)
     is_primary = endpoint.address == view.row.primary or not view.row.primary
     if is_primary and is_steward:
-        pace = tuning.probe_interval
-    # Before the silence is long enough for a promotion: the first question comes then,
-    # and the one that counts finds it long enough.
+        interval = tuning.probe_interval
+    # Members report a silent primary before the detection time. The first round of
+    # probes follows at that time, and by the decisive round the primary has been
+    # silent for the whole detection time.
     silence = tuning.detection - detection_margin(tuning)
     if now - view.last_write_at <= ACTIVE_TIME and not view.awaits_positions:
-        return WatchCall(pace, tuning.report_gap, silence)
+        return WatchCall(interval, tuning.report_gap, silence)
     if not view.row.primary:
-        # Writes are held: the report of a new primary must not wait for a gap.
-        return WatchCall(pace, tuning.report_gap, silence)
+        # Writes wait for a primary: the report of a new one must not be delayed.
+        return WatchCall(interval, tuning.report_gap, silence)
     if now - view.last_read_at <= ACTIVE_TIME:
-        return WatchCall(pace, min(READ_GAP * crowding, IDLE_GAP), silence)
+        return WatchCall(interval, min(READ_GAP * slowdown, IDLE_GAP), silence)
     if now - view.last_write_at <= ACTIVE_TIME:
-        return WatchCall(pace, pace, silence)
+        return WatchCall(interval, interval, silence)
     if not (is_primary and is_steward):
-        pace = IDLE_INTERVAL
-    return WatchCall(pace, IDLE_GAP, silence)
+        interval = IDLE_INTERVAL
+    return WatchCall(interval, IDLE_GAP, silence)
 
 
 def detection_margin(tuning: Tuning) -> float:
-    """Return how long before the detection time a member's silence is looked into."""
+    """Return how many seconds before the detection time a silent member is checked."""
     return min(2 * tuning.probe_interval, tuning.detection / 2)
