--- a/mallowpass/core/systems/changes.py
+++ b/mallowpass/core/systems/changes.py
@@ -2,8 +2,8 @@
 
 A change is a conditional write of one row. The platform's answer may be lost after
 the write took effect. The row therefore records the ids of its latest changes: reading
-it back shows the outcome of the write, and a change that is sent again takes effect
-only once.
+it back shows the outcome of a write, and a change that is sent again takes effect only
+once.
 """
 
 from __future__ import annotations
@@ -191,7 +191,8 @@
             self._write(current)
         else:
             self._finish(
-                ErrorCode.PLATFORM_ANSWER_AMBIGUOUS, "no attempt has succeeded"
+                ErrorCode.PLATFORM_ANSWER_AMBIGUOUS,
+                "the row lacks the change after all attempts",
             )
 
     def _answer_from(self, current: ServiceVersion | None) -> None:
--- a/mallowpass/core/systems/operators.py
+++ b/mallowpass/core/systems/operators.py
@@ -63,8 +63,8 @@
     def _on_requested(self, event: OperatorRequested) -> None:
         self._handle(event.request, event.call)
 
-    def _answer(self, call: int, on_answer: OperatorAnswer) -> None:
-        self._node.emit(AnswerOperator(call, on_answer))
+    def _answer(self, call: int, answer: OperatorAnswer) -> None:
+        self._node.emit(AnswerOperator(call, answer))
 
     # -- Requests ------------------------------------------------------------
 
--- a/tests/core/systems/test_configuration.py
+++ b/tests/core/systems/test_configuration.py
@@ -142,9 +142,9 @@
 def test_a_change_during_an_outage_can_be_repeated_safely():
     """A change whose outcome was unknown is applied twice.
 
-    Its answer is lost, the platform goes down, and another host accepts a later change
-    before the operator repeats the first one. Only the id of the newest change was
-    recorded.
+    The answer to the change is lost, the platform goes down, and another host accepts a
+    later change before the operator repeats the first one. Only the id of the newest
+    change was recorded.
     """
     fleet = started()
     fleet.platform.faults.append("lose")
--- a/tests/core/systems/test_membership.py
+++ b/tests/core/systems/test_membership.py
@@ -78,8 +78,8 @@
 def test_two_hosts_that_dial_each_other_keep_one_link(peer, own_first):
     """Two hosts lose their link repeatedly, and notices with it.
 
-    Both dial each other at once, and greetings arrive in a different order at each end.
-    Each end kept the link of its last greeting.
+    The hosts dial each other at once, and greetings arrive in a different order at each
+    end. Each end kept the link of the last greeting.
     """
     fleet = Fleet((1, 1))
     dialled: list[int] = []
@@ -99,7 +99,7 @@
     for link in links if own_first else reversed(links):
         greeting = Greeting(peer, DOMAINS[1], 0, "10.0.1.1:7000", 9)
         fleet.feed(FIRST, inn.PeerMessageReceived(link, greeting))
-    # The link that the host with the lower name made stays.
+    # The link that the host with the lower name dialled is kept.
     assert closed == [links[0] if peer < FIRST else links[1]]
 
 
