--- a/mallowpass/core/systems/activity.py
+++ b/mallowpass/core/systems/activity.py
@@ -39,16 +39,16 @@
 
     def note_read(self, view: GroupView) -> None:
         """Note that positions of a database were asked for."""
-        view.read_at = self._node.timers.now
+        view.last_read_at = self._node.timers.now
         self._note(view)
 
-    def note_write(self, view: GroupView, *, awaits_places: bool) -> None:
+    def note_write(self, view: GroupView, *, awaits_positions: bool) -> None:
         """Note that a write waits for a majority, by asking for its place or not."""
         now = self._node.timers.now
-        is_first = now - view.written_at > ACTIVITY
-        view.written_at = now
-        is_other_way = view.awaits_places != awaits_places
-        view.awaits_places = awaits_places
+        is_first = now - view.last_write_at > ACTIVITY
+        view.last_write_at = now
+        is_other_way = view.awaits_positions != awaits_positions
+        view.awaits_positions = awaits_positions
         if is_first or is_other_way:
             self.watch(view)
         self._note(view)
@@ -63,8 +63,8 @@
 
     def forget(self, view: GroupView) -> None:
         """Drop a database that is not served any more."""
-        if view.activity is not None:
-            view.activity.cancel()
+        if view.activity_timer is not None:
+            view.activity_timer.cancel()
             self._active -= 1
 
     def hosts_changed(self, signal: HostStateChanged) -> None:
@@ -75,16 +75,16 @@
             self._rank_review = self._node.timers.after(RANK_REVIEW, review)
 
     def _note(self, view: GroupView) -> None:
-        if view.activity is None:
+        if view.activity_timer is None:
             self._active += 1
-            view.activity = self._node.timers.after(ACTIVITY, self._review, view)
+            view.activity_timer = self._node.timers.after(ACTIVITY, self._review, view)
             self.watch(view)
 
     def _review(self, view: GroupView) -> None:
-        view.activity = None
-        newest = max(view.read_at, view.written_at)
+        view.activity_timer = None
+        newest = max(view.last_read_at, view.last_write_at)
         if self._node.timers.now - newest <= ACTIVITY:
-            view.activity = self._node.timers.after(ACTIVITY, self._review, view)
+            view.activity_timer = self._node.timers.after(ACTIVITY, self._review, view)
         else:
             self._active -= 1
         self.watch(view)
--- a/mallowpass/core/systems/proving.py
+++ b/mallowpass/core/systems/busychecks.py
@@ -12,14 +12,14 @@
 from mallowpass.core.systems.poolpart import PoolPart
 from mallowpass.core.tables import ConnectionRow
 
-__all__ = ["FIRST_PROOF", "Proving"]
+__all__ = ["FIRST_BUSY_SEQUENCE", "BusyChecks"]
 
-FIRST_PROOF = 1 << 62  # calls that requests wait for have sequences below this
+FIRST_BUSY_SEQUENCE = 1 << 62  # calls that requests wait for have sequences below this
 REPEATED = 1.0  # seconds for which an answered keep-alive counts, at least
 CHECKS_PER_LIFE = 3  # on borrowed connections, in their time to live
 
 
-class Proving(PoolPart):
+class BusyChecks(PoolPart):
     """Have connections prove themselves beside the call that they owe an answer to."""
 
     __slots__ = ()
@@ -45,7 +45,7 @@
 
     # -- When a call is not answered -------------------------------------------
 
-    def overdue(self, pool: EndpointPool, number: int) -> None:
+    def on_overdue(self, pool: EndpointPool, number: int) -> None:
         """Ask a connection that owes an answer for half of the silence."""
         connection = self._connections.get(number)
         if connection is None:
@@ -58,7 +58,7 @@
         if self._is_able(pool) and not proof.outstanding:
             self._ask(pool, connection, proof)
 
-    def still_late(self, pool: EndpointPool, number: int) -> None:
+    def on_still_overdue(self, pool: EndpointPool, number: int) -> None:
         """Give up a connection that did not prove itself in the other half."""
         connection = self._connections.get(number)
         if connection is None or number not in pool.answering:
@@ -88,14 +88,14 @@
             # Its call was given up, and is not waited for, however well it is.
             pool.checking.remove(number)
 
-    def forget(self, pool: EndpointPool, number: int) -> None:
+    def discard(self, pool: EndpointPool, number: int) -> None:
         """Let go of a call that was answered, or whose connection is gone."""
         pool.proofs.pop(number, None)
         pool.late.remove(number)
 
     # -- Borrowed connections --------------------------------------------------
 
-    def keep_borrowed(self, pool: EndpointPool) -> None:
+    def extend_borrowed(self, pool: EndpointPool) -> None:
         """Prolong the short life of borrowed connections with a long statement."""
         if not self._is_able(pool):
             return
@@ -123,7 +123,7 @@
         if expires <= now:
             return
         connection.expires = expires
-        proof.sequence = FIRST_PROOF + self._node.number()
+        proof.sequence = FIRST_BUSY_SEQUENCE + self._node.number()
         proof.asked_at = now
         proof.answered = False
         self._node.emit(
--- a/mallowpass/core/systems/closing.py
+++ b/mallowpass/core/systems/closing.py
@@ -81,7 +81,7 @@
         pool.pinned.pop(number, None)
         pool.deferred.pop(number, None)
         pool.answering.remove(number)
-        self._pooling.proving.forget(pool, number)
+        self._pooling.busy_checks.discard(pool, number)
         pool.checking.remove(number)
         pool.opening.remove(number)
         pool.internal.pop(number, None)
--- a/mallowpass/core/systems/failover.py
+++ b/mallowpass/core/systems/failover.py
@@ -53,12 +53,15 @@
 
     # -- For other systems ---------------------------------------------------
 
-    def suspicion(self, address: str, why: str) -> None:
+    def probe_primary(self, address: str, why: str) -> None:
         """Take a hint of the request path: look at an endpoint on a fresh stream."""
         group = self._group_of(address)
         if group is None or address != group.row.primary:
             return
-        if self._liveness.silence(address) < self._node.tuning.probe_interval / 2:
+        if (
+            self._liveness.time_since_reply(address)
+            < self._node.tuning.probe_interval / 2
+        ):
             return
         name = group.row.primary_row.name
         self._node.decide("hint", group.row.key, f"{name}: {why}")
--- a/mallowpass/core/systems/followers.py
+++ b/mallowpass/core/systems/followers.py
@@ -80,7 +80,7 @@
 
     @property
     def _is_first(self) -> bool:
-        return self._liveness.steward_turn(self._row) == 0
+        return self._liveness.steward_rank(self._row) == 0
 
     def _tell(self, endpoint: EndpointRow) -> None:
         self._timers.pop(endpoint.address, None)
--- a/mallowpass/core/systems/groupfailover.py
+++ b/mallowpass/core/systems/groupfailover.py
@@ -7,11 +7,11 @@
 from mallowpass.core.calls import Report
 from mallowpass.core.node import Node
 from mallowpass.core.systems.followers import Followers
-from mallowpass.core.systems.handover import HandOver
 from mallowpass.core.systems.isolation import Isolation
 from mallowpass.core.systems.liveness import Liveness
 from mallowpass.core.systems.promotion import Promotion, PromotionResult
 from mallowpass.core.systems.suspicion import Confirmation, Finding, Verdict
+from mallowpass.core.systems.switchover import SwitchoverPlanner
 from mallowpass.core.systems.turns import Turn
 from mallowpass.core.systems.watching import silence_margin
 from mallowpass.core.tables import DatabaseRow, EndpointRow, GroupState
@@ -64,7 +64,7 @@
         self._liveness = liveness
         self._announce = announce
         self._followers = Followers(node, liveness, row, self._renew)
-        self._hand_over = HandOver(node, liveness, row, self._begin_hand_over)
+        self._hand_over = SwitchoverPlanner(node, liveness, row, self._begin_hand_over)
         self._isolation = Isolation(node, liveness, row)
         self._turn = Turn(node, liveness, row)
         self._created_at = node.timers.now
@@ -164,7 +164,7 @@
         """Ask again at once when a majority is back after a partition."""
         detection = self._node.tuning.detection
         heard = sum(
-            self._liveness.silence(address) < detection
+            self._liveness.time_since_reply(address) < detection
             for address in self.row.endpoints
         )
         if heard >= self.row.definition.majority and self._confirmation is None:
@@ -208,7 +208,7 @@
     def _overdue_in(self) -> float:
         """Return in how many seconds the primary counts as silent."""
         if self._suspect:
-            silence = self._liveness.silence(self._suspect)
+            silence = self._liveness.time_since_reply(self._suspect)
             is_known = bool(self.row.primary)
         else:
             since = max(self._created_at, self._liveness.awake_since)
@@ -242,7 +242,7 @@
         if self._noted is None and row.state is not GroupState.SUSPECTED:
             self._node.count("suspicions", database=row.key)
         if row.primary:
-            silence = self._liveness.silence(self._suspect)
+            silence = self._liveness.time_since_reply(self._suspect)
             why = f"{row.primary_row.name} is silent for {silence:.3f}s"
             self._node.decide("suspicion", row.key, why)
             self._node.log("warning", "primary_suspected", database=row.key, why=why)
--- a/mallowpass/core/systems/groupview.py
+++ b/mallowpass/core/systems/groupview.py
@@ -13,14 +13,14 @@
 from mallowpass.core.tables import DatabaseRow, EndpointRow
 from mallowpass.core.timers import Timer
 
-__all__ = ["GroupView", "HeldWaiter", "MemberView"]
+__all__ = ["GroupView", "MajorityWaiter", "MemberView"]
 
 MARKS_KEPT = 256
 MARK_GAP = 0.002
 LAG_WEIGHT = 0.2
 
 
-class HeldWaiter:
+class MajorityWaiter:
     """Wait for a majority to hold a position; cancelling it is cheap."""
 
     __slots__ = ("_callback", "position")
@@ -64,23 +64,25 @@
     # When this host first saw a position received anywhere, oldest first.
     marks: deque[tuple[float, LogPosition]] = field(default_factory=deque)
     last_primary: str = ""
-    written_at: float = float("-inf")  # this host last waited for a majority
-    awaits_places: bool = False  # of its writes, in place of watching all moves
-    awaited: LogPosition = ZERO_POSITION  # the highest that was ever waited for
-    read_at: float = float("-inf")  # this host last asked for positions
+    last_write_at: float = float("-inf")  # this host last waited for a majority
+    awaits_positions: bool = False  # of its writes, in place of watching all moves
+    highest_awaited: LogPosition = ZERO_POSITION  # the highest that was ever waited for
+    last_read_at: float = float("-inf")  # this host last asked for positions
     primary_at: float = float("-inf")  # a primary of row.term last reported
-    activity: Timer | None = None
+    activity_timer: Timer | None = None
     # The primary may be heard, but no majority can hold what it takes.
     is_barred: bool = False
     minority_since: float | None = None  # no majority of members is heard
-    stall: Timer | None = None
-    stalled: bool = False  # writes wait, and `held` stands still
-    _waiters: list[tuple[LogPosition, int, HeldWaiter]] = field(default_factory=list)
+    stall_timer: Timer | None = None
+    is_stalled: bool = False  # writes wait, and `held` stands still
+    _waiters: list[tuple[LogPosition, int, MajorityWaiter]] = field(
+        default_factory=list
+    )
     _counter: itertools.count[int] = field(default_factory=itertools.count)
 
     # -- Terms ---------------------------------------------------------------
 
-    def overtaken_by(self, position: LogPosition) -> LogPosition | None:
+    def dropped_by(self, position: LogPosition) -> LogPosition | None:
         """Return the start of the term that dropped a position from the newest log."""
         return self.history.dropped_by(position, self.row.term)
 
@@ -124,7 +126,7 @@
             return False
         return self._count(address, applied.position)
 
-    def majority_held(self) -> LogPosition:
+    def compute_majority_position(self) -> LogPosition:
         """Return the highest place of the present term that a majority holds."""
         majority = self.row.definition.majority
         if len(self.holders) < majority:
@@ -135,7 +137,7 @@
     def begin_term(self, now: float) -> None:
         """Count from new who holds what: a primary of another term leads."""
         self.primary_at = now
-        self.is_barred = self.stalled = False
+        self.is_barred = self.is_stalled = False
         self.minority_since = None
         self.holders.clear()
         for member in self.row.endpoints.values():
@@ -147,9 +149,9 @@
         """Tell whether anybody waits for a majority."""
         return any(waiter.is_waiting for _, _, waiter in self._waiters)
 
-    def wait(self, waiter: HeldWaiter) -> None:
+    def wait(self, waiter: MajorityWaiter) -> None:
         """Queue a waiter by its position."""
-        self.awaited = max(self.awaited, waiter.position)
+        self.highest_awaited = max(self.highest_awaited, waiter.position)
         heapq.heappush(self._waiters, (waiter.position, next(self._counter), waiter))
 
     def resolve_waiters(self) -> None:
@@ -160,7 +162,7 @@
         """
         while self._waiters and self._waiters[0][0] <= self.row.held:
             waiter = heapq.heappop(self._waiters)[2]
-            waiter.resolve(self.is_held(waiter.position))
+            waiter.resolve(self.is_held_by_majority(waiter.position))
 
     def fail_waiters(self) -> None:
         """Tell all waiters that nothing more will be known."""
@@ -168,7 +170,7 @@
         for _, _, waiter in waiters:
             waiter.resolve(False)
 
-    def is_held(self, position: LogPosition) -> bool:
+    def is_held_by_majority(self, position: LogPosition) -> bool:
         """Tell whether a majority is known to hold a position of its own term."""
         held = self.row.held
         return held.term == position.term and held.position >= position.position
--- a/mallowpass/core/systems/heldwaits.py
+++ b/mallowpass/core/systems/heldwaits.py
@@ -7,7 +7,7 @@
 from mallowpass.core.signals import HeldStalled
 from mallowpass.core.systems.awaiting import PlaceAwaits
 from mallowpass.core.systems.controlstreams import ControlStreams
-from mallowpass.core.systems.groupview import GroupView, HeldWaiter
+from mallowpass.core.systems.groupview import GroupView, MajorityWaiter
 
 __all__ = ["HeldWaits"]
 
@@ -23,26 +23,26 @@
         self._awaits = PlaceAwaits(node, control, view)
 
     @property
-    def awaits_places(self) -> bool:
+    def awaits_positions(self) -> bool:
         """Tell whether members should be asked for places, not watched."""
         return self._awaits.are_as_fast
 
     @property
     def is_stalled(self) -> bool:
         """Tell whether writes wait while what a majority holds stands still."""
-        return self._view.stalled and self._view.is_awaited
+        return self._view.is_stalled and self._view.is_awaited
 
-    def add(self, waiter: HeldWaiter) -> None:
+    def add(self, waiter: MajorityWaiter) -> None:
         """Resolve a wait once it is known how it ends; maybe at once."""
         view = self._view
-        if view.is_held(waiter.position):
+        if view.is_held_by_majority(waiter.position):
             waiter.resolve(True)
             return
         view.wait(waiter)
         view.resolve_waiters()
         self._expect_progress()
-        if view.awaits_places:
-            self._awaits.want(view.awaited)
+        if view.awaits_positions:
+            self._awaits.want(view.highest_awaited)
 
     def stop(self) -> None:
         """Ask nothing more; all waits end without a majority."""
@@ -56,18 +56,18 @@
         sees each of them end UNKNOWN at its deadline.
         """
         view = self._view
-        if view.stall is None:
+        if view.stall_timer is None:
             delay = self._node.tuning.probe_interval
             held = view.row.held
-            view.stall = self._node.timers.after(delay, self._review, held)
+            view.stall_timer = self._node.timers.after(delay, self._review, held)
 
     def _review(self, before: LogPosition) -> None:
         view = self._view
-        view.stall = None
+        view.stall_timer = None
         if not view.is_awaited:
-            view.stalled = False
+            view.is_stalled = False
             return
-        if view.row.held == before and not view.stalled:
-            view.stalled = True
+        if view.row.held == before and not view.is_stalled:
+            view.is_stalled = True
             self._node.publish(HeldStalled(view.row.key))
         self._expect_progress()
--- a/mallowpass/core/systems/hosts.py
+++ b/mallowpass/core/systems/hosts.py
@@ -17,7 +17,7 @@
 from mallowpass.core.signals import HostStateChanged
 from mallowpass.core.tables import HostRow, HostState
 
-__all__ = ["HostTable", "notice_of", "rendezvous"]
+__all__ = ["HostTable", "make_notice", "rendezvous_weight"]
 
 BUCKETS = 64
 FORGET_AFTER = 900.0  # seconds; longer than the platform's list lags
@@ -32,12 +32,12 @@
 _LIVE = frozenset({HostState.ALIVE, HostState.SUSPECTED})
 
 
-def rendezvous(key: str, host: str) -> int:
+def rendezvous_weight(key: str, host: str) -> int:
     """Return the weight of a host for a key; the highest weight ranks first."""
     return xxhash.xxh64_intdigest(f"{key}\0{host}".encode())
 
 
-def notice_of(row: HostRow) -> HostNotice:
+def make_notice(row: HostRow) -> HostNotice:
     """Return a row as a notice for peers."""
     return HostNotice(
         row.name,
@@ -77,7 +77,7 @@
         node.timers.every(FORGET_PERIOD, self._forget_gone)
 
     @property
-    def suspects(self) -> dict[str, float]:
+    def suspected_since(self) -> dict[str, float]:
         """Return who is suspected, and since when."""
         return self._suspects
 
@@ -96,7 +96,7 @@
 
     # -- Reading -------------------------------------------------------------
 
-    def live(self, failure_domain: str | None = None) -> list[HostRow]:
+    def live_hosts(self, failure_domain: str | None = None) -> list[HostRow]:
         """Return the live hosts, suspected ones included, without this one."""
         rows = self._live.get(failure_domain)
         if rows is None:
@@ -112,23 +112,23 @@
         """Return how many live hosts weigh more than this one for a key."""
         rank = self._ranks.get((key, failure_domain))
         if rank is None:
-            own = rendezvous(key, self._node.identity.name)
-            rows = self.live(failure_domain)
-            rank = sum(rendezvous(key, row.name) > own for row in rows)
+            own = rendezvous_weight(key, self._node.identity.name)
+            rows = self.live_hosts(failure_domain)
+            rank = sum(rendezvous_weight(key, row.name) > own for row in rows)
             self._ranks[key, failure_domain] = rank
         return rank
 
-    def first(self, key: str) -> str:
+    def highest_ranked(self, key: str) -> str:
         """Return the name of the live host that weighs most for a key."""
-        names = [self._node.identity.name, *(row.name for row in self.live())]
-        return max(names, key=lambda name: rendezvous(key, name))
+        names = [self._node.identity.name, *(row.name for row in self.live_hosts())]
+        return max(names, key=lambda name: rendezvous_weight(key, name))
 
-    def in_buckets(self, numbers: Iterable[int]) -> Iterator[HostRow]:
+    def rows_in_buckets(self, numbers: Iterable[int]) -> Iterator[HostRow]:
         """Return all rows of some buckets, gone hosts included."""
         wanted = frozenset(numbers)
         return (row for row in self._rows.values() if _bucket(row.name) in wanted)
 
-    def differing(self, digest: HostsDigest) -> list[int]:
+    def differing_buckets(self, digest: HostsDigest) -> list[int]:
         """Return the buckets in which a peer's hashes differ from these."""
         pairs = zip(self._buckets, digest.buckets, strict=False)
         return [n for n, (mine, theirs) in enumerate(pairs) if mine != theirs]
@@ -168,24 +168,24 @@
         self._set_state(row, HostState.SUSPECTED)
         return True
 
-    def bury(self, row: HostRow) -> None:
+    def mark_dead(self, row: HostRow) -> None:
         """Take a suspected host for dead."""
         self._set_state(row, HostState.DEAD)
 
-    def heard(self, row: HostRow, beat: int = 0) -> None:
+    def note_contact(self, row: HostRow, beat: int = 0) -> None:
         """Note a direct sign of life; suspicion of this incarnation ends."""
         row.heard_at = self._node.timers.now
         row.beat = max(row.beat, beat)
         if row.state is HostState.SUSPECTED:
             self._set_state(row, HostState.ALIVE)
 
-    def forgive(self) -> None:
+    def restart_suspicions(self) -> None:
         """Start all suspicions over: the silence was this host's own."""
         now = self._node.timers.now
         for name in self._suspects:
             self._suspects[name] = now
 
-    def hash_self(self, incarnation: int, leaving: bool) -> None:
+    def update_own_digest(self, incarnation: int, leaving: bool) -> None:
         """Keep this host's own part of the digest."""
         self._rehash(self._node.identity.name, incarnation, not leaving)
 
--- a/mallowpass/core/systems/isolation.py
+++ b/mallowpass/core/systems/isolation.py
@@ -104,6 +104,8 @@
             return True
         address = endpoint.address
         slack = self._liveness.watch_interval(address) - tuning.probe_interval
-        if self._liveness.silence(address) >= tuning.detection + max(slack, 0.0):
+        if self._liveness.time_since_reply(address) >= tuning.detection + max(
+            slack, 0.0
+        ):
             return False
         return endpoint.report is None or not self.is_deaf(endpoint.report)
--- a/mallowpass/core/systems/keepalive.py
+++ b/mallowpass/core/systems/keepalive.py
@@ -153,7 +153,7 @@
                 return
         pool.internal.pop(number, None)
         pool.answering.remove(number)
-        self._pooling.proving.forget(pool, number)
+        self._pooling.busy_checks.discard(pool, number)
         pool.checking.remove(number)
         if deferred is not None:
             del pool.deferred[number]
--- a/mallowpass/core/systems/liveness.py
+++ b/mallowpass/core/systems/liveness.py
@@ -30,11 +30,11 @@
     ReplyCallback,
 )
 from mallowpass.core.systems.floors import FloorCallback, FloorRounds
-from mallowpass.core.systems.groupview import GroupView, HeldWaiter
+from mallowpass.core.systems.groupview import GroupView, MajorityWaiter
 from mallowpass.core.systems.heldwaits import HeldWaits
 from mallowpass.core.systems.hostpause import HostPause
 from mallowpass.core.systems.primaries import Primaries
-from mallowpass.core.systems.stewards import Peers, find_membership, steward_turn
+from mallowpass.core.systems.stewards import Peers, find_membership, steward_rank
 from mallowpass.core.tables import DatabaseRow, EndpointRow
 
 __all__ = ["Liveness"]
@@ -67,7 +67,7 @@
         self._control = ControlStreams(
             node, self._replied, lambda: self._pause.awake_since
         )
-        self._activity = Activity(node, self._control, self._views, self.steward_turn)
+        self._activity = Activity(node, self._control, self._views, self.steward_rank)
         self._primaries = Primaries(node, self._activity.watch)
         self._counted = (0, 0, 0)
         self._noticed_terms: dict[str, int] = {}
@@ -108,7 +108,7 @@
         """Make a control call; the callback gets None without a reply in time."""
         self._control.call(address, call, callback, timeout)
 
-    def learn_floor(self, database: DatabaseRow, callback: FloorCallback) -> None:
+    def look_up_floor(self, database: DatabaseRow, callback: FloorCallback) -> None:
         """Learn a floor above all writes acknowledged before now; None: no majority."""
         self._read(database.key)
         rounds = self._rounds.get(database.key)
@@ -129,25 +129,25 @@
             return None
         # A record may hold entries that no majority had and a promotion dropped.
         # Whatever was acknowledged is in the log where the next term starts.
-        return view.overtaken_by(floor) or floor
+        return view.dropped_by(floor) or floor
 
-    def wait_held(
+    def wait_for_majority(
         self,
         database: DatabaseRow,
         position: LogPosition,
         callback: Callable[[bool], None],
-    ) -> HeldWaiter:
+    ) -> MajorityWaiter:
         """Wait until a majority holds a position; False when its term is over.
 
         The callback may run before this returns.
         """
-        waiter = HeldWaiter(position, callback)
+        waiter = MajorityWaiter(position, callback)
         waits = self._waits.get(database.key)
         if waits is None:
             waiter.resolve(False)
         else:
             view = self._views[database.key]
-            self._activity.note_write(view, awaits_places=waits.awaits_places)
+            self._activity.note_write(view, awaits_positions=waits.awaits_positions)
             waits.add(waiter)
         return waiter
 
@@ -160,7 +160,7 @@
         """Have all members report each move for a while."""
         view = self._views.get(database.key)
         if view is not None:
-            self._activity.note_write(view, awaits_places=False)
+            self._activity.note_write(view, awaits_positions=False)
 
     def minority_since(self, database: DatabaseRow) -> float | None:
         """Return since when no majority of members is heard; None: one is."""
@@ -177,7 +177,7 @@
         elif view.minority_since is None:
             view.minority_since = self.now
 
-    def reached(self, endpoint: EndpointRow, position: LogPosition) -> bool:
+    def has_reached(self, endpoint: EndpointRow, position: LogPosition) -> bool:
         """Tell whether a member's newest report proves that reads see a position."""
         view = self._read(endpoint.database)
         if position.position == 0:
@@ -186,19 +186,19 @@
             return False
         return view.contains(endpoint.report.applied, position)
 
-    def predicted_reach(
+    def predicted_replica_wait(
         self, endpoint: EndpointRow, position: LogPosition
     ) -> float | None:
         """Return in how many seconds reads should see a position; None: unknown."""
-        if self.reached(endpoint, position):
+        if self.has_reached(endpoint, position):
             return 0.0
         view = self._views.get(endpoint.database)
         return None if view is None else view.predict(self.now, endpoint, position)
 
-    def floor_lost(self, database: DatabaseRow, position: LogPosition) -> bool:
+    def is_floor_lost(self, database: DatabaseRow, position: LogPosition) -> bool:
         """Tell whether a promotion dropped a position from the log."""
         view = self._views.get(database.key)
-        return view is not None and view.overtaken_by(position) is not None
+        return view is not None and view.dropped_by(position) is not None
 
     def contains(
         self, database: DatabaseRow, end: LogPosition, position: LogPosition
@@ -212,12 +212,12 @@
         view = self._views.get(database.key)
         return "" if view is None else view.last_primary
 
-    def steward_turn(self, database: DatabaseRow) -> int:
+    def steward_rank(self, database: DatabaseRow) -> int:
         """Return this host's place among a group's stewards, 0 first."""
         primary = self.last_primary(database)
-        return steward_turn(self._node, self._membership, database, primary)
+        return steward_rank(self._node, self._membership, database, primary)
 
-    def silence(self, address: str) -> float:
+    def time_since_reply(self, address: str) -> float:
         """Return for how long an endpoint was silent, this host's pauses excluded."""
         return self._control.silence(address)
 
--- a/mallowpass/core/systems/membership.py
+++ b/mallowpass/core/systems/membership.py
@@ -24,7 +24,7 @@
 from mallowpass.core.signals import DrainBegan, HostStateChanged
 from mallowpass.core.systems.difference import NO_DIFFERENCE
 from mallowpass.core.systems.hostlist import HostList
-from mallowpass.core.systems.hosts import HostTable, notice_of
+from mallowpass.core.systems.hosts import HostTable, make_notice
 from mallowpass.core.systems.leaving import EndpointNews
 from mallowpass.core.systems.peers import Link, Links
 from mallowpass.core.tables import HostRow, HostState
@@ -104,7 +104,7 @@
         self.on_message(Goodbye, self._on_goodbye)
         self.on_message(HostNotice, self._on_host_notice)
         self.on_message(HostsDigest, self._on_hosts_digest)
-        self._hosts.hash_self(self._incarnation, leaving=False)
+        self._hosts.update_own_digest(self._incarnation, leaving=False)
         self._endpoints.start()
         self._list.start()
         # Hosts that start together must not beat in step for ever.
@@ -126,7 +126,7 @@
 
         The list is shared: don't change it.
         """
-        return self._hosts.live(failure_domain)
+        return self._hosts.live_hosts(failure_domain)
 
     def rank(self, key: str, failure_domain: str | None = None) -> int:
         """Return this host's rank for a key among live hosts, 0 for the first."""
@@ -134,7 +134,7 @@
 
     def first(self, key: str) -> str:
         """Return the name of the live host that ranks first for a key."""
-        return self._hosts.first(key)
+        return self._hosts.highest_ranked(key)
 
     def on_message(self, kind: type[_M], handler: Handler[_M]) -> None:
         """Have a handler called with the sender's name and each message of a type."""
@@ -206,7 +206,7 @@
         link.heard_at = self.now
         row = self.tables.hosts.get(link.host)
         if row is not None:
-            self._hosts.heard(row)
+            self._hosts.note_contact(row)
 
     def _on_greeting(self, link: Link, greeting: Greeting) -> None:
         if greeting.host == self._node.identity.name:
@@ -227,7 +227,7 @@
         self._hear(link)
         if row.state in (HostState.DEAD, HostState.LEAVING):
             # It is here, so the rumour is wrong or its last life's: let it refute.
-            self._links.send(link, notice_of(row))
+            self._links.send(link, make_notice(row))
         self._links.send(link, self._heartbeat())
         self._endpoints.greet(greeting.host)
         for message in self._parked.pop(greeting.host, ()):
@@ -262,7 +262,7 @@
         self._node.log("warning", "paused", seconds=late)
         for link in self._links.greeted:
             link.heard_at = self.now
-        self._hosts.forgive()
+        self._hosts.restart_suspicions()
 
     def _heartbeat(self) -> Heartbeat:
         return Heartbeat(
@@ -285,14 +285,14 @@
 
     def _bury_silent(self) -> None:
         grace = self._node.tuning.death - self._node.tuning.suspicion
-        for name, since in tuple(self._hosts.suspects.items()):
+        for name, since in tuple(self._hosts.suspected_since.items()):
             if self.now - since > grace:
                 row = self.tables.hosts[name]
-                self._hosts.bury(row)
+                self._hosts.mark_dead(row)
                 self._node.decide(
                     "membership", name, f"silent, incarnation {row.incarnation}: dead"
                 )
-                self.broadcast(notice_of(row))
+                self.broadcast(make_notice(row))
 
     def _on_unreachable(self, row: HostRow) -> None:
         if self.now - row.heard_at > self._node.tuning.suspicion:
@@ -302,14 +302,14 @@
         row = self.tables.hosts[name]
         if self._hosts.suspect(row):
             self._doubted[name] = row.incarnation
-            self.broadcast(notice_of(row))
+            self.broadcast(make_notice(row))
 
     def _on_heartbeat(self, host: str, beat: Heartbeat) -> None:
         row = self.tables.hosts[host]
         state = HostState.LEAVING if beat.draining else HostState.ALIVE
         if (row.incarnation, row.state) != (beat.incarnation, state):
             self._learn_own_word(row, beat.incarnation, state)
-        self._hosts.heard(row, beat.beat)
+        self._hosts.note_contact(row, beat.beat)
         link = self._links.of_host(host)
         if link is not None:
             self._compare_hosts(link, beat)
@@ -325,7 +325,7 @@
             del self._doubted[news.host]
             if but != news.host:
                 self._use_another_way(news.host)
-        self.broadcast(notice_of(row), but=but)
+        self.broadcast(make_notice(row), but=but)
 
     def _use_another_way(self, host: str) -> None:
         # Others hear it and this host does not: only the way between is cut. Over
@@ -351,7 +351,7 @@
         if leaving and self._draining and news.incarnation == self._incarnation:
             return
         self._incarnation = news.incarnation + 1
-        self._hosts.hash_self(self._incarnation, self._draining)
+        self._hosts.update_own_digest(self._incarnation, self._draining)
         self._node.decide(
             "membership",
             self._node.identity.name,
@@ -378,13 +378,13 @@
 
     def _learn_own_word(self, row: HostRow, incarnation: int, state: HostState) -> None:
         news = dataclasses.replace(
-            notice_of(row), incarnation=incarnation, state=state.value
+            make_notice(row), incarnation=incarnation, state=state.value
         )
         self._learn(news, but=row.name)
 
     def _on_drain(self, signal: DrainBegan) -> None:
         self._draining = True
-        self._hosts.hash_self(self._incarnation, leaving=True)
+        self._hosts.update_own_digest(self._incarnation, leaving=True)
         self._list.leave()
         self.broadcast(Goodbye(self._node.identity.name, self._incarnation))
 
@@ -399,7 +399,7 @@
             return
         # A newcomer asks at once. After a partition hosts find each other one by
         # one; a repair that came sooner would have all of them refute at once.
-        newcomer = len(self._hosts.live()) <= 1
+        newcomer = len(self._hosts.live_hosts()) <= 1
         gap = link.difference.is_gap(REPAIR_BEATS, RESTLESS_BEATS)
         due = self.now - self._repaired_at >= REPAIR_GAP
         if newcomer or (gap and due):
@@ -411,8 +411,8 @@
         link = self._links.of_host(host)
         if link is None:
             return
-        differing = self._hosts.differing(digest)
-        for row in self._hosts.in_buckets(differing):
-            self._links.send(link, notice_of(row))
+        differing = self._hosts.differing_buckets(digest)
+        for row in self._hosts.rows_in_buckets(differing):
+            self._links.send(link, make_notice(row))
         if differing and not digest.answer:
             self._links.send(link, HostsDigest(self._hosts.buckets, answer=True))
--- a/mallowpass/core/systems/outcomes.py
+++ b/mallowpass/core/systems/outcomes.py
@@ -141,7 +141,7 @@
         # another host. Normally the start is held long since.
         start = LogPosition(look_up.term, 1)
         callback = partial(self._on_start_held, look_up)
-        self._liveness.wait_held(database, start, callback)
+        self._liveness.wait_for_majority(database, start, callback)
 
     def _on_start_held(self, look_up: _LookUp, held: bool) -> None:
         if not look_up.live:
--- a/mallowpass/core/systems/peers.py
+++ b/mallowpass/core/systems/peers.py
@@ -15,7 +15,7 @@
 from mallowpass.core.node import Node
 from mallowpass.core.peering import PeerMessage
 from mallowpass.core.systems.difference import NO_DIFFERENCE, Difference
-from mallowpass.core.systems.hosts import HostTable, rendezvous
+from mallowpass.core.systems.hosts import HostTable, rendezvous_weight
 from mallowpass.core.tables import HostRow, HostState
 
 __all__ = ["Link", "Links"]
@@ -222,7 +222,7 @@
         self._wanted = {row.name: row for row in (*near, *far)}
 
     def _candidates(self, failure_domain: str) -> list[HostRow]:
-        rows = self._hosts.live(failure_domain)
+        rows = self._hosts.live_hosts(failure_domain)
         return [row for row in rows if row.name not in self._shunned]
 
     def _best(self, rows: Iterable[HostRow]) -> list[HostRow]:
@@ -231,7 +231,7 @@
     def _best_elsewhere(self, own: str) -> list[HostRow]:
         # One of each failure domain first: two links to the same one would leave
         # another unheard of when these two are cut.
-        domains = {row.failure_domain for row in self._hosts.live()} - {own}
+        domains = {row.failure_domain for row in self._hosts.live_hosts()} - {own}
         ranked = [self._best(self._candidates(name)) for name in sorted(domains)]
         count = self._node.tuning.peers_elsewhere
         firsts = self._best(rows[0] for rows in ranked if rows)
@@ -240,7 +240,7 @@
 
     def _weight(self, row: HostRow) -> int:
         first, second = sorted((row.name, self._node.identity.name))
-        return rendezvous(first, second)
+        return rendezvous_weight(first, second)
 
     def _preferred(self, link: Link, host: str) -> bool:
         own_is_lower = self._node.identity.name < host
@@ -314,7 +314,7 @@
             for row in self._node.tables.hosts.values()
             if row.state is HostState.DEAD
         ]
-        known = {row.address for row in self._hosts.live()}
+        known = {row.address for row in self._hosts.live_hosts()}
         doubtful = sorted({*dead, *(seed for seed in seeds if seed not in known)})
         if doubtful:
             self._dial(self._node.random.choice(doubtful))
--- a/mallowpass/core/systems/poolchanges.py
+++ b/mallowpass/core/systems/poolchanges.py
@@ -68,12 +68,12 @@
         pool.answering = Watchdog(
             self.timers,
             tuning.silence / 2,
-            partial(self._pooling.proving.overdue, pool),
+            partial(self._pooling.busy_checks.on_overdue, pool),
         )
         pool.late = Watchdog(
             self.timers,
             tuning.silence / 2,
-            partial(self._pooling.proving.still_late, pool),
+            partial(self._pooling.busy_checks.on_still_overdue, pool),
         )
         pool.checking = Watchdog(
             self.timers,
--- a/mallowpass/core/systems/pooling.py
+++ b/mallowpass/core/systems/pooling.py
@@ -20,13 +20,13 @@
 from mallowpass.core.systems import loans as loans_module
 from mallowpass.core.systems import requests as requests_module
 from mallowpass.core.systems import transactions as transactions_module
+from mallowpass.core.systems.busychecks import FIRST_BUSY_SEQUENCE, BusyChecks
 from mallowpass.core.systems.closing import Closing
 from mallowpass.core.systems.connections import LIFE_MARGIN, EndpointPool
 from mallowpass.core.systems.granting import Granting
 from mallowpass.core.systems.keepalive import KeepAlive
 from mallowpass.core.systems.opening import Opener
 from mallowpass.core.systems.poolchanges import PoolChanges
-from mallowpass.core.systems.proving import FIRST_PROOF, Proving
 from mallowpass.core.tables import (
     ConnectionRow,
     ConnectionState,
@@ -61,7 +61,7 @@
         "lifetime",
         "loans",
         "opener",
-        "proving",
+        "busy_checks",
         "requests",
         "transactions",
     )
@@ -76,7 +76,7 @@
         self.opener = Opener(node, self)
         self.granting = Granting(node, self)
         self.keepalive = KeepAlive(node, self)
-        self.proving = Proving(node, self)
+        self.busy_checks = BusyChecks(node, self)
         self.changes = PoolChanges(node, self)
         self.closing = Closing(node, self)
 
@@ -221,7 +221,7 @@
 
         False once a keep-alive is unanswered for `within` seconds.
         """
-        return self.proving.answers(connection, within)
+        return self.busy_checks.answers(connection, within)
 
     def suspect(self, connection: ConnectionRow) -> None:
         """Have idle connections prove themselves that may be as silent as this one."""
@@ -298,7 +298,7 @@
     def tend_borrowed(self, pool: EndpointPool) -> None:
         """Close borrowed connections that stood idle; keep those in use alive."""
         self.keepalive.tend_borrowed(pool)
-        self.proving.keep_borrowed(pool)
+        self.busy_checks.extend_borrowed(pool)
 
     # -- From idle to busy and back --------------------------------------------
 
@@ -402,8 +402,8 @@
         reply = event.reply
         number = connection.number
         pool = self.by_address[connection.address]
-        if reply.sequence >= FIRST_PROOF:
-            self.proving.on_reply(pool, connection, reply)
+        if reply.sequence >= FIRST_BUSY_SEQUENCE:
+            self.busy_checks.on_reply(pool, connection, reply)
             return
         if number in pool.internal or number in pool.deferred:
             self.keepalive.on_internal_reply(pool, connection, reply)
@@ -427,7 +427,7 @@
         now = self._node.timers.now
         pool.answering.remove(connection.number)
         if pool.proofs:
-            self.proving.forget(pool, connection.number)
+            self.busy_checks.discard(pool, connection.number)
         if reply.code is EndpointCode.BUSY:
             pool.concurrency.overloaded(pool.active)
         elif reply.code is EndpointCode.OK:
--- a/mallowpass/core/systems/primaries.py
+++ b/mallowpass/core/systems/primaries.py
@@ -36,11 +36,11 @@
 
     def advance_held(self, view: GroupView) -> None:
         """Move on the place that a majority holds, and tell who waits for it."""
-        held = view.majority_held()
+        held = view.compute_majority_position()
         if held <= view.row.held:
             return
         view.row.held = held
-        view.stalled = False
+        view.is_stalled = False
         view.resolve_waiters()
         self._node.publish(HeldAdvanced(view.row.key))
 
--- a/mallowpass/core/systems/promotion.py
+++ b/mallowpass/core/systems/promotion.py
@@ -283,7 +283,7 @@
             for address in self._among
             if address not in self._grants
             and address not in self._failed
-            and self._liveness.silence(address) < silent_after
+            and self._liveness.time_since_reply(address) < silent_after
         ]
 
     def _choose(self) -> None:
--- a/mallowpass/core/systems/reads.py
+++ b/mallowpass/core/systems/reads.py
@@ -130,7 +130,7 @@
         for request in list(waiting.values()):
             if request.state not in (RequestState.WAITING_FLOOR, RequestState.HELD):
                 waiting.pop(request.number, None)
-            elif self._liveness.reached(endpoint, request.floor):
+            elif self._liveness.has_reached(endpoint, request.floor):
                 waiting.pop(request.number, None)
                 request.avoided = None
                 self.route(request)
--- a/mallowpass/core/systems/requests.py
+++ b/mallowpass/core/systems/requests.py
@@ -215,7 +215,7 @@
         """Find out what becomes of a request whose connection is gone."""
         database = self.tables.databases.get(request.database)
         if database is not None and connection.address == database.primary:
-            self._failover.suspicion(connection.address, why)
+            self._failover.probe_primary(connection.address, why)
         if request.transaction:
             self._transactions.on_statement_lost(request, why)
             return
--- a/mallowpass/core/systems/routing.py
+++ b/mallowpass/core/systems/routing.py
@@ -107,7 +107,7 @@
             if not self._is_replica(endpoint, database):
                 continue
             if self._is_sound(endpoint) and not self._is_failed(endpoint, request):
-                reach = self._liveness.predicted_reach(endpoint, request.floor)
+                reach = self._liveness.predicted_replica_wait(endpoint, request.floor)
                 if reach is not None and reach < shortest:
                     shortest = reach
         return max(shortest, WAIT_MIN) if shortest < left else 0.0
@@ -123,7 +123,7 @@
             endpoint
             for endpoint in database.endpoints.values()
             if self._open_to(endpoint, request)
-            and self._liveness.reached(endpoint, request.floor)
+            and self._liveness.has_reached(endpoint, request.floor)
         ]
         replicas = [row for row in able if self._is_replica(row, database)]
         return next(iter(replicas or able), None)
@@ -244,9 +244,9 @@
         return not health.ejections or health.trial_until <= self.now
 
     def _has_floor(self, endpoint: EndpointRow, request: RequestRow) -> bool:
-        if self._liveness.reached(endpoint, request.floor):
+        if self._liveness.has_reached(endpoint, request.floor):
             return True
-        reach = self._liveness.predicted_reach(endpoint, request.floor)
+        reach = self._liveness.predicted_replica_wait(endpoint, request.floor)
         # It checks the floor when the call arrives, half a round trip from now.
         return reach is not None and reach <= self._latency(endpoint) / 2
 
--- a/mallowpass/core/systems/sessionfloors.py
+++ b/mallowpass/core/systems/sessionfloors.py
@@ -80,7 +80,7 @@
         request.floor_at = self.now
         request.learnt += 1
         database = self.tables.databases[request.database]
-        self._liveness.learn_floor(database, partial(self._on_learnt, request))
+        self._liveness.look_up_floor(database, partial(self._on_learnt, request))
 
     def _on_learnt(self, request: RequestRow, position: LogPosition | None) -> None:
         if request.state is not RequestState.WAITING_FLOOR:
@@ -118,7 +118,7 @@
     def _is_dropped(self, database: DatabaseRow, place: LogPosition) -> bool:
         if not 0 < place.term < database.term:
             return False
-        return self._liveness.floor_lost(database, place)
+        return self._liveness.is_floor_lost(database, place)
 
     def renew(self, request: RequestRow) -> bool:
         """Tell whether the floor still meets the age after the wait so far."""
--- a/mallowpass/core/systems/sessions.py
+++ b/mallowpass/core/systems/sessions.py
@@ -105,7 +105,7 @@
         database = self.tables.databases.get(database_key)
         if database is None or not older.term < newer.term:
             return False
-        return self._liveness.floor_lost(database, older)
+        return self._liveness.is_floor_lost(database, older)
 
     def seen(self, session: SessionRow, database_key: str) -> tuple[LogPosition, ...]:
         """Return the places that the session's reads must contain, newest first."""
--- a/mallowpass/core/systems/stewards.py
+++ b/mallowpass/core/systems/stewards.py
@@ -11,7 +11,7 @@
 from mallowpass.core.platformcalls import PlatformCall, PlatformReply
 from mallowpass.core.tables import DatabaseRow
 
-__all__ = ["Peers", "Platform", "find_membership", "find_platform", "steward_turn"]
+__all__ = ["Peers", "Platform", "find_membership", "find_platform", "steward_rank"]
 
 
 class Peers(Protocol):
@@ -38,7 +38,7 @@
         """Make a call; the callback gets exactly one reply."""
 
 
-def steward_turn(
+def steward_rank(
     node: Node, peers: Peers | None, row: DatabaseRow, primary: str
 ) -> int:
     """Return this host's place among a group's stewards, 0 first.
--- a/mallowpass/core/systems/suspicion.py
+++ b/mallowpass/core/systems/suspicion.py
@@ -160,7 +160,7 @@
             return False
         return all(
             address in self._reports
-            or self._liveness.silence(address) >= self._node.tuning.detection
+            or self._liveness.time_since_reply(address) >= self._node.tuning.detection
             for address in self._row.endpoints
         )
 
@@ -228,7 +228,7 @@
         """Count who neither answers nor was heard for the detection time."""
         return sum(
             address not in self._reports
-            and self._liveness.silence(address) >= self._node.tuning.detection
+            and self._liveness.time_since_reply(address) >= self._node.tuning.detection
             for address in self._row.endpoints
         )
 
@@ -247,7 +247,7 @@
         report = self._reports.get(address)
         if report is not None:
             return report.role is not Role.PRIMARY
-        own = self._liveness.silence(address)
+        own = self._liveness.time_since_reply(address)
         return own >= self._threshold * UNCONFIRMED_FACTOR
 
     def _followed(self, report: Report) -> str:
@@ -297,7 +297,7 @@
         for address, endpoint in self._row.endpoints.items():
             report = self._reports.get(address)
             parts.append(f"{endpoint.name}: {_describe(report)}")
-        own = self._liveness.silence(self._suspect) if self._suspect else 0.0
+        own = self._liveness.time_since_reply(self._suspect) if self._suspect else 0.0
         return f"own silence {own:.3f}s; " + ", ".join(parts)
 
 
--- a/mallowpass/core/systems/handover.py
+++ b/mallowpass/core/systems/switchover.py
@@ -9,13 +9,13 @@
 from mallowpass.core.tables import DatabaseRow, EndpointRow
 from mallowpass.core.timers import Timer
 
-__all__ = ["HandOver"]
+__all__ = ["SwitchoverPlanner"]
 
 TURN_MAX = 8
 RETRY = 4.0  # seconds
 
 
-class HandOver:
+class SwitchoverPlanner:
     """Name a target once a group's primary leaves, and again if that failed."""
 
     __slots__ = ("_begin", "_liveness", "_node", "_row", "_timer")
@@ -38,7 +38,7 @@
         primary = self._row.primary_row
         if primary is None or not primary.leaving or self._timer is not None:
             return
-        turn = min(self._liveness.steward_turn(self._row), TURN_MAX)
+        turn = min(self._liveness.steward_rank(self._row), TURN_MAX)
         delay = 2 * turn * self._node.tuning.steward_stagger
         self._timer = self._node.timers.after(delay, self._act)
 
--- a/mallowpass/core/systems/turns.py
+++ b/mallowpass/core/systems/turns.py
@@ -55,7 +55,7 @@
 
     @property
     def _place(self) -> int:
-        return min(self._liveness.steward_turn(self._row), TURN_MAX)
+        return min(self._liveness.steward_rank(self._row), TURN_MAX)
 
     @property
     def _delay(self) -> float:
--- a/mallowpass/core/systems/watching.py
+++ b/mallowpass/core/systems/watching.py
@@ -37,14 +37,14 @@
     # Before the silence is long enough for a promotion: the first question comes then,
     # and the one that counts finds it long enough.
     silence = tuning.detection - silence_margin(tuning)
-    if now - view.written_at <= ACTIVITY and not view.awaits_places:
+    if now - view.last_write_at <= ACTIVITY and not view.awaits_positions:
         return WatchCall(pace, tuning.report_gap, silence)
     if not view.row.primary:
         # Writes are held: the report of a new primary must not wait for a gap.
         return WatchCall(pace, tuning.report_gap, silence)
-    if now - view.read_at <= ACTIVITY:
+    if now - view.last_read_at <= ACTIVITY:
         return WatchCall(pace, min(READ_GAP * crowding, IDLE_GAP), silence)
-    if now - view.written_at <= ACTIVITY:
+    if now - view.last_write_at <= ACTIVITY:
         return WatchCall(pace, pace, silence)
     if not (is_primary and is_steward):
         pace = IDLE_INTERVAL
--- a/mallowpass/core/systems/writes.py
+++ b/mallowpass/core/systems/writes.py
@@ -328,7 +328,7 @@
         # term in which it was found: that log contains it.
         term = max(position.term, request.sent_term)
         awaited = LogPosition(term, position.position)
-        waiter = self._liveness.wait_held(
+        waiter = self._liveness.wait_for_majority(
             database, awaited, partial(self._on_held, request)
         )
         if request.state is RequestState.HOLDING:
@@ -383,7 +383,7 @@
         elif code is ErrorCode.CONNECTION_LOST:
             # The primary may be down. Held, it needs no budget: with one, a service
             # would be refused its writes just when a promotion is about to come.
-            self._failover.suspicion(request.address, why)
+            self._failover.probe_primary(request.address, why)
             self._requests.waiting.hold(request, why)
         else:
             self._requests.waiting.retry(request, code, why)
--- a/mallowpass/measure/controlrest.py
+++ b/mallowpass/measure/controlrest.py
@@ -124,7 +124,7 @@
 def _read_all(host: VirtualHost) -> None:
     liveness = host.node.system(Liveness)
     for endpoint in list(host.node.tables.endpoints.values()):
-        liveness.reached(endpoint, endpoint.report.applied)
+        liveness.has_reached(endpoint, endpoint.report.applied)
 
 
 def _keep_writing(
--- a/tests/core/systems/test_awaiting.py
+++ b/tests/core/systems/test_awaiting.py
@@ -38,10 +38,10 @@
     scene.host.handle(EndpointReplied(9, reply))
 
 
-def wait_held(scene: Scene, place: LogPosition) -> list[bool]:
+def wait_for_majority(scene: Scene, place: LogPosition) -> list[bool]:
     results: list[bool] = []
     liveness = scene.host.system(Liveness)
-    scene.host.do(liveness.wait_held, scene.row(), place, results.append)
+    scene.host.do(liveness.wait_for_majority, scene.row(), place, results.append)
     return results
 
 
@@ -68,7 +68,7 @@
     asked = sent(scene, monkeypatch)
     place = write(scene)
     answer(scene, place)
-    results = wait_held(scene, place)
+    results = wait_for_majority(scene, place)
     assert [address for address, _ in asked] == ["b:1", "c:1"]
     scene.world.run_till(lambda: results, 0.005)
     assert results == [True]
@@ -88,7 +88,7 @@
     place = write(scene)
     scene.world.run(0.01)
     answer(scene, place, **fields)
-    results = wait_held(scene, place)
+    results = wait_for_majority(scene, place)
     scene.world.run(0.05)
     assert not results
 
@@ -104,7 +104,7 @@
         for _ in range(10):
             place = write(scene)
             answer(scene, place)
-            wait_held(scene, place)
+            wait_for_majority(scene, place)
             for _ in range(others):
                 write(scene)
                 scene.world.run(1.0 / others)
@@ -120,7 +120,7 @@
     for _ in range(20):
         place = write(scene)
         answer(scene, place)
-        results.append(wait_held(scene, place))
+        results.append(wait_for_majority(scene, place))
         scene.world.run(0.0005)
     scene.world.run_till(lambda: all(results), 0.05)
     assert len([place for address, place in asked if address == "b:1"]) <= 4
@@ -135,7 +135,7 @@
     for _ in range(100):
         place = write(scene)
         answer(scene, place)
-        wait_held(scene, place)
+        wait_for_majority(scene, place)
         scene.world.run(0.006)
     streams = scene.group._streams.values()
     waiting = [len(stream.awaited) for stream in streams if stream.member.name == "b"]
@@ -148,10 +148,10 @@
     scene.world.run(5.0)
     for _ in range(2):
         place = write(scene)
-        results = wait_held(scene, place)
+        results = wait_for_majority(scene, place)
         scene.world.run_till(lambda results=results: results, 0.02)
     view = scene.host.system(Liveness)._views[KEY]
-    assert not view.awaits_places
+    assert not view.awaits_positions
 
 
 def test_writes_are_not_awaited_where_that_takes_longer():
@@ -165,8 +165,8 @@
     ways = {}
     for name, host in scene.world.hosts.items():
         place = write(scene)
-        host.do(host.system(Liveness).wait_held, scene.row(name), place, bool)
-        ways[name] = host.system(Liveness)._views[KEY].awaits_places
+        host.do(host.system(Liveness).wait_for_majority, scene.row(name), place, bool)
+        ways[name] = host.system(Liveness)._views[KEY].awaits_positions
     assert ways == {"h0": True, "h1": True, "h2": False}
 
 
@@ -177,8 +177,8 @@
     scene.world.run(5.0)
     host = scene.world.hosts["h1"]  # in b's domain
     place = write(scene)
-    host.do(host.system(Liveness).wait_held, scene.row("h1"), place, bool)
-    assert not host.system(Liveness)._views[KEY].awaits_places
+    host.do(host.system(Liveness).wait_for_majority, scene.row("h1"), place, bool)
+    assert not host.system(Liveness)._views[KEY].awaits_positions
 
 
 def test_waits_from_before_the_members_were_asked_are_asked_for(scene, monkeypatch):
@@ -190,7 +190,7 @@
     low, high = write(scene), write(scene)
     with monkeypatch.context() as patched:
         patched.setattr(awaiting.PlaceAwaits, "are_as_fast", property(lambda _: False))
-        wait_held(scene, high)
+        wait_for_majority(scene, high)
     assert not asked
-    wait_held(scene, low)
+    wait_for_majority(scene, low)
     assert {place for _, place in asked} == {high}
--- a/tests/core/systems/test_proving.py
+++ b/tests/core/systems/test_busychecks.py
@@ -1,4 +1,4 @@
-"""Tests of mallowpass.core.systems.proving."""
+"""Tests of mallowpass.core.systems.busychecks."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from mallowpass.core.calls import ExecuteCall, KeepAliveCall, ResetCall
 from mallowpass.core.effects import Count, SendEndpoint
-from mallowpass.core.systems.proving import FIRST_PROOF
+from mallowpass.core.systems.busychecks import FIRST_BUSY_SEQUENCE
 from mallowpass.core.tables import RequestRow
 from tests.fakes.poolpath import CALL, PoolHost
 
@@ -104,7 +104,7 @@
     host.wait(host.node.tuning.silence / 2)
     (asked,) = host.calls(KeepAliveCall)
     statement = _statement(host)
-    assert statement.sequence < FIRST_PROOF <= asked.sequence
+    assert statement.sequence < FIRST_BUSY_SEQUENCE <= asked.sequence
     host.reply(asked)
     host.reply(asked)
     assert _told(host) == []
--- a/tests/core/systems/test_failover.py
+++ b/tests/core/systems/test_failover.py
@@ -66,7 +66,7 @@
     return min(
         scene.live,
         key=lambda name: (
-            scene.world.hosts[name].system(Liveness).steward_turn(scene.row(name))
+            scene.world.hosts[name].system(Liveness).steward_rank(scene.row(name))
         ),
     )
 
@@ -126,7 +126,7 @@
         name = max(scene.live, key=lambda name: int(name[1:]))
         place = write(scene)
         host = scene.world.hosts[name]
-        host.do(host.system(Liveness).wait_held, scene.row(name), place, bool)
+        host.do(host.system(Liveness).wait_for_majority, scene.row(name), place, bool)
         scene.world.run(5.0 + delay / 10)
     assert scene.counted("suspicions") == 0
 
@@ -311,7 +311,7 @@
     scene.world.run(0.06)
     host = scene.world.hosts[name]
     heard_at = scene.row(name).primary_row.heard_at
-    host.do(host.system(Failover).suspicion, "a:1", "connection lost")
+    host.do(host.system(Failover).probe_primary, "a:1", "connection lost")
     scene.world.run(0.01)
     assert scene.row(name).primary_row.heard_at > heard_at
 
@@ -340,7 +340,7 @@
     Cause: an agreement that rests on membership instead of the members' promises.
     """
     scene = make(hosts=5, seed=seed, between=0.012)
-    monkeypatch.setattr(f"{Liveness.__module__}.steward_turn", lambda *_: 0)
+    monkeypatch.setattr(f"{Liveness.__module__}.steward_rank", lambda *_: 0)
     scene.group.crash("a")
     run_till_primary(scene)
     scene.world.run(5.0)
@@ -690,7 +690,7 @@
     minority = scene.row("h0")
     assert minority.primary == "" or minority.term == 1
     liveness = scene.host.system(Liveness)
-    assert liveness.reached(minority.endpoints["a:1"], place)
+    assert liveness.has_reached(minority.endpoints["a:1"], place)
     assert minority.held == place  # nothing after the cut is acknowledged there
     scene.links.heal()
     scene.world.run_till(lambda: scene.row("h0").primary == f"{name}:1", 10.0)
@@ -761,7 +761,7 @@
         if held:
             acknowledged.append((place, request_id))
 
-    host.do(host.system(Liveness).wait_held, row, place, resolved)
+    host.do(host.system(Liveness).wait_for_majority, row, place, resolved)
 
 
 def fault(scene: Scene, random) -> None:
--- a/tests/core/systems/test_isolation.py
+++ b/tests/core/systems/test_isolation.py
@@ -25,11 +25,13 @@
     scene.links.isolate("a", scene.group.members)
 
 
-def wait_held(scene: Scene, name: str) -> list[bool]:
+def wait_for_majority(scene: Scene, name: str) -> list[bool]:
     """Write at a host and note how its wait for a majority ends."""
     results: list[bool] = []
     host, place = scene.world.hosts[name], write(scene, "a")
-    host.do(host.system(Liveness).wait_held, scene.row(name), place, results.append)
+    host.do(
+        host.system(Liveness).wait_for_majority, scene.row(name), place, results.append
+    )
     return results
 
 
@@ -46,7 +48,7 @@
     scene = make(members=members, hosts=hosts)
     scene.world.run(5.0)
     isolate(scene)
-    results = wait_held(scene, f"h{hosts - 1}")
+    results = wait_for_majority(scene, f"h{hosts - 1}")
     began = scene.world.now
     name = run_till_primary(scene, limit=5.0)
     assert name != "a"
@@ -82,10 +84,10 @@
     scene = make(hosts=8, manual=True)
     scene.group.tells_silence = False
     name = "h7"
-    assert scene.world.hosts[name].system(Liveness).steward_turn(scene.row(name)) > 3
+    assert scene.world.hosts[name].system(Liveness).steward_rank(scene.row(name)) > 3
     scene.world.run(5.0 + phase)
     isolate(scene)
-    wait_held(scene, name)
+    wait_for_majority(scene, name)
     limit = Tuning().detection + 0.06
     scene.world.run_till(lambda: scene.row(name).primary == "", limit)
 
@@ -100,7 +102,7 @@
         place = write(scene, "a")
         scene.host.do(
             lambda place=place, waiter=waiter: waiter.append(
-                liveness.wait_held(row, place, bool)
+                liveness.wait_for_majority(row, place, bool)
             )
         )
         assert not liveness.is_stalled(row)
@@ -190,7 +192,7 @@
 def keep_writing(scene: Scene, seconds: float) -> None:
     until = scene.world.now + seconds
     while scene.world.now < until:
-        wait_held(scene, scene.world.random.choice(sorted(scene.live)))
+        wait_for_majority(scene, scene.world.random.choice(sorted(scene.live)))
         scene.world.run(0.05)
 
 
@@ -294,16 +296,16 @@
     scene.live.discard("h0")
     cut_at = scene.world.now
     if writes:
-        wait_held(scene, "h0")
+        wait_for_majority(scene, "h0")
     limit = 1.2 if writes else 3.0
     scene.world.run_till(lambda: row.primary == "", limit)
     assert cut_at < liveness.minority_since(row) <= scene.world.now
     run_till_primary(scene)
     scene.world.run(5.0)
     # Reads go on from what the floor proves; a floor by majority is not to be had.
-    assert liveness.reached(row.endpoints["a:1"], acknowledged[0][0])
+    assert liveness.has_reached(row.endpoints["a:1"], acknowledged[0][0])
     floors: list[LogPosition | None] = []
-    scene.host.do(liveness.learn_floor, row, floors.append)
+    scene.host.do(liveness.look_up_floor, row, floors.append)
     scene.world.run(1.0)
     assert floors == [None]
     scene.links.heal()
@@ -319,7 +321,7 @@
     scene = make()
     for name in ("b", "c"):
         scene.group.crash(name)
-    wait_held(scene, "h0")
+    wait_for_majority(scene, "h0")
     rows = [scene.row(name) for name in scene.live]
     scene.world.run_till(lambda: rows[0].primary == "", 2.0)
     scene.group.recover("b")
--- a/tests/core/systems/test_liveness.py
+++ b/tests/core/systems/test_liveness.py
@@ -39,17 +39,17 @@
     return place
 
 
-def wait_held(scene: Scene, place: LogPosition) -> list[bool]:
+def wait_for_majority(scene: Scene, place: LogPosition) -> list[bool]:
     answers: list[bool] = []
     host = scene.host
-    host.do(host.system(Liveness).wait_held, scene.row(), place, answers.append)
+    host.do(host.system(Liveness).wait_for_majority, scene.row(), place, answers.append)
     return answers
 
 
-def learn_floor(scene: Scene) -> list[LogPosition | None]:
+def look_up_floor(scene: Scene) -> list[LogPosition | None]:
     answers: list[LogPosition | None] = []
     host = scene.host
-    host.do(host.system(Liveness).learn_floor, scene.row(), answers.append)
+    host.do(host.system(Liveness).look_up_floor, scene.row(), answers.append)
     return answers
 
 
@@ -67,7 +67,7 @@
     host = scene.host
     for position in (6, 3, 4):
         host.do(
-            host.system(Liveness).wait_held,
+            host.system(Liveness).wait_for_majority,
             scene.row(),
             LogPosition(1, position),
             lambda held, position=position: order.append(position),
@@ -84,7 +84,7 @@
     """
     scene.run_till_serving()
     scene.links.isolate("a", ["b", "c"])
-    answers = wait_held(scene, write(scene))
+    answers = wait_for_majority(scene, write(scene))
     scene.world.run(3.0)
     assert answers == []
 
@@ -101,7 +101,7 @@
         member = scene.group.members[name]
         member.log = list(scene.group.members["a"].log)
         member.promise(PromiseCall(2, "someone"))
-    answers = wait_held(scene, place)
+    answers = wait_for_majority(scene, place)
     scene.world.run(3.0)
     assert True not in answers
 
@@ -121,7 +121,7 @@
     scene.group.members["b"].role = type(member.role).PRIMARY
     scene.links.isolate("b", ["a", "c"])
     scene.world.run_till(lambda: scene.row().term == 2)
-    answers = wait_held(scene, LogPosition(2, 3))
+    answers = wait_for_majority(scene, LogPosition(2, 3))
     scene.world.run(3.0)
     assert answers == []
     assert scene.row().held == LogPosition(2, 0)
@@ -130,7 +130,7 @@
 def test_waiters_of_a_term_that_is_over_are_told(scene):
     scene.run_till_serving()
     scene.links.isolate("a", ["b", "c"])
-    answers = wait_held(scene, write(scene))
+    answers = wait_for_majority(scene, write(scene))
     promote(scene, "b", 2)
     scene.world.run_till(lambda: scene.row().term == 2)
     assert answers == [False]
@@ -183,7 +183,7 @@
     scene.run_till_serving()
     place = write(scene)
     scene.world.run(0.1)
-    answers = learn_floor(scene)
+    answers = look_up_floor(scene)
     scene.world.run_till(lambda: answers)
     assert answers[0] >= place
 
@@ -195,10 +195,10 @@
     Cause: a coalesced asker was given the round that was under way.
     """
     scene.run_till_serving()
-    first = learn_floor(scene)
+    first = look_up_floor(scene)
     scene.world.run(0.0011)  # the probes are there, their answers under way
     place = write(scene)
-    second = learn_floor(scene)
+    second = look_up_floor(scene)
     scene.world.run_till(lambda: first and second)
     assert first[0] < place <= second[0]
 
@@ -210,7 +210,7 @@
     """
     scene.run_till_serving()
     scene.links.isolate("h0", ["a", "b"])
-    answers = learn_floor(scene)
+    answers = look_up_floor(scene)
     scene.world.run_till(lambda: answers)
     assert answers == [None]
 
@@ -223,7 +223,7 @@
     scene.run_till_serving()
     scene.links.isolate("a", ["b", "c"])
     place = write(scene)
-    answers = learn_floor(scene)
+    answers = look_up_floor(scene)
     scene.world.run(0.1)
     assert answers and scene.row().floors[-1].position < place
 
@@ -239,16 +239,16 @@
     replica.apply_lag = 0.05
     for _ in range(60):
         place = write(scene)
-        wait_held(scene, place)
+        wait_for_majority(scene, place)
         scene.world.run(0.1)
     replica.apply_lag = 1000.0
     place = write(scene)
     scene.world.run(0.02)
     b = row.endpoints["b:1"]
-    assert 0.01 < liveness.predicted_reach(b, place) < 0.06
+    assert 0.01 < liveness.predicted_replica_wait(b, place) < 0.06
     scene.world.run(1.0)
-    assert liveness.predicted_reach(b, place) > 0.5
-    assert liveness.predicted_reach(row.primary_row, place) == 0.0
+    assert liveness.predicted_replica_wait(b, place) > 0.5
+    assert liveness.predicted_replica_wait(row.primary_row, place) == 0.0
 
 
 def test_age_floor_is_at_or_above_what_was_acknowledged(scene):
@@ -290,9 +290,9 @@
         write(scene)
     scene.world.run(3.0)
     liveness, row = scene.host.system(Liveness), scene.row()
-    assert liveness.floor_lost(row, place)
-    assert not liveness.reached(row.primary_row, place)
-    assert liveness.reached(row.primary_row, LogPosition(1, 1))
+    assert liveness.is_floor_lost(row, place)
+    assert not liveness.has_reached(row.primary_row, place)
+    assert liveness.has_reached(row.primary_row, LogPosition(1, 1))
 
 
 def test_floor_that_a_term_never_seen_dropped_is_lost(scene):
@@ -315,9 +315,9 @@
     scene.world.run_till(lambda: scene.row().term == 3, 10.0)
     liveness, row = scene.host.system(Liveness), scene.row()
     assert row.primary_row.report.term_start > place.position
-    assert liveness.floor_lost(row, place)
-    assert not liveness.reached(row.primary_row, place)
-    assert not liveness.floor_lost(row, LogPosition(1, 1))
+    assert liveness.is_floor_lost(row, place)
+    assert not liveness.has_reached(row.primary_row, place)
+    assert not liveness.is_floor_lost(row, LogPosition(1, 1))
 
 
 def test_age_floor_holds_no_entry_that_a_promotion_dropped(scene):
@@ -330,7 +330,7 @@
     scene.links.isolate("a", ["b", "c"])
     scene.links.cut("h0", "c")
     place = write(scene, 5)
-    assert (answers := learn_floor(scene)) is not None
+    assert (answers := look_up_floor(scene)) is not None
     scene.world.run_till(lambda: answers)
     assert answers == [place]
     promote(scene, "b", 2)
@@ -338,8 +338,8 @@
     floors: list = []
     liveness, row = scene.host.system(Liveness), scene.row()
     scene.host.do(lambda: floors.append(liveness.age_floor(row, 60.0)))
-    assert liveness.reached(row.primary_row, floors[0])
-    assert not liveness.reached(row.primary_row, place)
+    assert liveness.has_reached(row.primary_row, floors[0])
+    assert not liveness.has_reached(row.primary_row, place)
 
 
 def test_stream_that_fell_silent_is_replaced(scene):
@@ -380,7 +380,7 @@
     silences: list[float] = []
     liveness = scene.host.system(Liveness)
     scene.host.node.timers.after(
-        1.0, lambda: silences.append(liveness.silence(address))
+        1.0, lambda: silences.append(liveness.time_since_reply(address))
     )
     scene.world.run(5.5)
     assert silences and silences[0] < Tuning().detection
@@ -389,7 +389,7 @@
 def test_databases_in_use_share_the_control_traffic(scene):
     scene.run_till_serving()
     node, row = scene.host.node, scene.row()
-    view = GroupView(row, read_at=node.timers.now)
+    view = GroupView(row, last_read_at=node.timers.now)
     replica = row.endpoints["b:1"]
     few = watch_for(node, view, replica, False, 4)
     many = watch_for(node, view, replica, False, 40)
--- a/tests/fakes/requestpath.py
+++ b/tests/fakes/requestpath.py
@@ -205,7 +205,7 @@
     ) -> None:
         self.controls.append(Control(address, call, callback))
 
-    def learn_floor(
+    def look_up_floor(
         self, database: DatabaseRow, callback: Callable[[LogPosition | None], None]
     ) -> None:
         self.learning.append(callback)
@@ -213,7 +213,7 @@
     def age_floor(self, database: DatabaseRow, age: float) -> LogPosition | None:
         return self.aged
 
-    def wait_held(
+    def wait_for_majority(
         self,
         database: DatabaseRow,
         position: LogPosition,
@@ -232,17 +232,17 @@
                 waiter.resolve(True)
         self.waiters = [entry for entry in self.waiters if entry.callback is not None]
 
-    def reached(self, endpoint: EndpointRow, position: LogPosition) -> bool:
+    def has_reached(self, endpoint: EndpointRow, position: LogPosition) -> bool:
         return endpoint.report is not None and endpoint.report.applied >= position
 
-    def predicted_reach(
+    def predicted_replica_wait(
         self, endpoint: EndpointRow, position: LogPosition
     ) -> float | None:
-        if self.reached(endpoint, position):
+        if self.has_reached(endpoint, position):
             return 0.0
         return self.reach.get(endpoint.name)
 
-    def floor_lost(self, database: DatabaseRow, position: LogPosition) -> bool:
+    def is_floor_lost(self, database: DatabaseRow, position: LogPosition) -> bool:
         return self._is_dropped(database.term, position)
 
     def contains(
@@ -265,7 +265,7 @@
         super().__init__(node)
         self.suspected: list[str] = []
 
-    def suspicion(self, address: str, why: str) -> None:
+    def probe_primary(self, address: str, why: str) -> None:
         self.suspected.append(address)
 
 
--- a/tests/measure_acknowledgement.py
+++ b/tests/measure_acknowledgement.py
@@ -103,7 +103,7 @@
 
         host.handle(EndpointReplied(CONNECTION, reply))
         liveness, row = host.system(Liveness), self.scene.row(host.name)
-        host.do(liveness.wait_held, row, reply.applied, held)
+        host.do(liveness.wait_for_majority, row, reply.applied, held)
 
 
 def measure(
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -439,7 +439,7 @@
 GUARDS = {
     "majority_before_acknowledgement": Guard(
         "acknowledged_stays",
-        replace(groupview.GroupView, "majority_held", hold_by_anyone),
+        replace(groupview.GroupView, "compute_majority_position", hold_by_anyone),
         write_to_a_primary_cut_off_from_its_group,
     ),
     "promise_of_a_higher_term_holds_nothing": Guard(
@@ -488,7 +488,7 @@
     ),
     "floor_is_lost_only_where_a_term_began_below": Guard(
         "floor_lost_is_true",
-        replace(liveness.Liveness, "floor_lost", lambda *arguments: True),
+        replace(liveness.Liveness, "is_floor_lost", lambda *arguments: True),
         read_own_write_after_a_promotion,
     ),
     "age_counts_from_a_majority": Guard(
