--- a/mallowpass/core/systems/busychecks.py
+++ b/mallowpass/core/systems/busychecks.py
@@ -1,7 +1,7 @@
-"""Tell a slow statement from a silent connection while a call is in flight.
+"""Keep-alives on busy connections, to tell slow statements from dead connections.
 
-A keep-alive goes out beside the call. Its sequence is of a range of its own, so that
-neither answer can be taken for the other.
+A keep-alive is sent while the connection has a call in flight. Its sequence number is
+from a separate range, so that its answer can't be taken for the call's.
 """
 
 from __future__ import annotations
@@ -14,59 +14,61 @@
 
 __all__ = ["FIRST_BUSY_SEQUENCE", "BusyChecks"]
 
-FIRST_BUSY_SEQUENCE = 1 << 62  # calls that requests wait for have sequences below this
-REPEATED = 1.0  # seconds for which an answered keep-alive counts, at least
-CHECKS_PER_LIFE = 3  # on borrowed connections, in their time to live
+FIRST_BUSY_SEQUENCE = 1 << 62  # sequences of all other calls are below this
+RECHECK_INTERVAL = 1.0  # seconds for which an answered keep-alive counts, at least
+CHECKS_PER_LIFE = 3  # on borrowed connections, within their usable time
 
 
 class BusyChecks(PoolPart):
-    """Have connections prove themselves beside the call that they owe an answer to."""
+    """Check connections with a call in flight by sending keep-alives on them."""
 
     __slots__ = ()
 
     # -- For the request path --------------------------------------------------
 
     def answers(self, connection: ConnectionRow, within: float) -> bool:
-        """Tell whether a connection answers beside its call; ask it if need be.
+        """Return whether a busy connection answers; send a keep-alive if necessary.
 
-        False when a keep-alive is unanswered for `within` seconds. Where the endpoint
-        can't be asked, statements of patient classes are taken for slow, not silent.
+        Return False if a keep-alive is unanswered for `within` seconds. If the endpoint
+        does not support keep-alives on busy connections, the statements of patient
+        classes are taken for slow, and all others for silent.
         """
         pool = self._pooling.by_address[connection.address]
-        if not self._is_able(pool):
+        if not self._is_supported(pool):
             return self._is_patient(pool, connection)
         number = connection.number
         if number not in pool.answering:
             return True
         proof = self._proof(pool, number)
-        if not proof.outstanding and proof.asked_at + REPEATED <= self.now:
-            self._ask(pool, connection, proof)
+        if not proof.outstanding and proof.asked_at + RECHECK_INTERVAL <= self.now:
+            self._send(pool, connection, proof)
         return not proof.outstanding or self.now < proof.asked_at + within
 
     # -- When a call is not answered -------------------------------------------
 
     def on_overdue(self, pool: EndpointPool, number: int) -> None:
-        """Ask a connection that owes an answer for half of the silence."""
+        """Check a connection whose call is unanswered for half of `Tuning.silence`."""
         connection = self._connections.get(number)
         if connection is None:
             return
-        pool.answering.add(number)  # its call is in flight as before
+        pool.answering.add(number)  # the call is still in flight
         if number in pool.late:
             return
         pool.late.add(number)
         proof = self._proof(pool, number)
-        if self._is_able(pool) and not proof.outstanding:
-            self._ask(pool, connection, proof)
+        if self._is_supported(pool) and not proof.outstanding:
+            self._send(pool, connection, proof)
 
     def on_still_overdue(self, pool: EndpointPool, number: int) -> None:
-        """Give up a connection that did not prove itself in the other half."""
+        """Close a connection that did not answer within the other half either."""
         connection = self._connections.get(number)
         if connection is None or number not in pool.answering:
             return
-        if not self._is_able(pool) and self._is_patient(pool, connection):
+        if not self._is_supported(pool) and self._is_patient(pool, connection):
             return
         if self._proof(pool, number).answered:
-            # Nobody waits for its statement, which only the closing may end.
+            # No request waits for the statement any more, and only closing the
+            # connection can end it.
             self._pooling.closing.lose(pool, connection, "given-up")
             self._pooling.granting.pump(pool)
         else:
@@ -75,7 +77,7 @@
     def on_reply(
         self, pool: EndpointPool, connection: ConnectionRow, reply: EndpointReply
     ) -> None:
-        """Take the answer to a keep-alive that was sent beside a call."""
+        """Process the answer to a keep-alive on a busy connection."""
         number = connection.number
         proof = pool.proofs.get(number)
         if proof is None or proof.sequence != reply.sequence:
@@ -85,38 +87,41 @@
         if connection.request or connection.transaction:
             pool.late.remove(number)
         else:
-            # Its call was given up, and is not waited for, however well it is.
+            # The request was given up. That the connection answers is no reason to
+            # wait for its statement.
             pool.checking.remove(number)
 
     def discard(self, pool: EndpointPool, number: int) -> None:
-        """Let go of a call that was answered, or whose connection is gone."""
+        """Discard the state of a call that was answered or whose connection closed."""
         pool.proofs.pop(number, None)
         pool.late.remove(number)
 
     # -- Borrowed connections --------------------------------------------------
 
     def extend_borrowed(self, pool: EndpointPool) -> None:
-        """Prolong the short life of borrowed connections with a long statement."""
-        if not self._is_able(pool):
+        """Extend the usable time of borrowed connections that run a slow statement."""
+        if not self._is_supported(pool):
             return
         for loan in pool.borrowed.values():
             for number in loan.numbers:
                 if number in pool.answering:
-                    self._keep(pool, self._connections[number])
+                    self._extend(pool, self._connections[number])
 
-    def _keep(self, pool: EndpointPool, connection: ConnectionRow) -> None:
+    def _extend(self, pool: EndpointPool, connection: ConnectionRow) -> None:
         life = self._pooling.loans.life(connection.loan)
         called_at = connection.expires - life
         proof = self._proof(pool, connection.number)
-        due = called_at + life / CHECKS_PER_LIFE <= self.now
-        if due and not proof.outstanding:
-            self._ask(pool, connection, proof)
+        is_due = called_at + life / CHECKS_PER_LIFE <= self.now
+        if is_due and not proof.outstanding:
+            self._send(pool, connection, proof)
 
-    # -- Asking ----------------------------------------------------------------
+    # -- Keep-alives -----------------------------------------------------------
 
-    def _ask(self, pool: EndpointPool, connection: ConnectionRow, proof: Proof) -> None:
+    def _send(
+        self, pool: EndpointPool, connection: ConnectionRow, proof: Proof
+    ) -> None:
         now = self.now
-        # A host that was paused does not prolong what the endpoint may have closed.
+        # After a pause of this host, the endpoint may have closed the connection.
         if connection.expires <= now:
             return
         expires = self._pooling.expiry(pool, connection, now)
@@ -136,7 +141,7 @@
             proof = pool.proofs[number] = Proof()
         return proof
 
-    def _is_able(self, pool: EndpointPool) -> bool:
+    def _is_supported(self, pool: EndpointPool) -> bool:
         report = pool.endpoint.report
         return report is not None and report.keep_alive_while_busy
 
--- a/mallowpass/core/systems/databases.py
+++ b/mallowpass/core/systems/databases.py
@@ -1,8 +1,9 @@
-"""The rows of databases and endpoints, kept as the services in force declare them.
+"""The rows of databases and endpoints, as the current versions of services declare.
 
-An address belongs to one database. Two operators may declare it for two databases
-at the same moment, each unseen by the other: every host then gives it to the
-database whose key sorts first, so that all agree, and says so.
+An address belongs to one database. Two operators may declare an address for two
+databases at the same time, before either change is visible to the other operator. Every
+host then assigns the address to the database whose key sorts first, so that all hosts
+agree, and logs an error.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class DatabaseRows:
-    """Own which DatabaseRow and EndpointRow there are, and tell of changes."""
+    """Create, change and remove the rows of databases and endpoints."""
 
     __slots__ = ("_claims", "_node")
 
@@ -31,14 +32,14 @@
         self._claims: dict[str, set[str]] = {}  # address -> keys of databases
 
     def apply(self, before: Service | None, version: ServiceVersion) -> None:
-        """Make the rows of one service fit its new version."""
+        """Update the rows of one service to its new version."""
         name = version.name
         old = _by_key(name, before)
         new = _by_key(name, version.service)
         disputed = self._claim(old, new)
         for key in sorted(old.keys() - new.keys()):
             self._remove(key)
-        # Whoever loses an address is told before whoever gains it.
+        # Databases that lose an address are changed before databases that gain it.
         for key in sorted(new.keys() & old.keys()):
             if new[key] != old[key]:
                 self._change(key, new[key])
@@ -50,7 +51,7 @@
     # -- Claims --------------------------------------------------------------
 
     def _claim(self, old: dict[str, Database], new: dict[str, Database]) -> set[str]:
-        """Note who declares which address; return databases that share one."""
+        """Record the addresses that databases declare; return those that share one."""
         disputed: set[str] = set()
         for key, database in old.items():
             for member in database.members:
@@ -66,7 +67,7 @@
                     del self._claims[member.address]
         return disputed
 
-    def _owned(self, key: str, database: Database) -> list[Member]:
+    def _owned_members(self, key: str, database: Database) -> list[Member]:
         owned = []
         for member in database.members:
             owner = min(self._claims[member.address])
@@ -87,36 +88,38 @@
     def _add(self, key: str, service: str, database: Database) -> None:
         row = DatabaseRow(key, service, database)
         self._node.tables.databases[key] = row
-        self._fit_members(row)
+        self._update_members(row)
         self._node.publish(DatabaseAdded(key))
 
     def _change(self, key: str, database: Database) -> None:
         row = self._node.tables.databases[key]
         before = (row.definition, tuple(row.endpoints))
         row.definition = database
-        removed = self._fit_members(row)
+        removed = self._update_members(row)
         if before != (database, tuple(row.endpoints)):
             self._node.publish(DatabaseChanged(key, tuple(removed)))
 
     def _remove(self, key: str) -> None:
-        # Told before the rows go: the owners of its requests answer them by the row.
+        # Published before the rows are deleted: subscribers still need them to answer
+        # the requests of the database.
         row = self._node.tables.databases[key]
         self._node.publish(DatabaseRemoved(key))
         for address in row.endpoints:
             self._drop_endpoint(key, address)
         del self._node.tables.databases[key]
 
-    def _fit_members(self, row: DatabaseRow) -> list[str]:
-        wanted = {m.address: m for m in self._owned(row.key, row.definition)}
+    def _update_members(self, row: DatabaseRow) -> list[str]:
+        """Update the rows of a database's members; return the removed addresses."""
+        wanted = {m.address: m for m in self._owned_members(row.key, row.definition)}
         removed = [address for address in row.endpoints if address not in wanted]
         for address in removed:
             del row.endpoints[address]
             self._drop_endpoint(row.key, address)
         for address, member in wanted.items():
-            self._fit_endpoint(row, address, member)
+            self._update_endpoint(row, address, member)
         return removed
 
-    def _fit_endpoint(self, row: DatabaseRow, address: str, member: Member) -> None:
+    def _update_endpoint(self, row: DatabaseRow, address: str, member: Member) -> None:
         endpoint = row.endpoints.get(address)
         if endpoint is not None:
             endpoint.member = member
@@ -127,7 +130,7 @@
 
     def _drop_endpoint(self, key: str, address: str) -> None:
         endpoint = self._node.tables.endpoints.get(address)
-        # It may have passed to another database already.
+        # The address may already belong to another database.
         if endpoint is not None and endpoint.database == key:
             del self._node.tables.endpoints[address]
 
--- a/mallowpass/core/systems/hostlist.py
+++ b/mallowpass/core/systems/hostlist.py
@@ -1,9 +1,9 @@
-"""The platform's list of hosts: registered in, polled rarely, believed little.
+"""Registration of this host in the platform's list of hosts, and polling of the list.
 
-The list lags: it shows hosts that are gone and lacks hosts that are new. It serves
-to find hosts that no peer has told of. It never brings back a host that said
-goodbye, and never takes one away: a host that it shows as leaving, or lacks, is
-dialled and tells itself how it is.
+The list lags: it contains hosts that have gone and lacks new ones. It serves only to
+find hosts that no peer has reported. It never brings back a host that has left, and
+never removes one: a host that is listed as leaving, or is not listed any more, is
+dialled and answers with its own state.
 """
 
 from __future__ import annotations
@@ -25,37 +25,45 @@
 
 __all__ = ["HostList"]
 
-POLLERS = 2  # in each failure domain
+POLLERS = 2  # hosts that poll the list, in each failure domain
 UNKNOWN_SEAT = -1
-# At thousands of hosts a list is hundreds of kilobytes and a fleet's registrations
-# hundreds of writes: both become rarer as the fleet grows.
-POLL_PER_SEAT = 0.03
-REGISTER_MIN = 5.0
-REGISTER_PER_SEAT = 0.01
-ABSENT_POLLS = 3
-# Seconds without a word of a host until the list's is reason to ask itself.
-ABSENT_SILENCE = 30.0
-LEAVING_SILENCE = 1.0
+# For thousands of hosts, a list has hundreds of kilobytes, and the registrations of the
+# fleet are hundreds of writes. So both intervals grow with the number of seats.
+POLL_INTERVAL_PER_SEAT = 0.03  # seconds
+REGISTER_INTERVAL_MIN = 5.0  # seconds
+REGISTER_INTERVAL_PER_SEAT = 0.01  # seconds
+ABSENT_POLLS = 3  # consecutive polls without a host until it is dialled
+# Seconds since a host's last message until the list is reason to dial the host.
+ABSENT_SILENCE = 30.0  # not listed any more
+LEAVING_SILENCE = 1.0  # listed as leaving
 
 
 class HostList:
-    """Register this host and take over what the list adds."""
-
-    __slots__ = ("_absent", "_check", "_hosts", "_leaving", "_learn", "_node", "_seats")
+    """Register this host, and add hosts that only the list contains."""
+
+    __slots__ = (
+        "_absent_polls",
+        "_add_host",
+        "_dial_host",
+        "_hosts",
+        "_is_leaving",
+        "_node",
+        "_seats",
+    )
 
     def __init__(
         self,
         node: Node,
         hosts: HostTable,
-        learn: Callable[[HostNotice], None],
-        check: Callable[[HostRow], None],
+        add_host: Callable[[HostNotice], None],
+        dial_host: Callable[[HostRow], None],
     ) -> None:
         self._node = node
         self._hosts = hosts
-        self._learn = learn
-        self._check = check
-        self._absent: dict[str, int] = {}  # polls in a row, of hosts seen listed
-        self._leaving = False
+        self._add_host = add_host
+        self._dial_host = dial_host
+        self._absent_polls: dict[str, int] = {}  # consecutive, by host listed before
+        self._is_leaving = False
         self._seats = sum(domain.hosts for domain in node.identity.domains)
 
     @property
@@ -63,29 +71,29 @@
         return self._node.system(PlatformClient)
 
     def start(self) -> None:
-        """Begin to register and to poll."""
+        """Begin to register this host and to poll the list."""
         node = self._node
-        register = max(REGISTER_MIN, self._seats * REGISTER_PER_SEAT)
-        poll = max(node.tuning.host_list_poll, self._seats * POLL_PER_SEAT)
+        register = max(REGISTER_INTERVAL_MIN, self._seats * REGISTER_INTERVAL_PER_SEAT)
+        poll = max(node.tuning.host_list_poll, self._seats * POLL_INTERVAL_PER_SEAT)
         spread = node.random.uniform
         node.timers.every(register, self.register, first=spread(0, register / 5))
         node.timers.every(poll, self._poll, first=spread(0.1, 0.1 + poll / 4))
 
     def leave(self) -> None:
-        """Tell the platform that this host leaves, as well as can be."""
-        self._leaving = True
+        """Register this host as leaving; a failed call is not repeated."""
+        self._is_leaving = True
         self.register()
 
     def register(self) -> None:
-        """Tell the platform that this host is there."""
+        """Register this host in the platform's list."""
         identity = self._node.identity
         host = ListedHost(
             identity.name,
             identity.failure_domain,
             identity.peers_address,
-            self._leaving,
+            self._is_leaving,
         )
-        self._client.call(RegisterHost(host), _ignore, urgent=self._leaving)
+        self._client.call(RegisterHost(host), _ignore, urgent=self._is_leaving)
 
     def _poll(self) -> None:
         domain = self._node.identity.failure_domain
@@ -98,32 +106,33 @@
         listed = {host.name: host for host in reply.hosts}
         listed.pop(self._node.identity.name, None)
         for host in listed.values():
-            self._take_over(host)
-        self._doubt_absent(listed)
+            self._process(host)
+        self._check_absent(listed)
 
-    def _take_over(self, host: ListedHost) -> None:
-        self._absent[host.name] = 0
+    def _process(self, host: ListedHost) -> None:
+        self._absent_polls[host.name] = 0
         row = self._node.tables.hosts.get(host.name)
         if row is None and not host.leaving:
-            self._learn(_notice(host))
+            self._add_host(_notice(host))
         elif row is not None and host.leaving and row.state is HostState.ALIVE:
-            # A restarted host may still be listed with what its last life said.
-            # Telling the fleet that it leaves would have it refute at every poll.
-            self._check_unheard(row, LEAVING_SILENCE)
+            # A restarted host may still be listed with the entry from before its
+            # restart. If this host sent notices that it is leaving, it would have to
+            # refute them after every poll.
+            self._dial_if_silent(row, LEAVING_SILENCE)
 
-    def _doubt_absent(self, listed: dict[str, ListedHost]) -> None:
-        for name in [n for n in self._absent if n not in listed]:
+    def _check_absent(self, listed: dict[str, ListedHost]) -> None:
+        for name in [n for n in self._absent_polls if n not in listed]:
             row = self._node.tables.hosts.get(name)
             if row is None or row.state is not HostState.ALIVE:
-                del self._absent[name]
+                del self._absent_polls[name]
                 continue
-            self._absent[name] += 1
-            if self._absent[name] >= ABSENT_POLLS:
-                self._check_unheard(row, ABSENT_SILENCE)
+            self._absent_polls[name] += 1
+            if self._absent_polls[name] >= ABSENT_POLLS:
+                self._dial_if_silent(row, ABSENT_SILENCE)
 
-    def _check_unheard(self, row: HostRow, silence: float) -> None:
+    def _dial_if_silent(self, row: HostRow, silence: float) -> None:
         if self._node.timers.now - row.heard_at >= silence:
-            self._check(row)
+            self._dial_host(row)
 
 
 def _notice(host: ListedHost) -> HostNotice:
@@ -138,4 +147,4 @@
 
 
 def _ignore(reply: PlatformReply) -> None:
-    """Do nothing: the next registration comes by itself."""
+    """Ignore the reply: registrations are repeated anyway."""
--- a/mallowpass/core/systems/hostpause.py
+++ b/mallowpass/core/systems/hostpause.py
@@ -1,4 +1,4 @@
-"""Notice that this host itself stood still."""
+"""Detect pauses of this host, such as a suspended process or virtual machine."""
 
 from __future__ import annotations
 
@@ -6,39 +6,39 @@
 
 __all__ = ["HostPause"]
 
-PULSE = 0.05
-# A pulse that comes later than due by this share of the detection time is a pause.
+CHECK_INTERVAL = 0.05  # seconds
+# A check that runs late by more than this share of the detection time shows a pause.
 LATE_SHARE = 0.5
 
 
 class HostPause:
-    """Tell since when this host has been running without a pause.
+    """Detect pauses of this host by checks that run late.
 
-    A host that was stopped sees every endpoint silent when it goes on: the
-    reports wait unread behind its due timers. Without this it would suspect
-    healthy primaries at once; one would notice promotions without a failure.
+    After a pause, timers that are due run before the reports that have arrived are
+    read, so every endpoint looks silent. Without the time at which the pause ended,
+    this host would suspect healthy primaries and promote other members.
     """
 
-    __slots__ = ("_awake_since", "_last", "_node")
+    __slots__ = ("_awake_since", "_last_check_at", "_node")
 
     def __init__(self, node: Node) -> None:
         self._node = node
-        self._last = node.timers.now
+        self._last_check_at = node.timers.now
         self._awake_since = float("-inf")
-        node.timers.every(PULSE, self.note)
+        node.timers.every(CHECK_INTERVAL, self.check)
 
     @property
     def awake_since(self) -> float:
         """Return when the last pause ended, by this host's clock in seconds."""
-        self.note()
+        self.check()
         return self._awake_since
 
-    def note(self) -> None:
-        """Compare the time with the last pulse; a late one was a pause."""
+    def check(self) -> None:
+        """Compare the time since the last check with the interval of the checks."""
         now = self._node.timers.now
-        late = now - self._last - PULSE
-        self._last = max(self._last, now)
+        late = now - self._last_check_at - CHECK_INTERVAL
+        self._last_check_at = max(self._last_check_at, now)
         if late > self._node.tuning.detection * LATE_SHARE:
             self._awake_since = now
             self._node.count("host_pauses")
-            self._node.decide("pause", "host", f"stood still for {late:.3f}s")
+            self._node.decide("pause", "host", f"paused for {late:.3f}s")
--- a/mallowpass/core/systems/hosts.py
+++ b/mallowpass/core/systems/hosts.py
@@ -1,9 +1,10 @@
-"""What this host believes of the others, and how beliefs are merged.
+"""The table of other hosts, and the merging of notices about them.
 
-A belief is (incarnation, state). Of two beliefs the one with the higher incarnation
-stands, and within one incarnation the worse state. Merging is therefore the same in
-whatever order and however often news come, so that all hosts end with the same
-table. Only the host itself raises its incarnation: that is how it refutes.
+A notice contains the incarnation and the state of a host. Of two notices, the one with
+the higher incarnation wins, and within one incarnation the one with the worse state.
+So the result depends neither on the order of notices nor on duplicates, and all hosts
+converge to the same table. Only a host itself raises its incarnation, which is how it
+refutes a notice that it is suspected or dead.
 """
 
 from __future__ import annotations
@@ -20,8 +21,10 @@
 __all__ = ["HostTable", "make_notice", "rendezvous_weight"]
 
 BUCKETS = 64
-FORGET_AFTER = 900.0  # seconds; longer than the platform's list lags
-FORGET_PERIOD = 60.0
+# Seconds until rows of dead and leaving hosts are removed. The platform's list of hosts
+# lags less, so it does not bring them back.
+FORGET_AFTER = 900.0
+FORGET_PERIOD = 60.0  # seconds
 
 _SEVERITY = {
     HostState.ALIVE: 0,
@@ -38,7 +41,7 @@
 
 
 def make_notice(row: HostRow) -> HostNotice:
-    """Return a row as a notice for peers."""
+    """Return a notice for peers with the contents of a row."""
     return HostNotice(
         row.name,
         row.failure_domain,
@@ -50,40 +53,40 @@
 
 
 class HostTable:
-    """Own the rows of other hosts: merge news, hash them, rank them."""
+    """Own the rows of other hosts: merge notices, compute digests, rank hosts."""
 
     __slots__ = (
         "_buckets",
-        "_changed_at",
+        "_gone_since",
         "_digest",
-        "_digests",
+        "_host_hashes",
         "_live",
         "_node",
         "_ranks",
         "_rows",
-        "_suspects",
+        "_suspected_since",
     )
 
     def __init__(self, node: Node) -> None:
         self._node = node
         self._rows = node.tables.hosts
-        self._suspects: dict[str, float] = {}  # name -> suspected since
-        self._changed_at: dict[str, float] = {}  # dead and leaving ones
+        self._suspected_since: dict[str, float] = {}  # by host
+        self._gone_since: dict[str, float] = {}  # dead and leaving hosts
         self._live: dict[str | None, list[HostRow]] = {}  # by failure domain
         self._ranks: dict[tuple[str, str | None], int] = {}
         self._buckets = [0] * BUCKETS
         self._digest = b""  # empty: to be computed
-        self._digests: dict[str, int] = {}  # what each name adds to its bucket
-        node.timers.every(FORGET_PERIOD, self._forget_gone)
+        self._host_hashes: dict[str, int] = {}  # each live host's part of its bucket
+        node.timers.every(FORGET_PERIOD, self._remove_gone)
 
     @property
     def suspected_since(self) -> dict[str, float]:
-        """Return who is suspected, and since when."""
-        return self._suspects
+        """Return the times since which hosts are suspected, by host."""
+        return self._suspected_since
 
     @property
     def digest(self) -> bytes:
-        """Return a hash over all hosts believed alive, this one included."""
+        """Return a hash over all live hosts, this one included."""
         if not self._digest:
             hashed = b"".join(bucket.to_bytes(8, "big") for bucket in self._buckets)
             self._digest = xxhash.xxh64_digest(hashed)
@@ -97,7 +100,7 @@
     # -- Reading -------------------------------------------------------------
 
     def live_hosts(self, failure_domain: str | None = None) -> list[HostRow]:
-        """Return the live hosts, suspected ones included, without this one."""
+        """Return the other hosts that are alive or suspected."""
         rows = self._live.get(failure_domain)
         if rows is None:
             rows = [
@@ -109,7 +112,7 @@
         return rows
 
     def rank(self, key: str, failure_domain: str | None) -> int:
-        """Return how many live hosts weigh more than this one for a key."""
+        """Return how many live hosts have a higher weight than this one for a key."""
         rank = self._ranks.get((key, failure_domain))
         if rank is None:
             own = rendezvous_weight(key, self._node.identity.name)
@@ -119,12 +122,12 @@
         return rank
 
     def highest_ranked(self, key: str) -> str:
-        """Return the name of the live host that weighs most for a key."""
+        """Return the name of the live host with the highest weight for a key."""
         names = [self._node.identity.name, *(row.name for row in self.live_hosts())]
         return max(names, key=lambda name: rendezvous_weight(key, name))
 
     def rows_in_buckets(self, numbers: Iterable[int]) -> Iterator[HostRow]:
-        """Return all rows of some buckets, gone hosts included."""
+        """Return all rows of some buckets, also of dead and leaving hosts."""
         wanted = frozenset(numbers)
         return (row for row in self._rows.values() if _bucket(row.name) in wanted)
 
@@ -135,25 +138,25 @@
 
     # -- Merging -------------------------------------------------------------
 
-    def merge(self, news: HostNotice) -> bool:
-        """Take news over if they supersede what is believed; tell whether they do.
+    def merge(self, notice: HostNotice) -> bool:
+        """Merge a notice into the table; return whether the notice is newer.
 
-        A death that others declared counts as a suspicion here: after a partition
-        whole failure domains are told dead by the other side, and hosts must get
-        the moment it takes to refute before work is taken from them.
+        A host that others declared dead becomes suspected here. After a partition,
+        each side has declared whole failure domains of the other side dead, and their
+        hosts need time to refute before their work is reassigned.
         """
-        state = HostState(news.state)
-        row = self._rows.get(news.host)
+        state = HostState(notice.state)
+        row = self._rows.get(notice.host)
         if row is None:
-            return self._add(news, state)
+            return self._add(notice, state)
         before = (row.incarnation, _SEVERITY[row.state])
-        if (news.incarnation, _SEVERITY[state]) <= before:
+        if (notice.incarnation, _SEVERITY[state]) <= before:
             return False
         was_live = row.state in _LIVE
-        row.failure_domain = news.failure_domain
-        row.seat = news.seat
-        row.address = news.address
-        row.incarnation = news.incarnation
+        row.failure_domain = notice.failure_domain
+        row.seat = notice.seat
+        row.address = notice.address
+        row.incarnation = notice.incarnation
         if state is HostState.DEAD and was_live:
             state = HostState.SUSPECTED
             if before == (row.incarnation, _SEVERITY[state]):
@@ -162,45 +165,45 @@
         return True
 
     def suspect(self, row: HostRow) -> bool:
-        """Begin to suspect a live host; tell whether that is new."""
+        """Begin to suspect a live host; return whether its state changed."""
         if row.state is not HostState.ALIVE:
             return False
         self._set_state(row, HostState.SUSPECTED)
         return True
 
     def mark_dead(self, row: HostRow) -> None:
-        """Take a suspected host for dead."""
+        """Declare a suspected host dead."""
         self._set_state(row, HostState.DEAD)
 
     def note_contact(self, row: HostRow, beat: int = 0) -> None:
-        """Note a direct sign of life; suspicion of this incarnation ends."""
+        """Record a message from a host, which ends the suspicion of its incarnation."""
         row.heard_at = self._node.timers.now
         row.beat = max(row.beat, beat)
         if row.state is HostState.SUSPECTED:
             self._set_state(row, HostState.ALIVE)
 
     def restart_suspicions(self) -> None:
-        """Start all suspicions over: the silence was this host's own."""
+        """Restart all suspicions, after a pause of this host."""
         now = self._node.timers.now
-        for name in self._suspects:
-            self._suspects[name] = now
+        for name in self._suspected_since:
+            self._suspected_since[name] = now
 
     def update_own_digest(self, incarnation: int, leaving: bool) -> None:
-        """Keep this host's own part of the digest."""
-        self._rehash(self._node.identity.name, incarnation, not leaving)
+        """Update this host's own part of the digest."""
+        self._update_digest(self._node.identity.name, incarnation, not leaving)
 
     # -- Helpers -------------------------------------------------------------
 
-    def _add(self, news: HostNotice, state: HostState) -> bool:
+    def _add(self, notice: HostNotice, state: HostState) -> bool:
         row = HostRow(
-            news.host,
-            news.failure_domain,
-            news.seat,
-            news.address,
-            news.incarnation,
+            notice.host,
+            notice.failure_domain,
+            notice.seat,
+            notice.address,
+            notice.incarnation,
             heard_at=self._node.timers.now,
         )
-        self._rows[news.host] = row
+        self._rows[notice.host] = row
         self._set_state(row, state)
         return True
 
@@ -210,19 +213,19 @@
         row.state = state
         self._live.clear()
         self._ranks.clear()
-        self._rehash(row.name, row.incarnation, state in _LIVE)
+        self._update_digest(row.name, row.incarnation, state in _LIVE)
         if state is HostState.SUSPECTED:
-            self._suspects.setdefault(row.name, now)
+            self._suspected_since.setdefault(row.name, now)
         else:
-            self._suspects.pop(row.name, None)
+            self._suspected_since.pop(row.name, None)
         if state in _LIVE:
-            self._changed_at.pop(row.name, None)
+            self._gone_since.pop(row.name, None)
         else:
-            self._changed_at[row.name] = now
+            self._gone_since[row.name] = now
         if changed or state is HostState.ALIVE:
-            self._tell(row)
+            self._publish(row)
 
-    def _tell(self, row: HostRow) -> None:
+    def _publish(self, row: HostRow) -> None:
         self._node.log(
             "info",
             "host_state",
@@ -233,20 +236,21 @@
         self._node.count("hosts", state=row.state.value)
         self._node.publish(HostStateChanged(row.name))
 
-    def _rehash(self, name: str, incarnation: int, live: bool) -> None:
+    def _update_digest(self, name: str, incarnation: int, live: bool) -> None:
         part = xxhash.xxh64_intdigest(f"{name}\0{incarnation}".encode()) if live else 0
         number = _bucket(name)
-        self._buckets[number] ^= self._digests.pop(name, 0) ^ part
+        self._buckets[number] ^= self._host_hashes.pop(name, 0) ^ part
         if part:
-            self._digests[name] = part
+            self._host_hashes[name] = part
         self._digest = b""
 
-    def _forget_gone(self) -> None:
+    def _remove_gone(self) -> None:
         limit = self._node.timers.now - FORGET_AFTER
-        for name in [n for n, at in self._changed_at.items() if at < limit]:
-            # A drain may last longer; its host's heartbeats still look for the row.
+        for name in [n for n, at in self._gone_since.items() if at < limit]:
+            # A drain may take longer. While the host is linked, its heartbeats need
+            # the row.
             if not self._rows[name].link:
-                del self._changed_at[name]
+                del self._gone_since[name]
                 del self._rows[name]
 
 
