--- a/mallowpass/core/systems/failover.py
+++ b/mallowpass/core/systems/failover.py
@@ -1,4 +1,4 @@
-"""Replace primaries that are gone, and hand over in order."""
+"""Replacement of failed primaries, and switchover by an operator's order."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     PrimaryChanged,
 )
 from mallowpass.core.systems.groupfailover import GroupFailover, PromoteCallback
-from mallowpass.core.systems.groupstable import keep_result
+from mallowpass.core.systems.groupstable import record_result
 from mallowpass.core.systems.liveness import Liveness
 from mallowpass.core.systems.promotion import PromotionResult
 from mallowpass.core.systems.stewards import Peers, find_membership, find_platform
@@ -25,7 +25,10 @@
 
 
 class Failover(System):
-    """Look after all groups; all hosts may promote, and the members' terms decide."""
+    """Run the failover of all groups.
+
+    Every host may promote; the terms that the members promise decide which one does.
+    """
 
     __slots__ = ("_groups", "_liveness", "_membership", "_platform")
 
@@ -35,26 +38,29 @@
         self._membership: Peers | None = None
 
     def start(self) -> None:
-        """Look after databases as they come into force."""
+        """Run the failover of the databases that are served, as they come and go."""
         self._liveness = self._node.system(Liveness)
         self._membership = find_membership(self._node)
         self._platform = find_platform(self._node)
-        self._node.subscribe(DatabaseAdded, self._added)
-        self._node.subscribe(DatabaseChanged, self._changed)
-        self._node.subscribe(DatabaseRemoved, self._removed)
-        self._node.subscribe(PrimaryChanged, self._primary_changed)
-        self._node.subscribe(EndpointReported, self._reported)
-        self._node.subscribe(EndpointStateChanged, self._state_changed)
-        self._node.subscribe(HeldStalled, self._stalled)
+        self._node.subscribe(DatabaseAdded, self._on_added)
+        self._node.subscribe(DatabaseChanged, self._on_changed)
+        self._node.subscribe(DatabaseRemoved, self._on_removed)
+        self._node.subscribe(PrimaryChanged, self._on_primary_changed)
+        self._node.subscribe(EndpointReported, self._on_reported)
+        self._node.subscribe(EndpointStateChanged, self._on_state_changed)
+        self._node.subscribe(HeldStalled, self._on_stalled)
 
     def use_membership(self, membership: Peers) -> None:
-        """Take this host's ranks from it, and announce promotions through it."""
+        """Take this host's ranks from the membership, and announce promotions by it."""
         self._membership = membership
 
     # -- For other systems ---------------------------------------------------
 
     def probe_primary(self, address: str, why: str) -> None:
-        """Take a hint of the request path: look at an endpoint on a fresh stream."""
+        """Probe an endpoint on a new stream if it is a primary that may have failed.
+
+        The request path calls this when a connection to the endpoint fails.
+        """
         group = self._group_of(address)
         if group is None or address != group.row.primary:
             return
@@ -72,9 +78,9 @@
     def promote(
         self, database_key: str, member_name: str, callback: PromoteCallback
     ) -> None:
-        """Hand a database over to a member; the callback gets (ok, term, why)."""
+        """Promote a member in a switchover; the callback gets (ok, term, why)."""
         group = self._groups.get(database_key)
-        problem = self._why_not(group, database_key, member_name)
+        problem = self._find_problem(group, database_key, member_name)
         if problem:
             self._node.decide("refusal", database_key, problem)
             callback(False, 0, problem)
@@ -88,7 +94,7 @@
         group.begin(member_name, callback)
 
     @staticmethod
-    def _why_not(
+    def _find_problem(
         group: GroupFailover | None, database_key: str, member_name: str
     ) -> str:
         if group is None:
@@ -97,48 +103,48 @@
         if member_name not in names:
             return f"database {database_key!r} has no member {member_name!r}"
         if group.promotion is not None:
-            return f"term {group.promotion.term} is being promoted already"
+            return f"a promotion in term {group.promotion.term} is in progress"
         return ""
 
     # -- Databases -----------------------------------------------------------
 
-    def _added(self, signal: DatabaseAdded) -> None:
+    def _on_added(self, signal: DatabaseAdded) -> None:
         row = self.tables.databases[signal.database]
         group = GroupFailover(self._node, self._liveness, row, self._announce)
         self._groups[row.key] = group
 
-    def _changed(self, signal: DatabaseChanged) -> None:
+    def _on_changed(self, signal: DatabaseChanged) -> None:
         group = self._groups.get(signal.database)
         if group is not None:
-            group.forget_members(signal.removed)
+            group.remove_members(signal.removed)
 
-    def _removed(self, signal: DatabaseRemoved) -> None:
+    def _on_removed(self, signal: DatabaseRemoved) -> None:
         group = self._groups.pop(signal.database, None)
         if group is not None:
             group.stop()
 
     # -- Signals -------------------------------------------------------------
 
-    def _primary_changed(self, signal: PrimaryChanged) -> None:
+    def _on_primary_changed(self, signal: PrimaryChanged) -> None:
         group = self._groups.get(signal.database)
         if group is not None:
-            group.primary_changed()
+            group.on_primary_changed()
 
-    def _reported(self, signal: EndpointReported) -> None:
+    def _on_reported(self, signal: EndpointReported) -> None:
         endpoint = self.tables.endpoints.get(signal.address)
         group = self._group_of(signal.address)
         if group is not None and endpoint.report is not None:
-            group.reported(endpoint, endpoint.report)
+            group.on_report(endpoint, endpoint.report)
 
-    def _stalled(self, signal: HeldStalled) -> None:
+    def _on_stalled(self, signal: HeldStalled) -> None:
         group = self._groups.get(signal.database)
         if group is not None:
-            group.doubt()
+            group.check_isolation()
 
-    def _state_changed(self, signal: EndpointStateChanged) -> None:
+    def _on_state_changed(self, signal: EndpointStateChanged) -> None:
         group = self._group_of(signal.address)
         if group is not None and signal.address == group.row.primary:
-            group.review_leaving()
+            group.check_leaving()
 
     def _group_of(self, address: str) -> GroupFailover | None:
         endpoint = self.tables.endpoints.get(address)
@@ -163,8 +169,8 @@
             notice = GroupNotice(row.key, result.term, address, host)
             self._membership.broadcast(notice)
         if self._platform is not None:
-            keep_result(self._platform, row.key, result)
+            record_result(self._platform, row.key, result)
 
 
 def _ignore(reply: ControlReply | None) -> None:
-    """Leave a reply to the report in it, which liveness takes anyway."""
+    """Ignore the reply itself: liveness processes the report in it."""
--- a/mallowpass/core/systems/floors.py
+++ b/mallowpass/core/systems/floors.py
@@ -1,14 +1,17 @@
-"""Session floors and age floors: what was acknowledged, learnt from a majority.
-
-Why a majority's answers suffice. A write W at (T, p) was acknowledged because a
-majority of the n members said that they hold it in its own term T. Take r replies
-to probes sent afterwards. At least k = r + majority - n of the repliers hold W
-still: whoever held it keeps it through every later promotion, since each promotion
-asked a majority, met one holder, and chose the furthest log. So at least k replies
-are at or above (T, p), and the k-th highest is too. A log that reaches a place
-(T', p') at or above (T, p), in a term T' that a majority elected, contains W. With a
-bare majority of replies k is 1: the highest. With all replies k is the majority,
-and an entry that only one member has does not hold reads up.
+"""Session floors and age floors, from the positions of a majority of the members.
+
+A floor is the least log position that a read may see. Why a majority's replies suffice:
+a write W at (T, p) is acknowledged only after a majority of the n members hold it in
+its own term T. Take r replies to probes that are sent afterwards. At least
+k = r + majority - n of the members that replied still hold W. They keep it through
+every later promotion, because each promotion gets promises from a majority, which
+includes a holder of W, and chooses the furthest log. So at least k replies are at or
+above (T, p), and the k-th highest reply is too. A log that reaches a position (T', p')
+at or above (T, p), in a term T' that a majority elected, contains W.
+
+With replies from a bare majority k is 1, so the floor is the highest reply. With
+replies from all members k is the majority, so an entry that only one member has does
+not delay reads.
 """
 
 from __future__ import annotations
@@ -29,14 +32,14 @@
 
 __all__ = ["FloorRounds", "acknowledged_floor"]
 
-ROUND_TIMEOUT = 0.5
-RECORDS_KEPT = 256
-# A record may be this share of the accepted age newer than it need be, which
-# makes reads that much stricter than they were declared.
-AGE_SHARE = 0.2
-INTERVAL_MAX = 1.0
-# Rounds go on for so many intervals after the last read that needed them.
-INTERVALS_KEPT = 3
+ROUND_TIMEOUT = 0.5  # seconds
+RECORDS_MAX = 256
+# Interval of rounds as a share of the accepted age. A floor may be newer than necessary
+# by this share, which makes reads that much stricter than declared.
+INTERVAL_SHARE = 0.2
+INTERVAL_MAX = 1.0  # seconds
+# Rounds continue for this number of intervals after the last read that needed them.
+INTERVALS_AFTER_USE = 3
 
 FloorCallback = Callable[[LogPosition | None], None]
 
@@ -44,33 +47,33 @@
 def acknowledged_floor(
     replies: list[LogPosition], members: int, majority: int
 ) -> LogPosition:
-    """Return a place at or above all writes acknowledged before the probes."""
+    """Return a position at or above all writes acknowledged before the probes."""
     holders = len(replies) + majority - members
     return sorted(replies, reverse=True)[holders - 1]
 
 
 @dataclass(slots=True)
 class _Round:
-    """Hold one round of probes; it was sent at `sent_at`."""
+    """Hold the state of one round of probes."""
 
     sent_at: float
     members: int
     majority: int
     callbacks: list[FloorCallback]
     replies: dict[str, LogPosition] = field(default_factory=dict)
-    missing: int = 0
-    resolved: bool = False
+    failed: int = 0  # members without a usable reply
+    is_resolved: bool = False
 
 
 class FloorRounds:
-    """Ask all members of one group for their positions, one round at a time."""
+    """Probe all members of one group for their positions, one round at a time."""
 
     __slots__ = (
         "_accepted_max",
         "_accepted_min",
         "_control",
         "_needed_until",
-        "_next",
+        "_next_callbacks",
         "_node",
         "_round",
         "_row",
@@ -82,7 +85,7 @@
         self._control = control
         self._row = row
         self._round: _Round | None = None
-        self._next: list[FloorCallback] = []
+        self._next_callbacks: list[FloorCallback] = []  # of the next round
         self._needed_until = float("-inf")
         self._accepted_min = float("inf")
         self._accepted_max = 0.0
@@ -90,22 +93,23 @@
 
     # -- Floors of sessions --------------------------------------------------
 
-    def learn(self, callback: FloorCallback) -> None:
-        """Learn a floor from probes sent from now on; None when no majority answers.
+    def request(self, callback: FloorCallback) -> None:
+        """Determine a floor from probes that are sent from now on.
 
-        Whoever comes while a round is in flight waits for the next one: the
-        probes in flight may have been answered before its call.
+        The callback gets None if no majority answers. If a round is in flight, the
+        callback waits for the next one: members may have answered the probes in flight
+        before this call.
         """
         if self._round is None:
             self._begin([callback])
         else:
-            self._next.append(callback)
+            self._next_callbacks.append(callback)
 
     def stop(self) -> None:
-        """Fail those who wait; the database is not served any more."""
+        """Call all waiting callbacks with None: the database was removed."""
         if self._timer is not None:
             self._timer.cancel()
-        callbacks, self._next = self._next, []
+        callbacks, self._next_callbacks = self._next_callbacks, []
         if self._round is not None:
             callbacks = self._round.callbacks + callbacks
             self._round.callbacks = []
@@ -125,33 +129,33 @@
             self._probe(current, address)
 
     def _probe(self, current: _Round, address: str) -> None:
-        def replied(reply: ControlReply | None) -> None:
-            self._replied(current, address, reply)
+        def on_reply(reply: ControlReply | None) -> None:
+            self._on_reply(current, address, reply)
 
-        self._control.call(address, ProbeCall(), replied, ROUND_TIMEOUT)
+        self._control.call(address, ProbeCall(), on_reply, ROUND_TIMEOUT)
 
-    def _replied(
+    def _on_reply(
         self, current: _Round, address: str, reply: ControlReply | None
     ) -> None:
         if reply is None or reply.report is None or reply.code is not EndpointCode.OK:
-            current.missing += 1
+            current.failed += 1
         else:
             current.replies[address] = reply.report.received
         if len(current.replies) >= current.majority:
             self._record(current)
-        if current.resolved:
+        if current.is_resolved:
             return
         if len(current.replies) >= current.majority:
             self._resolve(current, self._floor_of(current))
-        elif current.members - current.missing < current.majority:
+        elif current.members - current.failed < current.majority:
             self._resolve(current, None)
 
     def _resolve(self, current: _Round, floor: LogPosition | None) -> None:
-        current.resolved = True
+        current.is_resolved = True
         if self._round is current:
             self._round = None
         callbacks, current.callbacks = current.callbacks, []
-        waiting, self._next = self._next, []
+        waiting, self._next_callbacks = self._next_callbacks, []
         if waiting:
             self._begin(waiting)
         for callback in callbacks:
@@ -166,10 +170,10 @@
 
     def at_age(self, accepted_age: float) -> LogPosition | None:
         """Return the oldest recorded floor that is not older than an age."""
-        self._need(accepted_age)
+        self._note_use(accepted_age)
         oldest = self._node.timers.now - accepted_age
-        # Newest first: with a steady rate of rounds the answer stands near the
-        # end for short ages, and the records are few for long ones.
+        # Search from the newest: for short ages the record is near the end, and for
+        # long ages there are few records.
         found = None
         for record in reversed(self._row.floors):
             if record.at < oldest:
@@ -178,7 +182,7 @@
         return None if found is None else found.position
 
     def _record(self, current: _Round) -> None:
-        """Keep what a round proves; more replies of the same round sharpen it."""
+        """Record a round's floor, which further replies of the round may lower."""
         floors = self._row.floors
         record = FloorRecord(current.sent_at, self._floor_of(current))
         if floors and floors[-1].at > record.at:
@@ -193,28 +197,28 @@
         oldest = self._node.timers.now - self._accepted_max
         while len(floors) > 1 and floors[0].at < oldest:
             floors.popleft()
-        if len(floors) > RECORDS_KEPT:
-            # Every second one of the older half: a gap makes a floor stricter,
-            # never wrong, because the next newer record is used.
+        if len(floors) > RECORDS_MAX:
+            # Drop every second record of the older half. A gap makes a floor stricter
+            # but never wrong, because the next newer record is used.
             kept = list(floors)
             half = len(kept) // 2
             floors.clear()
             floors.extend(kept[:half:2] + kept[half:])
 
-    def _need(self, accepted_age: float) -> None:
+    def _note_use(self, accepted_age: float) -> None:
         if self._node.timers.now > self._needed_until:
             self._accepted_min = float("inf")
             self._accepted_max = 0.0
         self._accepted_min = min(self._accepted_min, accepted_age)
         self._accepted_max = max(self._accepted_max, accepted_age)
         interval = self._interval
-        self._needed_until = self._node.timers.now + INTERVALS_KEPT * interval
+        self._needed_until = self._node.timers.now + INTERVALS_AFTER_USE * interval
         if self._timer is None:
             self._refresh()
 
     @property
     def _interval(self) -> float:
-        wanted = self._accepted_min * AGE_SHARE
+        wanted = self._accepted_min * INTERVAL_SHARE
         return min(max(wanted, self._node.tuning.probe_interval), INTERVAL_MAX)
 
     def _refresh(self) -> None:
--- a/mallowpass/core/systems/groupfailover.py
+++ b/mallowpass/core/systems/groupfailover.py
@@ -1,4 +1,4 @@
-"""Failover of one group: suspicion, this host's turn, promotion, and again."""
+"""Failover of one group: suspicion, confirmation, this host's turn, promotion."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 __all__ = ["GroupFailover", "PromoteCallback"]
 
-CHECK_MIN = 0.01  # seconds between two looks at a primary, at least
-HOLD_DOWN_FACTOR = 2  # a young primary has to be silent for longer
-SLOW_RETRY = 1.0
-HEARD_MAX = 5
+CHECK_DELAY_MIN = 0.01  # seconds between two checks of a primary, at least
+HOLD_DOWN_FACTOR = 2  # of the detection time, for a recently promoted primary
+SLOW_RETRY_DELAY = 1.0  # seconds, at most
+FAST_ROUNDS_MAX = 5  # rounds of probes before they are slowed down
 
 _REPLACED = frozenset({Verdict.GONE, Verdict.ABDICATED, Verdict.ISOLATED})
 
@@ -31,7 +31,7 @@
 
 
 class GroupFailover:
-    """Suspect, confirm and replace one group's primary."""
+    """Suspect the primary of one group, confirm its failure, and replace it."""
 
     __slots__ = (
         "_announce",
@@ -39,17 +39,17 @@
         "_check_timer",
         "_confirmation",
         "_created_at",
-        "_deaf",
-        "_doubted",
+        "_disconnected",
         "_followers",
-        "_hand_over",
-        "_heard",
+        "_heard_rounds",
         "_highest_term",
+        "_is_checking_isolation",
         "_isolation",
         "_liveness",
         "_node",
-        "_noted",
+        "_recorded_verdict",
         "_suspect",
+        "_switchover",
         "_turn",
         "promotion",
         "row",
@@ -63,35 +63,38 @@
         self._node = node
         self._liveness = liveness
         self._announce = announce
-        self._followers = Followers(node, liveness, row, self._renew)
-        self._hand_over = SwitchoverPlanner(node, liveness, row, self._begin_hand_over)
+        self._followers = Followers(node, liveness, row, self._renew_term)
+        self._switchover = SwitchoverPlanner(
+            node, liveness, row, self._begin_switchover
+        )
         self._isolation = Isolation(node, liveness, row)
         self._turn = Turn(node, liveness, row)
         self._created_at = node.timers.now
-        self._suspect = ""  # the newest primary's address, also when it is lost
+        self._suspect = ""  # the newest primary's address, even if it was lost
         self._check_timer: Timer | None = None
         self._confirmation: Confirmation | None = None
-        self._callback: PromoteCallback | None = None  # of a planned promotion
-        self._highest_term = 0  # seen anywhere
-        self._heard = 0  # rounds in which too many members heard the suspect
-        self._noted: Verdict | None = None  # of this suspicion, in the journal already
-        self._doubted = False  # the primary is heard, its members are being asked
-        self._deaf: frozenset[str] = frozenset()  # who lost an isolated primary
+        self._callback: PromoteCallback | None = None  # of a switchover
+        self._highest_term = 0  # in any report so far
+        self._heard_rounds = 0  # rounds in which too many members heard the suspect
+        self._recorded_verdict: Verdict | None = None  # newest one in the journal
+        self._is_checking_isolation = False  # the primary reports; members are probed
+        # Members that lost an isolated primary: only these promise the next term.
+        self._disconnected: frozenset[str] = frozenset()
         self._check_in(node.tuning.detection)
 
     def stop(self) -> None:
-        """Stop all that is under way."""
+        """Cancel all timers, rounds and attempts."""
         if self._check_timer is not None:
             self._check_timer.cancel()
-        self._hand_over.stop()
+        self._switchover.stop()
         self._followers.stop()
         if self._confirmation is not None:
             self._confirmation.cancel()
         if self.promotion is not None:
-            self.promotion.finish(False, "the database is not served any more")
+            self.promotion.finish(False, "the database was removed")
 
-    def forget_members(self, addresses: tuple[str, ...]) -> None:
-        """Drop what is kept of members that were removed."""
+    def remove_members(self, addresses: tuple[str, ...]) -> None:
+        """Discard the state of members that were removed."""
         for address in addresses:
             self._followers.forget(address)
         if self._suspect in addresses:
@@ -103,72 +106,73 @@
 
     # -- Signals -------------------------------------------------------------
 
-    def primary_changed(self) -> None:
-        """Act on another primary, or on none."""
+    def on_primary_changed(self) -> None:
+        """Process a change of the primary, or its loss."""
         if self.row.primary:
-            self._has_primary()
+            self._on_new_primary()
         elif self.promotion is None and self._confirmation is None:
-            # Lost by its own word or a majority's: no silence to wait for.
+            # The primary was lost for another reason than its silence, so there is no
+            # detection time to wait for.
             self._check_in(0.0)
 
-    def reported(self, endpoint: EndpointRow, report: Report) -> None:
-        """Look at a member's report."""
+    def on_report(self, endpoint: EndpointRow, report: Report) -> None:
+        """Process a member's report."""
         if self.promotion is not None:
-            self.promotion.reported()
+            self.promotion.on_report()
         elif self.row.primary:
             self._followers.review(endpoint, report)
-            if self._isolation.is_deaf(report):
-                self.doubt()
-        elif self._noted is Verdict.UNREACHABLE:
-            self._review_reach()
-
-    def doubt(self) -> None:
-        """Ask the members whether a majority still hears the primary."""
-        if self._doubted or not self._isolation.is_doubtful:
+            if self._isolation.is_disconnected(report):
+                self.check_isolation()
+        elif self._recorded_verdict is Verdict.UNREACHABLE:
+            self._check_reach()
+
+    def check_isolation(self) -> None:
+        """Probe the members if a majority may not receive from the primary."""
+        if self._is_checking_isolation or not self._isolation.is_suspected:
             return
-        self._doubted = True
-        self._heard = 0
+        self._is_checking_isolation = True
+        self._heard_rounds = 0
         self._check_in(0.0)
 
-    def review_leaving(self) -> None:
-        """Look whether the primary leaves."""
-        self._hand_over.review()
+    def check_leaving(self) -> None:
+        """Plan a switchover if the primary is leaving."""
+        self._switchover.review()
 
-    def _has_primary(self) -> None:
+    def _on_new_primary(self) -> None:
         row = self.row
         self._suspect = row.primary
-        self._noted = None
-        self._heard = 0
-        self._deaf = frozenset()
-        self._doubted = False
+        self._recorded_verdict = None
+        self._heard_rounds = 0
+        self._disconnected = frozenset()
+        self._is_checking_isolation = False
         self._highest_term = max(self._highest_term, row.term)
         self._turn.forget()
-        self._hand_over.review()
+        self._switchover.review()
         promotion = self.promotion
         if promotion is not None and row.term >= promotion.term:
-            self._overtaken(promotion)
+            self._end_by_report(promotion)
         if self.promotion is None:
             self._check_in(self._overdue_in())
 
-    def _overtaken(self, promotion: Promotion) -> None:
-        """End an attempt whose outcome reports have shown before its answer."""
+    def _end_by_report(self, promotion: Promotion) -> None:
+        """End an attempt whose outcome is shown by a report of the new primary."""
         primary = self.row.primary_row
-        own = promotion.is_promoting and self.row.term == promotion.term
-        if own and primary is promotion.chosen:
+        is_own_term = promotion.is_promoting and self.row.term == promotion.term
+        if is_own_term and primary is promotion.chosen:
             promotion.succeed()
         else:
             why = f"{primary.name} leads term {self.row.term}"
             promotion.finish(False, why)
 
-    def _review_reach(self) -> None:
-        """Ask again at once when a majority is back after a partition."""
+    def _check_reach(self) -> None:
+        """Probe the members soon if a majority is reachable again."""
         detection = self._node.tuning.detection
-        heard = sum(
+        reachable = sum(
             self._liveness.time_since_reply(address) < detection
             for address in self.row.endpoints
         )
-        if heard >= self.row.definition.majority and self._confirmation is None:
-            self._noted = None
+        if reachable >= self.row.definition.majority and self._confirmation is None:
+            self._recorded_verdict = None
             self._check_in(self._jitter(self._node.tuning.probe_interval))
 
     # -- Suspicion -----------------------------------------------------------
@@ -176,11 +180,11 @@
     def _check_in(self, delay: float) -> None:
         if self._check_timer is not None:
             self._check_timer.cancel()
-        delay = max(delay, CHECK_MIN)
+        delay = max(delay, CHECK_DELAY_MIN)
         self._check_timer = self._node.timers.after(delay, self._check)
 
     def _check(self) -> None:
-        """Look whether the primary is overdue; look again when it may be."""
+        """Check whether the primary is overdue or isolated, and schedule a check."""
         self._check_timer = None
         if self.promotion is not None or self._confirmation is not None:
             return
@@ -188,17 +192,18 @@
         if overdue_in <= 0:
             self._suspect_primary()
             self._confirm()
-        elif self._isolation.is_doubtful:
-            self._confirm_doubt(overdue_in)
+        elif self._isolation.is_suspected:
+            self._confirm_isolation(overdue_in)
         else:
-            self._doubted = False
-            self._isolation.forget()
+            self._is_checking_isolation = False
+            self._isolation.reset()
             self._check_in(overdue_in)
 
-    def _confirm_doubt(self, overdue_in: float) -> None:
-        """Ask, unless the primary is about to be overdue itself.
+    def _confirm_isolation(self, overdue_in: float) -> None:
+        """Probe the members, unless the primary itself is about to be overdue.
 
-        The round would wait for its answer, and the one that counts would begin late.
+        This round would wait for the primary's answer, and delay the round that
+        confirms its failure.
         """
         if overdue_in < silence_margin(self._node.tuning) / 2:
             self._check_in(overdue_in)
@@ -206,7 +211,7 @@
             self._confirm()
 
     def _overdue_in(self) -> float:
-        """Return in how many seconds the primary counts as silent."""
+        """Return in how many seconds the primary will be overdue; 0 or less: it is."""
         if self._suspect:
             silence = self._liveness.time_since_reply(self._suspect)
             is_known = bool(self.row.primary)
@@ -214,23 +219,23 @@
             since = max(self._created_at, self._liveness.awake_since)
             silence, is_known = self._now - since, True
         if not is_known:
-            return 0.0  # it was lost: by its own word, or by silence
-        return self._limit - silence
+            return 0.0  # the primary was marked as lost
+        return self._overdue_limit - silence
 
     @property
-    def _limit(self) -> float:
-        # A slow watch keeps a healthy primary quiet for its interval.
+    def _overdue_limit(self) -> float:
+        # A healthy primary that is asked to report rarely is silent in between.
         tuning = self._node.tuning
-        interval = self._liveness.watch_interval(self._suspect)
+        interval = self._liveness.report_interval(self._suspect)
         slack = max(0.0, interval - tuning.probe_interval)
         return self._threshold + slack
 
     @property
     def _threshold(self) -> float:
-        """Return for how long a primary has to be silent, in seconds.
+        """Return the silence, in seconds, that is taken for a failure.
 
-        For longer when it is young: a group that is promoted again and again,
-        because each promotion makes it slow, never gets to serve.
+        It is longer after a promotion, which may slow down the new primary. Otherwise
+        each promotion could cause the next one, and the group would never serve.
         """
         tuning = self._node.tuning
         age = self._now - self.row.last_promotion_at
@@ -239,14 +244,14 @@
 
     def _suspect_primary(self) -> None:
         row = self.row
-        if self._noted is None and row.state is not GroupState.SUSPECTED:
+        if self._recorded_verdict is None and row.state is not GroupState.SUSPECTED:
             self._node.count("suspicions", database=row.key)
         if row.primary:
             silence = self._liveness.time_since_reply(self._suspect)
-            why = f"{row.primary_row.name} is silent for {silence:.3f}s"
+            why = f"no reply from {row.primary_row.name} for {silence:.3f}s"
             self._node.decide("suspicion", row.key, why)
             self._node.log("warning", "primary_suspected", database=row.key, why=why)
-            self._liveness.lose_primary(row, why)
+            self._liveness.mark_primary_lost(row, why)
         elif row.state is GroupState.UNKNOWN:
             row.state = GroupState.SUSPECTED
             row.suspected_at = self._now
@@ -259,79 +264,81 @@
             self.row,
             self._suspect,
             self._threshold,
-            self._found,
+            self._on_finding,
         )
         self._confirmation.begin()
 
-    def _found(self, finding: Finding) -> None:
+    def _on_finding(self, finding: Finding) -> None:
         self._confirmation = None
         self._highest_term = max(self._highest_term, finding.highest_term)
-        self._isolation.weigh(finding)
+        self._isolation.evaluate(finding)
         if self.row.primary:
-            self._go_on(finding)
+            self._keep_primary(finding)
             return
-        self._note(finding)
-        self._deaf = finding.deaf if self._is_cut(finding) else frozenset()
+        self._record_verdict(finding)
+        self._disconnected = (
+            finding.disconnected if self._is_isolated(finding) else frozenset()
+        )
         if finding.verdict in _REPLACED:
             self._take_turn()
         elif finding.verdict is Verdict.TAKEN:
-            self._leave_turn()
+            self._yield_turn()
         elif finding.verdict is Verdict.HEARD:
-            self._ask_again(finding.again_in)
-        # Unreachable: reports tell when it is worth while to ask again.
-
-    def _is_cut(self, finding: Finding) -> bool:
-        """Tell whether to promote among those alone who lost an isolated primary."""
-        is_barred = self._liveness.is_barred(self.row)
-        return is_barred and len(finding.deaf) >= self.row.definition.majority
-
-    def _go_on(self, finding: Finding) -> None:
-        """Go on with a primary that is heard, and ask again if that is not enough."""
-        if not finding.is_led or not self._isolation.is_doubtful:
-            self._doubted = False
+            self._probe_again(finding.next_round_in)
+        # If UNREACHABLE, _check_reach probes again once reports show a majority.
+
+    def _is_isolated(self, finding: Finding) -> bool:
+        """Return whether only members that lost an isolated primary shall promise."""
+        is_blocked = self._liveness.is_blocked(self.row)
+        return is_blocked and len(finding.disconnected) >= self.row.definition.majority
+
+    def _keep_primary(self, finding: Finding) -> None:
+        """Keep a primary that answers; probe again if it may be isolated."""
+        if not finding.is_leading or not self._isolation.is_suspected:
+            self._is_checking_isolation = False
             self._check_in(self._overdue_in())
         elif finding.verdict is Verdict.ISOLATED:
-            self._check_in(self._isolation.again_in)
+            self._check_in(self._isolation.next_round_in)
         else:
-            # The round that counts needs one before it.
-            is_first = not self._isolation.is_shown
+            # Two rounds have to find isolation, so the first one begins early.
+            is_first = not self._isolation.was_found
             early = silence_margin(self._node.tuning) if is_first else 0.0
-            self._ask_again(finding.again_in - early)
+            self._probe_again(finding.next_round_in - early)
 
-    def _note(self, finding: Finding) -> None:
-        if finding.verdict is self._noted:
+    def _record_verdict(self, finding: Finding) -> None:
+        if finding.verdict is self._recorded_verdict:
             return
-        self._noted = finding.verdict
+        self._recorded_verdict = finding.verdict
         text = f"{finding.verdict.value}: {finding.evidence}"
         self._node.decide("suspicion", self.row.key, text)
 
-    def _ask_again(self, delay: float) -> None:
-        """Ask when enough members may be silent; rarely once they hear for long.
+    def _probe_again(self, delay: float) -> None:
+        """Probe when a majority may confirm the failure, but rarely after many rounds.
 
-        A host that alone is cut off from a primary would else go on asking at the
-        pace of a failover for as long as the cut lasts.
+        A host that is the only one cut off from a primary would otherwise probe at the
+        rate of a failover until the link is repaired.
         """
-        self._heard += 1
-        if self._heard > HEARD_MAX:
-            delay = max(delay, self._jitter(SLOW_RETRY))
+        self._heard_rounds += 1
+        if self._heard_rounds > FAST_ROUNDS_MAX:
+            delay = max(delay, self._jitter(SLOW_RETRY_DELAY))
         self._check_in(delay)
 
     # -- Turns of stewards ---------------------------------------------------
 
     def _take_turn(self) -> None:
-        """Act now as the first steward, later as another, if it is needed still."""
+        """Promote a member if it is this host's turn, else wait for the turn."""
         if self.row.definition.manual_promotion:
-            self._check_in(self._jitter(SLOW_RETRY))
+            self._check_in(self._jitter(SLOW_RETRY_DELAY))
             return
         left = self._turn.left()
         if left > 0:
-            # Evidence from before the wait is old then: the members are asked again.
+            # The evidence will be outdated after the wait, so probe again then.
             self._check_in(left)
         else:
             self.begin()
 
-    def _leave_turn(self) -> None:
-        """Let the proposer of a higher term finish before trying a higher one still."""
+    def _yield_turn(self) -> None:
+        """Let the proposer of a higher term finish before proposing a higher term."""
         delay = self._turn.leave()
         if delay > 0:
             self._check_in(delay)
@@ -344,10 +351,10 @@
     # -- Promotion -----------------------------------------------------------
 
     def begin(self, target: str = "", callback: PromoteCallback | None = None) -> None:
-        """Begin a promotion: of a named member, or of the one with the furthest log."""
+        """Begin a promotion of the member `target`, or of one with the furthest log."""
         row = self.row
-        seen = [e.report.term for e in row.endpoints.values() if e.report is not None]
-        self._highest_term = max([row.term, self._highest_term, *seen]) + 1
+        terms = [e.report.term for e in row.endpoints.values() if e.report is not None]
+        self._highest_term = max([row.term, self._highest_term, *terms]) + 1
         self._callback = callback
         if self._confirmation is not None:
             self._confirmation.cancel()
@@ -357,15 +364,15 @@
             self._liveness,
             row,
             self._highest_term,
-            self._ended,
+            self._on_ended,
             target,
-            frozenset() if target else self._deaf,
+            frozenset() if target else self._disconnected,
         )
-        promotion.old = row.primary if target else self._suspect
+        promotion.old_primary = row.primary if target else self._suspect
         self.promotion = promotion
         promotion.begin()
 
-    def _ended(self, promotion: Promotion, result: PromotionResult) -> None:
+    def _on_ended(self, promotion: Promotion, result: PromotionResult) -> None:
         self.promotion = None
         self._highest_term = max(self._highest_term, promotion.refused_term)
         row = self.row
@@ -380,11 +387,12 @@
             term = result.term if result.ok else 0
             callback(result.ok and result.as_ordered, term, result.why)
 
-    def _renew(self) -> None:
+    def _renew_term(self) -> None:
+        """Promote the primary again, which begins a higher term."""
         primary = self.row.primary_row
         if self.promotion is None and primary is not None:
             self.begin(primary.name)
 
-    def _begin_hand_over(self, target: str) -> None:
+    def _begin_switchover(self, target: str) -> None:
         if self.promotion is None:
             self.begin(target)
--- a/mallowpass/core/systems/groupstable.py
+++ b/mallowpass/core/systems/groupstable.py
@@ -1,4 +1,7 @@
-"""The platform's table of groups: who leads since when, for those who come later."""
+"""The platform's table of groups, which records the newest term and its primary.
+
+Hosts that start later, and operators, can read it; no promotion depends on it.
+"""
 
 from __future__ import annotations
 
@@ -9,15 +12,15 @@
 from mallowpass.core.systems.promotion import PromotionResult
 from mallowpass.core.systems.stewards import Platform
 
-__all__ = ["GROUPS_TABLE", "keep_result"]
+__all__ = ["GROUPS_TABLE", "record_result"]
 
 GROUPS_TABLE = "groups"
 
 
-def keep_result(platform: Platform, key: str, result: PromotionResult) -> None:
-    """Keep a promotion's result in the table, if the platform happens to work.
+def record_result(platform: Platform, key: str, result: PromotionResult) -> None:
+    """Record a promotion in the table, if the platform is available.
 
-    Nothing waits for it: promotion has to work while the platform is down.
+    No promotion waits for the table: it has to work while the platform is down.
     """
     read = ReadRow(GROUPS_TABLE, key)
     platform.call(read, partial(_write, platform, key, result))
@@ -44,4 +47,4 @@
 
 
 def _ignore(reply: PlatformReply) -> None:
-    """Leave a failed write be: a later promotion writes its own."""
+    """Ignore a failed write: the next promotion writes a newer row."""
--- a/mallowpass/core/systems/groupview.py
+++ b/mallowpass/core/systems/groupview.py
@@ -1,4 +1,4 @@
-"""What liveness keeps of one database group beside its row."""
+"""What liveness records of one database group in addition to its row."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 __all__ = ["GroupView", "MajorityWaiter", "MemberView"]
 
-MARKS_KEPT = 256
-MARK_GAP = 0.002
-LAG_WEIGHT = 0.2
+SAMPLES_MAX = 256
+SAMPLE_INTERVAL = 0.002  # seconds, at least
+LAG_WEIGHT = 0.2  # of a new value in the moving average
 
 
 class MajorityWaiter:
-    """Wait for a majority to hold a position; cancelling it is cheap."""
+    """Wait for a majority to hold a position; can be cancelled at little cost."""
 
     __slots__ = ("_callback", "position")
 
@@ -31,15 +31,15 @@
 
     @property
     def is_waiting(self) -> bool:
-        """Tell whether the callback is still to run."""
+        """Return whether the callback has neither been called nor cancelled."""
         return self._callback is not None
 
     def cancel(self) -> None:
-        """Keep the callback from running; may be done twice."""
+        """Prevent the callback from being called; may be called twice."""
         self._callback = None
 
     def resolve(self, held: bool) -> None:
-        """Run the callback once, unless cancelled."""
+        """Call the callback once, unless cancelled."""
         callback, self._callback = self._callback, None
         if callback is not None:
             callback(held)
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class MemberView:
-    """Hold how far a member's reads lag, in seconds, and what they see."""
+    """Hold the average lag of a member's reads, in seconds, and what they see."""
 
     lag: float = 0.0
     applied: LogPosition = ZERO_POSITION
@@ -61,20 +61,22 @@
     holders: dict[str, int] = field(default_factory=dict)  # positions in row.term
     history: TermHistory = field(default_factory=TermHistory)
     members: dict[str, MemberView] = field(default_factory=dict)  # by address
-    # When this host first saw a position received anywhere, oldest first.
-    marks: deque[tuple[float, LogPosition]] = field(default_factory=deque)
+    # Times at which this host first saw that some member had received a position,
+    # oldest first.
+    received_samples: deque[tuple[float, LogPosition]] = field(default_factory=deque)
     last_primary: str = ""
-    last_write_at: float = float("-inf")  # this host last waited for a majority
-    awaits_positions: bool = False  # of its writes, in place of watching all moves
-    highest_awaited: LogPosition = ZERO_POSITION  # the highest that was ever waited for
-    last_read_at: float = float("-inf")  # this host last asked for positions
-    primary_at: float = float("-inf")  # a primary of row.term last reported
+    last_write_at: float = float("-inf")  # when this host last waited for a majority
+    # Whether members report when they reach the positions of this host's writes,
+    # instead of after each change.
+    awaits_positions: bool = False
+    highest_awaited: LogPosition = ZERO_POSITION  # by any waiter so far
+    last_read_at: float = float("-inf")  # when this host last asked for positions
+    primary_reported_at: float = float("-inf")  # the last report of row.term's primary
     activity_timer: Timer | None = None
-    # The primary may be heard, but no majority can hold what it takes.
-    is_barred: bool = False
-    minority_since: float | None = None  # no majority of members is heard
+    is_blocked: bool = False  # the primary gets no writes, even if it reports
+    minority_since: float | None = None  # since when no majority is reachable
     stall_timer: Timer | None = None
-    is_stalled: bool = False  # writes wait, and `held` stands still
+    is_stalled: bool = False  # writes wait, and the majority position is unchanged
     _waiters: list[tuple[LogPosition, int, MajorityWaiter]] = field(
         default_factory=list
     )
@@ -87,47 +89,48 @@
         return self.history.dropped_by(position, self.row.term)
 
     def contains(self, end: LogPosition, position: LogPosition) -> bool:
-        """Tell whether a log that ends at `end` is proven to contain a position."""
+        """Return whether a log that ends at `end` is proven to contain a position."""
         if position.position == 0:
             return True
         if end.term == position.term:
             return end.position >= position.position
-        if end.term < position.term or not self.history.knows(end.term):
+        if end.term < position.term or not self.history.has_start_of(end.term):
             return False
         return self.history.dropped_by(position, end.term) is None
 
     # -- Held by a majority --------------------------------------------------
 
     def count_holder(self, address: str, report: Report) -> bool:
-        """Count a member as holding the log in the present term; tell if it moved.
+        """Record what a member holds in the current term; return whether it advanced.
 
-        All three of promised term, log term and position count: a member that
-        promised a higher term may be part of the majority that elects a primary
-        without the entry, and an entry of an older term may still be overwritten
-        though a majority has it.
+        The report counts only if its promised term and its log's term are both the
+        current term. A member that promised a higher term may be part of a majority
+        that elects a primary without the entry. An entry of an older term may still be
+        overwritten, even if a majority has it.
         """
         term = self.row.term
         if report.term != term or report.received.term != term:
             return False
-        return self._count(address, report.received.position)
+        return self._advance_holder(address, report.received.position)
 
-    def _count(self, address: str, position: int) -> bool:
+    def _advance_holder(self, address: str, position: int) -> bool:
         if position <= self.holders.get(address, 0):
             return False
         self.holders[address] = position
         return True
 
     def count_answer(self, address: str, term: int, applied: LogPosition) -> bool:
-        """Count a member by what it answered on a connection; tell if it moved.
+        """Record what a member holds by its answer; return whether it advanced.
 
-        It names its promised term and a place of its log, as a report does.
+        An answer on a connection contains the member's promised term and a position of
+        its log, as a report does.
         """
         if not self.row.term == term == applied.term:
             return False
-        return self._count(address, applied.position)
+        return self._advance_holder(address, applied.position)
 
     def compute_majority_position(self) -> LogPosition:
-        """Return the highest place of the present term that a majority holds."""
+        """Return the highest position of the current term that a majority holds."""
         majority = self.row.definition.majority
         if len(self.holders) < majority:
             return ZERO_POSITION
@@ -135,9 +138,9 @@
         return LogPosition(self.row.term, position)
 
     def begin_term(self, now: float) -> None:
-        """Count from new who holds what: a primary of another term leads."""
-        self.primary_at = now
-        self.is_barred = self.is_stalled = False
+        """Reset what depends on the term: a primary of a new term leads."""
+        self.primary_reported_at = now
+        self.is_blocked = self.is_stalled = False
         self.minority_since = None
         self.holders.clear()
         for member in self.row.endpoints.values():
@@ -146,49 +149,52 @@
 
     @property
     def is_awaited(self) -> bool:
-        """Tell whether anybody waits for a majority."""
+        """Return whether a waiter waits for a majority."""
         return any(waiter.is_waiting for _, _, waiter in self._waiters)
 
     def wait(self, waiter: MajorityWaiter) -> None:
-        """Queue a waiter by its position."""
+        """Add a waiter to the queue, which is ordered by position."""
         self.highest_awaited = max(self.highest_awaited, waiter.position)
         heapq.heappush(self._waiters, (waiter.position, next(self._counter), waiter))
 
     def resolve_waiters(self) -> None:
-        """Resolve the waiters that `held` has reached and those of older terms.
+        """Resolve the waiters up to the majority position and those of older terms.
 
-        A new term starts with `held` at its beginning, above all that is older:
-        nothing of a term that is over becomes held by reports any more.
+        A new term sets the majority position to its own beginning, above all older
+        positions: reports can't prove any more that a majority holds those.
         """
         while self._waiters and self._waiters[0][0] <= self.row.held:
             waiter = heapq.heappop(self._waiters)[2]
             waiter.resolve(self.is_held_by_majority(waiter.position))
 
     def fail_waiters(self) -> None:
-        """Tell all waiters that nothing more will be known."""
+        """Resolve all waiters with False: no further reports will arrive."""
         waiters, self._waiters = sorted(self._waiters), []
         for _, _, waiter in waiters:
             waiter.resolve(False)
 
     def is_held_by_majority(self, position: LogPosition) -> bool:
-        """Tell whether a majority is known to hold a position of its own term."""
+        """Return whether a majority is known to hold a position in its own term."""
         held = self.row.held
         return held.term == position.term and held.position >= position.position
 
     # -- Lag -----------------------------------------------------------------
 
-    def mark(self, now: float, received: LogPosition) -> None:
-        """Note when a position was first seen received anywhere."""
-        if self.marks and received <= self.marks[-1][1]:
+    def record_received(self, now: float, received: LogPosition) -> None:
+        """Record the time at which some member had first received a position."""
+        if self.received_samples and received <= self.received_samples[-1][1]:
             return
-        if self.marks and now - self.marks[-1][0] < MARK_GAP:
+        if (
+            self.received_samples
+            and now - self.received_samples[-1][0] < SAMPLE_INTERVAL
+        ):
             return
-        self.marks.append((now, received))
-        if len(self.marks) > MARKS_KEPT:
-            self.marks.popleft()
+        self.received_samples.append((now, received))
+        if len(self.received_samples) > SAMPLES_MAX:
+            self.received_samples.popleft()
 
     def note_applied(self, now: float, address: str, applied: LogPosition) -> None:
-        """Move a member's average lag on when it applied more."""
+        """Update a member's average lag when it has applied more."""
         member = self.members.setdefault(address, MemberView())
         if applied <= member.applied:
             return
@@ -202,8 +208,8 @@
     ) -> float | None:
         """Return in how many seconds a member should have applied a position.
 
-        A member that is later than usual is expected to be late for as long
-        again: so one that stands still is soon not waited for.
+        A member that is later than its average is expected to need as long again as
+        it is late. So a member that applies nothing soon gets no more waiting reads.
         """
         member = self.members.get(endpoint.address)
         if member is None or endpoint.report is None:
@@ -213,19 +219,19 @@
         return member.lag - waited if waited < member.lag else waited
 
     def _seen_at(self, position: LogPosition) -> float | None:
-        """Return when a position was first seen, None when newer than all marks."""
-        index = _first_at_or_above(self.marks, position)
-        return None if index is None else self.marks[index][0]
+        """Return when a position was first seen, None if newer than all samples."""
+        index = _first_at_or_above(self.received_samples, position)
+        return None if index is None else self.received_samples[index][0]
 
 
 def _first_at_or_above(
-    marks: deque[tuple[float, LogPosition]], position: LogPosition
+    samples: deque[tuple[float, LogPosition]], position: LogPosition
 ) -> int | None:
-    low, high = 0, len(marks)
+    low, high = 0, len(samples)
     while low < high:
         middle = (low + high) // 2
-        if marks[middle][1] < position:
+        if samples[middle][1] < position:
             low = middle + 1
         else:
             high = middle
-    return low if low < len(marks) else None
+    return low if low < len(samples) else None
--- a/mallowpass/core/systems/liveness.py
+++ b/mallowpass/core/systems/liveness.py
@@ -1,4 +1,4 @@
-"""What this host knows of endpoints: health, roles, positions; all from reports."""
+"""Health, roles and log positions of endpoints, as their reports show them."""
 
 from __future__ import annotations
 
@@ -39,11 +39,11 @@
 
 __all__ = ["Liveness"]
 
-TRAFFIC_INTERVAL = 10.0
+TRAFFIC_COUNT_INTERVAL = 10.0  # seconds
 
 
 class Liveness(System):
-    """Watch endpoints and tell what their reports prove."""
+    """Watch endpoints, and answer what their reports prove."""
 
     __slots__ = (
         "_activity",
@@ -65,17 +65,17 @@
         self._waits: dict[str, HeldWaits] = {}
         self._pause = HostPause(node)
         self._control = ControlStreams(
-            node, self._replied, lambda: self._pause.awake_since
+            node, self._on_control_reply, lambda: self._pause.awake_since
         )
         self._activity = Activity(node, self._control, self._views, self.steward_rank)
         self._primaries = Primaries(node, self._activity.watch)
-        self._counted = (0, 0, 0)
-        self._noticed_terms: dict[str, int] = {}
+        self._counted = (0, 0, 0)  # calls, replies, bytes
+        self._noticed_terms: dict[str, int] = {}  # by database key
         self._membership: Peers | None = None
 
     @property
     def traffic(self) -> ControlTraffic:
-        """Return the counters of what control streams cost."""
+        """Return the counters of the control streams' traffic."""
         return self._control.traffic
 
     @property
@@ -84,51 +84,55 @@
         return self._pause.awake_since
 
     def start(self) -> None:
-        """Watch databases as they come into force."""
-        self._node.subscribe(DatabaseAdded, self._added)
-        self._node.subscribe(DatabaseChanged, self._changed)
-        self._node.subscribe(DatabaseRemoved, self._removed)
-        self._node.subscribe(EndpointReplied, self._endpoint_replied)
+        """Watch the databases that are served, as they are added and removed."""
+        self._node.subscribe(DatabaseAdded, self._on_added)
+        self._node.subscribe(DatabaseChanged, self._on_changed)
+        self._node.subscribe(DatabaseRemoved, self._on_removed)
+        self._node.subscribe(EndpointReplied, self._on_endpoint_replied)
         self._node.subscribe(HostStateChanged, self._activity.hosts_changed)
-        self.timers.every(TRAFFIC_INTERVAL, self._count_traffic)
+        self.timers.every(TRAFFIC_COUNT_INTERVAL, self._count_traffic)
         membership = find_membership(self._node)
         if membership is not None:
             self.use_membership(membership)
 
     def use_membership(self, membership: Peers) -> None:
-        """Listen to notices of promotions, and take this host's ranks from it."""
+        """Receive notices of promotions and this host's ranks from the membership."""
         self._membership = membership
-        membership.on_message(GroupNotice, self._noticed)
+        membership.on_message(GroupNotice, self._on_notice)
 
     # -- For other systems ---------------------------------------------------
 
     def control_call(
         self, address: str, call: ControlCall, callback: ReplyCallback, timeout: float
     ) -> None:
-        """Make a control call; the callback gets None without a reply in time."""
+        """Make a control call; without a reply in time, the callback gets None."""
         self._control.call(address, call, callback, timeout)
 
     def look_up_floor(self, database: DatabaseRow, callback: FloorCallback) -> None:
-        """Learn a floor above all writes acknowledged before now; None: no majority."""
+        """Ask the members for a floor that covers all writes acknowledged before now.
+
+        The callback gets None if no majority of the members answers.
+        """
         self._read(database.key)
         rounds = self._rounds.get(database.key)
         if rounds is None:
             self.timers.after(0.0, callback, None)
         else:
-            rounds.learn(callback)
+            rounds.request(callback)
 
     def age_floor(
         self, database: DatabaseRow, accepted_age: float
     ) -> LogPosition | None:
-        """Return a floor for data of at most an age; None: no record so new."""
+        """Return a floor for data of at most an age, None if no record is so recent."""
         view = self._read(database.key)
         if view is None:
             return None
         floor = self._rounds[database.key].at_age(accepted_age)
         if floor is None:
             return None
-        # A record may hold entries that no majority had and a promotion dropped.
-        # Whatever was acknowledged is in the log where the next term starts.
+        # The recorded position may include entries that no majority had and that a
+        # promotion dropped. The log contains all acknowledged writes at the position
+        # at which the next term starts.
         return view.dropped_by(floor) or floor
 
     def wait_for_majority(
@@ -137,9 +141,10 @@
         position: LogPosition,
         callback: Callable[[bool], None],
     ) -> MajorityWaiter:
-        """Wait until a majority holds a position; False when its term is over.
+        """Wait until a majority holds a position.
 
-        The callback may run before this returns.
+        The callback gets False if the position's term ends first. It may be called
+        before this method returns.
         """
         waiter = MajorityWaiter(position, callback)
         waits = self._waits.get(database.key)
@@ -152,23 +157,23 @@
         return waiter
 
     def is_stalled(self, database: DatabaseRow) -> bool:
-        """Tell whether writes wait while what a majority holds stands still."""
+        """Return whether writes wait and the majority position does not advance."""
         waits = self._waits.get(database.key)
         return waits is not None and waits.is_stalled
 
     def watch_closely(self, database: DatabaseRow) -> None:
-        """Have all members report each move for a while."""
+        """Have all members report each change of position for a while."""
         view = self._views.get(database.key)
         if view is not None:
             self._activity.note_write(view, awaits_positions=False)
 
     def minority_since(self, database: DatabaseRow) -> float | None:
-        """Return since when no majority of members is heard; None: one is."""
+        """Return since when no majority of members is reachable, None if one is."""
         view = self._views.get(database.key)
         return None if view is None else view.minority_since
 
     def note_reach(self, database: DatabaseRow, has_majority: bool) -> None:
-        """Note whether a majority of members answers this host."""
+        """Record whether a majority of members is reachable from this host."""
         view = self._views.get(database.key)
         if view is None:
             return
@@ -178,7 +183,7 @@
             view.minority_since = self.now
 
     def has_reached(self, endpoint: EndpointRow, position: LogPosition) -> bool:
-        """Tell whether a member's newest report proves that reads see a position."""
+        """Return whether a member's newest report proves that reads see a position."""
         view = self._read(endpoint.database)
         if position.position == 0:
             return True
@@ -189,49 +194,49 @@
     def predicted_replica_wait(
         self, endpoint: EndpointRow, position: LogPosition
     ) -> float | None:
-        """Return in how many seconds reads should see a position; None: unknown."""
+        """Return in how many seconds reads should see a position, None if unknown."""
         if self.has_reached(endpoint, position):
             return 0.0
         view = self._views.get(endpoint.database)
         return None if view is None else view.predict(self.now, endpoint, position)
 
     def is_floor_lost(self, database: DatabaseRow, position: LogPosition) -> bool:
-        """Tell whether a promotion dropped a position from the log."""
+        """Return whether a promotion dropped a position from the log."""
         view = self._views.get(database.key)
         return view is not None and view.dropped_by(position) is not None
 
     def contains(
         self, database: DatabaseRow, end: LogPosition, position: LogPosition
     ) -> bool:
-        """Tell whether a log that ends at `end` is proven to contain a position."""
+        """Return whether a log that ends at `end` is proven to contain a position."""
         view = self._views.get(database.key)
         return view is not None and view.contains(end, position)
 
     def last_primary(self, database: DatabaseRow) -> str:
-        """Return the address of the newest primary, also when it was lost since."""
+        """Return the address of the newest primary, even if it was lost since."""
         view = self._views.get(database.key)
         return "" if view is None else view.last_primary
 
     def steward_rank(self, database: DatabaseRow) -> int:
-        """Return this host's place among a group's stewards, 0 first."""
+        """Return this host's rank among a group's stewards, 0 first."""
         primary = self.last_primary(database)
         return steward_rank(self._node, self._membership, database, primary)
 
     def time_since_reply(self, address: str) -> float:
-        """Return for how long an endpoint was silent, this host's pauses excluded."""
+        """Return the seconds since an endpoint's last reply, without own pauses."""
         return self._control.silence(address)
 
-    def watch_interval(self, address: str) -> float:
-        """Return how often an endpoint is asked to report, in seconds."""
+    def report_interval(self, address: str) -> float:
+        """Return the interval at which an endpoint is asked to report, in seconds."""
         return self._control.slack(address)
 
     def try_fresh(self, address: str) -> None:
-        """Open a second control stream beside one that may be silent for good."""
+        """Open a second control stream beside one that may be broken."""
         self._control.try_fresh(address)
 
     # -- Databases -----------------------------------------------------------
 
-    def _added(self, signal: DatabaseAdded) -> None:
+    def _on_added(self, signal: DatabaseAdded) -> None:
         row = self.tables.databases[signal.database]
         view = GroupView(row)
         self._views[row.key] = view
@@ -239,7 +244,7 @@
         self._waits[row.key] = HeldWaits(self._node, self._control, view)
         self._activity.watch(view)
 
-    def _changed(self, signal: DatabaseChanged) -> None:
+    def _on_changed(self, signal: DatabaseChanged) -> None:
         view = self._views.get(signal.database)
         if view is None:
             return
@@ -248,10 +253,10 @@
             view.holders.pop(address, None)
             view.members.pop(address, None)
         if view.row.primary not in view.row.endpoints:
-            self._primaries.lose(view, "its primary is not a member any more")
+            self._primaries.mark_lost(view, "the primary was removed from the group")
         self._activity.watch(view)
 
-    def _removed(self, signal: DatabaseRemoved) -> None:
+    def _on_removed(self, signal: DatabaseRemoved) -> None:
         view = self._views.pop(signal.database, None)
         if view is None:
             return
@@ -263,7 +268,7 @@
         self._waits.pop(signal.database).stop()
 
     def _read(self, key: str) -> GroupView | None:
-        """Return a database's view, noted as read by this host."""
+        """Return a database's view, and record that this host has read it."""
         view = self._views.get(key)
         if view is not None:
             self._activity.note_read(view)
@@ -271,7 +276,7 @@
 
     # -- Reports -------------------------------------------------------------
 
-    def _endpoint_replied(self, event: EndpointReplied) -> None:
+    def _on_endpoint_replied(self, event: EndpointReplied) -> None:
         connection = self.tables.connections.get(event.connection)
         if connection is None:
             return
@@ -283,19 +288,19 @@
             self._take_answer(endpoint, event.reply)
 
     def _take_answer(self, endpoint: EndpointRow, reply: EndpointReply) -> None:
-        """Count what a member answers on a connection like a report of it.
+        """Count a member's answer on a connection like one of its reports.
 
-        The primary's word on a write comes with the write's own answer; to ask it
-        again would cost a round trip.
+        The answer to a write carries the primary's own position, so no further round
+        trip is needed to learn it.
         """
         view = self._views.get(endpoint.database)
         if view is None or reply.code is not EndpointCode.OK:
             return
-        view.mark(self.now, reply.applied)
+        view.record_received(self.now, reply.applied)
         if view.count_answer(endpoint.address, reply.term, reply.applied):
             self._primaries.advance_held(view)
 
-    def _replied(self, endpoint: EndpointRow, reply: ControlReply) -> None:
+    def _on_control_reply(self, endpoint: EndpointRow, reply: ControlReply) -> None:
         view = self._views.get(endpoint.database)
         if reply.report is not None and view is not None:
             self._take_report(view, endpoint, reply.report)
@@ -307,40 +312,40 @@
         endpoint.report_at = self.now
         endpoint.misses = 0
         view.history.learn(report)
-        view.mark(self.now, report.received)
+        view.record_received(self.now, report.received)
         view.note_applied(self.now, endpoint.address, report.applied)
         self._primaries.note_role(view, endpoint, report)
         if view.count_holder(endpoint.address, report):
             self._primaries.advance_held(view)
         self._node.publish(EndpointReported(endpoint.address))
 
-    def lose_primary(self, database: DatabaseRow, why: str) -> None:
-        """Send no more writes to the present primary until it is heard again."""
+    def mark_primary_lost(self, database: DatabaseRow, why: str) -> None:
+        """Send no more writes to the primary until it reports again."""
         view = self._views.get(database.key)
         if view is not None:
-            self._primaries.lose(view, why)
+            self._primaries.mark_lost(view, why)
 
-    def bar_primary(self, database: DatabaseRow, why: str) -> None:
-        """Send no more writes to a primary though it is heard, until it is admitted."""
+    def block_primary(self, database: DatabaseRow, why: str) -> None:
+        """Send no more writes to a primary, even if it reports, until unblocked."""
         view = self._views.get(database.key)
         if view is not None:
-            self._primaries.bar(view, why)
+            self._primaries.block(view, why)
 
-    def is_barred(self, database: DatabaseRow) -> bool:
-        """Tell whether the newest primary gets no writes though it is heard."""
+    def is_blocked(self, database: DatabaseRow) -> bool:
+        """Return whether the newest primary gets no writes, even if it reports."""
         view = self._views.get(database.key)
-        return view is not None and view.is_barred
+        return view is not None and view.is_blocked
 
-    def admit_primary(self, database: DatabaseRow) -> None:
-        """Let a primary that was barred have writes again."""
+    def unblock_primary(self, database: DatabaseRow) -> None:
+        """Allow writes to a blocked primary again."""
         view = self._views.get(database.key)
         if view is not None:
-            self._primaries.admit(view)
+            self._primaries.unblock(view)
 
     # -- Notices and counters ------------------------------------------------
 
-    def _noticed(self, host_name: str, notice: GroupNotice) -> None:
-        """Ask the members at once: their reports decide, the notice does not."""
+    def _on_notice(self, host_name: str, notice: GroupNotice) -> None:
+        """Probe the members at once: only their reports show who leads."""
         row = self.tables.databases.get(notice.database)
         known = self._noticed_terms.get(notice.database, 0)
         if row is None or notice.term <= max(known, row.term):
@@ -361,4 +366,4 @@
 
 
 def _ignore(reply: ControlReply | None) -> None:
-    """Leave a reply to the report in it, which is taken anyway."""
+    """Ignore the reply itself: the report in it is processed in any case."""
--- a/mallowpass/core/systems/primaries.py
+++ b/mallowpass/core/systems/primaries.py
@@ -1,4 +1,4 @@
-"""Who leads a group, as its members' reports tell, and which place a majority holds."""
+"""The primary of a group, and the position that a majority holds, from reports."""
 
 from __future__ import annotations
 
@@ -14,28 +14,30 @@
 
 
 class Primaries:
-    """Accept, lose and take back primaries, and move on what is held."""
+    """Track the primaries of groups, and advance the positions that majorities hold."""
 
-    __slots__ = ("_changed", "_node")
+    __slots__ = ("_node", "_on_primary_changed")
 
-    def __init__(self, node: Node, changed: Callable[[GroupView], None]) -> None:
+    def __init__(
+        self, node: Node, on_primary_changed: Callable[[GroupView], None]
+    ) -> None:
         self._node = node
-        self._changed = changed
+        self._on_primary_changed = on_primary_changed
 
     # -- Reports -------------------------------------------------------------
 
     def note_role(self, view: GroupView, endpoint: EndpointRow, report: Report) -> None:
-        """Take in what a member says of its role and term."""
+        """Process the role and term in a member's report."""
         row = view.row
         if report.role is Role.PRIMARY and report.term >= row.term:
             self._note_primary(view, endpoint, report)
         elif endpoint.address == row.primary:
-            self.lose(view, f"{endpoint.name} reports {report.role.name}")
+            self.mark_lost(view, f"{endpoint.name} reports {report.role.name}")
         elif row.primary and self._is_over(row):
-            self.lose(view, "a majority promised a higher term")
+            self.mark_lost(view, "a majority promised a higher term")
 
     def advance_held(self, view: GroupView) -> None:
-        """Move on the place that a majority holds, and tell who waits for it."""
+        """Advance the position that a majority holds, and resolve the waiters below."""
         held = view.compute_majority_position()
         if held <= view.row.held:
             return
@@ -44,10 +46,10 @@
         view.resolve_waiters()
         self._node.publish(HeldAdvanced(view.row.key))
 
-    # -- Losing and taking back ----------------------------------------------
+    # -- Lost and blocked primaries ------------------------------------------
 
-    def lose(self, view: GroupView, why: str) -> None:
-        """Send no more writes to the present primary until it is heard again."""
+    def mark_lost(self, view: GroupView, why: str) -> None:
+        """Send no more writes to the primary until it reports again."""
         row = view.row
         if not row.primary:
             return
@@ -57,16 +59,16 @@
             row.suspected_at = self._node.timers.now
         self._publish(view, why)
 
-    def bar(self, view: GroupView, why: str) -> None:
-        """Send no more writes to the present primary, also while it is heard."""
-        view.is_barred = True
-        self.lose(view, why)
+    def block(self, view: GroupView, why: str) -> None:
+        """Send no more writes to the primary, even if it reports, until unblocked."""
+        view.is_blocked = True
+        self.mark_lost(view, why)
 
-    def admit(self, view: GroupView) -> None:
-        """Let a barred primary return, at once if it is heard."""
-        if not view.is_barred:
+    def unblock(self, view: GroupView) -> None:
+        """Allow writes to a blocked primary again, at once if it has reported."""
+        if not view.is_blocked:
             return
-        view.is_barred = False
+        view.is_blocked = False
         endpoint = view.row.endpoints.get(view.last_primary)
         if endpoint is None or endpoint.report is None:
             return
@@ -78,20 +80,20 @@
         row = view.row
         if report.term > row.term:
             self._accept(view, endpoint, report)
-        elif self._may_return(view):
+        elif self._can_return(view):
             row.primary = view.last_primary = endpoint.address
             row.state = GroupState.SERVING
             row.suspected_at = None
-            self._publish(view, f"{endpoint.name} is heard again")
+            self._publish(view, f"{endpoint.name} reports again")
         if row.primary == endpoint.address:
-            view.primary_at = self._node.timers.now
+            view.primary_reported_at = self._node.timers.now
 
-    def _may_return(self, view: GroupView) -> bool:
-        """Tell whether the primary of the present term may get writes again."""
+    def _can_return(self, view: GroupView) -> bool:
+        """Return whether the primary of the current term may get writes again."""
         row = view.row
-        # While this host promotes, the old primary must stay without new writes.
+        # While this host promotes a member, the old primary must not get new writes.
         is_free = not row.primary and row.state is not GroupState.PROMOTING
-        return is_free and not view.is_barred and not self._is_over(row)
+        return is_free and not view.is_blocked and not self._is_over(row)
 
     def _accept(self, view: GroupView, endpoint: EndpointRow, report: Report) -> None:
         row = view.row
@@ -104,7 +106,7 @@
         now = self._node.timers.now
         if not is_first:
             row.last_promotion_at = now
-            gap = now - view.primary_at
+            gap = now - view.primary_reported_at
             self._node.observe(
                 "failover_gap_seconds", gap, database=row.key, service=row.service
             )
@@ -116,11 +118,11 @@
     def _publish(self, view: GroupView, why: str) -> None:
         self._node.decide("primary", view.row.key, why)
         self._node.publish(PrimaryChanged(view.row.key))
-        self._changed(view)
+        self._on_primary_changed(view)
 
     @staticmethod
     def _is_over(row: DatabaseRow) -> bool:
-        """Tell whether no write of the present term can be acknowledged any more."""
+        """Return whether no write of the current term can be acknowledged any more."""
         promised = sum(
             member.report is not None and member.report.term > row.term
             for member in row.endpoints.values()
--- a/mallowpass/core/systems/promotion.py
+++ b/mallowpass/core/systems/promotion.py
@@ -1,11 +1,14 @@
-"""One attempt to make a member primary: promises, choice, promotion.
-
-Safety rests on the members alone. Each grants a term to one proposer and refuses
-what is below; so of two attempts at most one has a majority in a term, and a later
-one meets a member of the earlier. The member with the furthest log of a majority
-holds every acknowledged write, because a majority acknowledged it in its own term.
-A proposer's name is never used twice, also not by a restarted host: a member grants
-the same proposer again, and two attempts under one name could promote two members.
+"""One attempt to promote a member: promises, choice of the member, promotion.
+
+Safety depends on the members alone. A member promises each term to one proposer only,
+and refuses lower terms. So at most one attempt gets a majority in a term, and the
+majorities of two attempts have a member in common. Of a majority of the members, the
+member with the furthest log holds every acknowledged write, because a majority held
+that write in its own term.
+
+A proposer's name is never used twice, even after a restart of its host: a member
+repeats its promise to the same proposer, so two attempts with one name could promote
+two members.
 """
 
 from __future__ import annotations
@@ -32,21 +35,21 @@
 
 __all__ = ["Promotion", "PromotionResult"]
 
-# A call whose answer may have been lost goes out so many times within its time.
+# How often a call without an answer is sent within its timeout.
 PROMISE_TRIES = 2
 PROMOTE_TRIES = 3
-# With a majority of promises, so long for those of the others that are not silent:
-# a fuller choice, for no more than a round trip between regions.
-GRACE = 0.03
-# A hand-over waits so long, with writes going on, for its target to come close.
-CATCH_UP_LIMIT = 5.0
+# Once a majority has promised, wait for the members that were not silent before, for
+# no more than a round trip between regions: more logs to choose from.
+GRACE_TIME = 0.03  # seconds
+# A switchover lets its target catch up for this time, while writes continue.
+CATCH_UP_TIMEOUT = 5.0  # seconds
 CATCH_UP_BACKLOG = 64  # log entries
 
 
 class _Phase(Enum):
-    CATCH_UP = "catch-up"  # planned: the target comes close, writes go on
-    STOP = "stop"  # planned: the old primary promises, so its log ends
-    RECEIVE = "receive"  # planned: the target receives that log's end
+    CATCH_UP = "catch-up"  # switchover: the target catches up, writes continue
+    STOP = "stop"  # switchover: the old primary promises, which ends its log
+    RECEIVE = "receive"  # switchover: the target receives the end of that log
     PROMISE = "promise"
     PROMOTE = "promote"
     OVER = "over"
@@ -54,7 +57,10 @@
 
 @record
 class PromotionResult:
-    """Tell how an attempt ended; `member` was promoted, as ordered or not."""
+    """Describe how an attempt ended.
+
+    If `ok`, `member` was promoted; `as_ordered` if no other member had been ordered.
+    """
 
     ok: bool
     term: int
@@ -64,16 +70,17 @@
 
 
 class Promotion:
-    """Carry one attempt through; `target` names the member of a planned one.
+    """Promote a member in one attempt; `target` is the member of a switchover.
 
-    With `among` only these take part: whoever still hears an isolated primary has its
-    furthest log, and would be chosen only to be as isolated.
+    If `among` is not empty, only the members with these addresses take part. A member
+    that still receives from an isolated primary has the furthest log. If that member
+    were chosen, it would be as isolated as the primary.
     """
 
     __slots__ = (
         "_among",
-        "_done",
-        "_end",
+        "_callback",
+        "_old_log_end",
         "_failed",
         "_grants",
         "_liveness",
@@ -82,9 +89,9 @@
         "_row",
         "_target",
         "_timer",
-        "_tries",
+        "_tries_left",
         "chosen",
-        "old",
+        "old_primary",
         "proposer",
         "refused_term",
         "term",
@@ -96,7 +103,7 @@
         liveness: Liveness,
         row: DatabaseRow,
         term: int,
-        done: Callable[[Promotion, PromotionResult], None],
+        callback: Callable[[Promotion, PromotionResult], None],
         target: str = "",
         among: frozenset[str] = frozenset(),
     ) -> None:
@@ -104,43 +111,44 @@
         self.term = term
         self.proposer = f"{identity.name}/{identity.incarnation}/{node.number()}"
         self.chosen: EndpointRow | None = None
-        self.old = row.primary
+        self.old_primary = row.primary
         self.refused_term = 0
         self._node = node
         self._liveness = liveness
         self._row = row
-        self._done = done
+        self._callback = callback
         self._target = target
-        # Addresses of who promises, in order: runs of one seed must not differ.
+        # Addresses of the members that are asked. A list, since their order must not
+        # differ between two runs with the same seed.
         self._among = [a for a in row.endpoints if not among or a in among]
         self._phase = _Phase.PROMISE
-        self._end = ZERO_POSITION  # of the old primary's stopped log
-        self._grants: dict[str, Report] = {}
+        self._old_log_end = ZERO_POSITION  # once the old primary has stopped
+        self._grants: dict[str, Report] = {}  # reports with promises, by address
         self._failed: set[str] = set()
-        self._tries: dict[str, int] = {}
+        self._tries_left: dict[str, int] = {}
         self._timer: Timer | None = None
 
     @property
     def is_promoting(self) -> bool:
-        """Tell whether a Promote may have been carried out."""
+        """Return whether the chosen member may have been promoted."""
         return self._phase is _Phase.PROMOTE
 
     def begin(self) -> None:
-        """Start: a planned one with the old primary, any other with promises."""
-        if self._target and self.old:
+        """Begin with the old primary for a switchover, else with promises."""
+        if self._target and self.old_primary:
             self._catch_up()
         else:
             self._ask_promises()
 
-    def reported(self) -> None:
-        """Look again at what the target has; called with each report."""
+    def on_report(self) -> None:
+        """Check again which position the target has received; called on each report."""
         if self._phase is _Phase.CATCH_UP:
             self._catch_up()
         elif self._phase is _Phase.RECEIVE:
             self._receive()
 
     def finish(self, ok: bool, why: str) -> None:
-        """End the attempt; replies that come later do nothing."""
+        """End the attempt; later replies are ignored."""
         if self._phase is _Phase.OVER:
             return
         self._phase = _Phase.OVER
@@ -148,27 +156,27 @@
         member = self.chosen.name if self.chosen is not None else ""
         as_ordered = self._target in ("", member)
         result = PromotionResult(ok, self.term, member, why, as_ordered)
-        self._done(self, result)
+        self._callback(self, result)
 
     def succeed(self) -> None:
         """End the attempt: the chosen member leads."""
-        self._tell_others()
+        self._send_follow()
         self.finish(True, self._conclusion())
 
-    # -- Planned: catch up, stop, receive ------------------------------------
+    # -- Switchover: catch up, stop, receive ---------------------------------
 
     def _catch_up(self) -> None:
-        """Let the target come close first: writes are held as briefly as can be."""
+        """Let the target catch up before writes are held, so they are held briefly."""
         if self._phase is not _Phase.CATCH_UP:
             self._phase = _Phase.CATCH_UP
             self._liveness.watch_closely(self._row)
-            self._wait(CATCH_UP_LIMIT, self._stop)
+            self._wait(CATCH_UP_TIMEOUT, self._stop)
         backlog = self._backlog()
         if backlog is not None and backlog <= CATCH_UP_BACKLOG:
             self._stop()
 
     def _backlog(self) -> int | None:
-        old, target = self._row.endpoints.get(self.old), self._target_row
+        old, target = self._row.endpoints.get(self.old_primary), self._target_row
         if old is None or old.report is None or target is None:
             return None
         if target.report is None or target.report.term != old.report.term:
@@ -176,18 +184,21 @@
         return old.report.received.position - target.report.received.position
 
     def _stop(self) -> None:
-        """Have only the old primary promise: replicas still take its last entries.
+        """Ask only the old primary for a promise, which ends its log.
 
-        A target that promised too would refuse them, and what the old primary
-        ran without a majority would be lost though nothing had failed.
+        The replicas still accept its last entries. A target that had promised as well
+        would refuse them, and writes that no majority held yet would be lost although
+        nothing had failed.
         """
         self._phase = _Phase.STOP
         self._cancel_timer()
         self._hold_writes()
-        self._node.decide("promise", self._row.key, f"{self._name}: stop {self.old}")
-        self._repeat(self.old, self._promise, self._stopped, PROMISE_TRIES)
+        self._node.decide(
+            "promise", self._row.key, f"{self._name}: stop {self.old_primary}"
+        )
+        self._repeat(self.old_primary, self._promise, self._on_stopped, PROMISE_TRIES)
 
-    def _stopped(self, address: str, reply: ControlReply | None) -> None:
+    def _on_stopped(self, address: str, reply: ControlReply | None) -> None:
         if self._phase is not _Phase.STOP:
             return
         if reply is None:
@@ -199,17 +210,21 @@
             self._refused(address, reply)
         else:
             self._grants[address] = reply.report
-            self._end = reply.report.received
+            self._old_log_end = reply.report.received
             self._phase = _Phase.RECEIVE
             self._wait(self._node.tuning.promise_timeout, self._ask_promises)
             self._receive()
 
     def _receive(self) -> None:
         target = self._target_row
-        if target is None or target.report is None or target.address == self.old:
+        if (
+            target is None
+            or target.report is None
+            or target.address == self.old_primary
+        ):
             self._ask_promises()
             return
-        if target.report.received >= self._end:
+        if target.report.received >= self._old_log_end:
             self._ask_promises()
 
     @property
@@ -222,7 +237,7 @@
     # -- Promises ------------------------------------------------------------
 
     def _hold_writes(self) -> None:
-        self._liveness.lose_primary(self._row, f"{self._name} began")
+        self._liveness.mark_primary_lost(self._row, f"{self._name} began")
         self._row.state = GroupState.PROMOTING
 
     def _ask_promises(self) -> None:
@@ -232,13 +247,13 @@
         self._node.decide("promise", self._row.key, f"{self._name}: ask all members")
         for address in self._among:
             if address not in self._grants:
-                self._repeat(address, self._promise, self._promised, PROMISE_TRIES)
+                self._repeat(address, self._promise, self._on_promised, PROMISE_TRIES)
 
     @property
     def _promise(self) -> PromiseCall:
         return PromiseCall(self.term, self.proposer)
 
-    def _promised(self, address: str, reply: ControlReply | None) -> None:
+    def _on_promised(self, address: str, reply: ControlReply | None) -> None:
         if self._phase is not _Phase.PROMISE:
             return
         if reply is not None and reply.code is EndpointCode.OK and reply.report:
@@ -247,36 +262,37 @@
             self._failed.add(address)
             if reply is not None and self._refused(address, reply):
                 return
-        self._weigh()
+        self._check_promises()
 
     def _refused(self, address: str, reply: ControlReply) -> bool:
-        """Give way to a higher term; tell whether the attempt is over."""
+        """Record a refusal; return whether it ended the attempt."""
         member = self._row.endpoints.get(address)
         name = member.name if member is not None else address
         seen = reply.report.term if reply.report is not None else 0
         self.refused_term = max(self.refused_term, seen)
         text = f"{self._name}: {name} refused with {reply.code.name} in term {seen}"
         self._node.decide("refusal", self._row.key, text)
-        # Its proposer goes on to the other members: whoever is lower only adds a
-        # round in which nobody leads. An equal term may still be ours.
+        # The proposer of a higher term asks the other members as well. To go on with
+        # a lower one would only prolong the time without a primary. An equal term may
+        # still get its majority for this attempt.
         if seen > self.term or self._phase is _Phase.STOP:
             self.finish(False, text)
             return True
         return False
 
-    def _weigh(self) -> None:
+    def _check_promises(self) -> None:
         members, majority = len(self._among), self._row.definition.majority
         if len(self._grants) >= majority:
             if not self._awaited:
                 self._choose()
             elif self._timer is None:
-                self._wait(GRACE, self._choose)
+                self._wait(GRACE_TIME, self._choose)
         elif members - len(self._failed) < majority:
             self.finish(False, f"{self._name}: no majority of promises")
 
     @property
     def _awaited(self) -> list[str]:
-        """Return who has not answered and was not silent before."""
+        """Return the members that have not answered and were not silent before."""
         silent_after = self._node.tuning.detection
         return [
             address
@@ -287,7 +303,7 @@
         ]
 
     def _choose(self) -> None:
-        """Take the furthest log: any less far one may lack acknowledged writes."""
+        """Choose the furthest log: any other may lack acknowledged writes."""
         furthest = max(report.received for report in self._grants.values())
         equal = [
             self._row.endpoints[address]
@@ -295,7 +311,9 @@
             if report.received == furthest and address in self._row.endpoints
         ]
         if not equal:
-            self.finish(False, f"{self._name}: the members changed meanwhile")
+            self.finish(
+                False, f"{self._name}: members with the furthest log were removed"
+            )
             return
         self.chosen = min(equal, key=self._preference)
         evidence = ", ".join(
@@ -308,13 +326,13 @@
         self._promote(furthest)
 
     def _preference(self, endpoint: EndpointRow) -> tuple[bool, bool, bool, str]:
-        old = self._row.endpoints.get(self.old)
-        place = old.member.failure_domain if old is not None else ""
+        old = self._row.endpoints.get(self.old_primary)
+        old_domain = old.member.failure_domain if old is not None else ""
         region_of = self._node.identity.region_of
         return (
             endpoint.name != self._target,
             endpoint.leaving,
-            region_of(endpoint.member.failure_domain) != region_of(place),
+            region_of(endpoint.member.failure_domain) != region_of(old_domain),
             endpoint.name,
         )
 
@@ -324,14 +342,14 @@
         self._phase = _Phase.PROMOTE
         self._cancel_timer()
         call = PromoteCall(self.term, self.proposer, expected)
-        self._repeat(self.chosen.address, call, self._promoted, PROMOTE_TRIES)
+        self._repeat(self.chosen.address, call, self._on_promoted, PROMOTE_TRIES)
 
-    def _promoted(self, address: str, reply: ControlReply | None) -> None:
+    def _on_promoted(self, address: str, reply: ControlReply | None) -> None:
         if self._phase is not _Phase.PROMOTE:
             return
         if reply is None:
-            # It may be primary all the same: then its reports say so. Another
-            # member may not be chosen in this term, only by a new attempt.
+            # The member may have been promoted all the same: its reports will show
+            # it. Only a new attempt, in a higher term, may choose another member.
             self.finish(False, f"{self._name}: {self.chosen.name} did not answer")
         elif reply.code is not EndpointCode.OK:
             self._refused(address, reply)
@@ -339,7 +357,7 @@
         else:
             self.succeed()
 
-    def _tell_others(self) -> None:
+    def _send_follow(self) -> None:
         follow = FollowCall(self.term, self.chosen.name, self.chosen.address)
         timeout = self._node.tuning.promise_timeout
         for address in self._row.endpoints:
@@ -367,22 +385,22 @@
         callback: Callable[[str, ControlReply | None], None],
         tries: int,
     ) -> None:
-        """Make an idempotent call again when its answer may have been lost."""
-        each = self._node.tuning.promise_timeout / tries
+        """Make an idempotent call, and repeat it if its answer may have been lost."""
+        timeout = self._node.tuning.promise_timeout / tries
         phase = self._phase
 
-        def replied(reply: ControlReply | None) -> None:
+        def on_reply(reply: ControlReply | None) -> None:
             if self._phase is not phase:
                 return
-            left = self._tries[address] - 1
-            self._tries[address] = left
+            left = self._tries_left[address] - 1
+            self._tries_left[address] = left
             if reply is None and left > 0:
-                self._liveness.control_call(address, call, replied, each)
+                self._liveness.control_call(address, call, on_reply, timeout)
             else:
                 callback(address, reply)
 
-        self._tries[address] = tries
-        self._liveness.control_call(address, call, replied, each)
+        self._tries_left[address] = tries
+        self._liveness.control_call(address, call, on_reply, timeout)
 
     def _wait(self, seconds: float, act: Callable[[], None]) -> None:
         self._cancel_timer()
@@ -395,4 +413,4 @@
 
 
 def _ignore(reply: ControlReply | None) -> None:
-    """Leave a lost answer to the steward's repeated Follow."""
+    """Ignore the reply: stewards repeat a Follow call whose answer was lost."""
--- a/mallowpass/core/systems/stewards.py
+++ b/mallowpass/core/systems/stewards.py
@@ -1,4 +1,9 @@
-"""What liveness and failover need of other systems, where a node has them."""
+"""Optional systems that liveness and failover use, and the ranks of stewards.
+
+A steward of a group is a host that watches the group's primary closely and replaces
+it if it fails. Every host has a rank among the stewards of each group; the host with
+the lowest rank acts first, the others after a delay.
+"""
 
 from __future__ import annotations
 
@@ -15,49 +20,49 @@
 
 
 class Peers(Protocol):
-    """Rank this host among the live ones, and talk to them."""
+    """Rank this host among the live hosts, and exchange messages with them."""
 
     def rank(self, key: str, failure_domain: str | None = None) -> int:
-        """Return this host's place for a key, 0 first, in a domain or among all."""
+        """Return this host's rank for a key, 0 first, in a domain or among all."""
 
     def on_message(
         self, kind: type[PeerMessage], handler: Callable[[str, Any], None]
     ) -> None:
-        """Have a handler called with each message of a type and its sender."""
+        """Call a handler with the sender and each message of a type."""
 
     def broadcast(self, message: PeerMessage, but: str = "") -> None:
-        """Send a message to all neighbours, except to the one that it came from."""
+        """Send a message to all linked hosts, except to the host it came from."""
 
 
 class Platform(Protocol):
-    """Call the platform."""
+    """Make calls to the platform."""
 
     def call(
         self, request: PlatformCall, callback: Callable[[PlatformReply], None]
     ) -> None:
-        """Make a call; the callback gets exactly one reply."""
+        """Make a call; the callback is called with exactly one reply."""
 
 
 def steward_rank(
     node: Node, peers: Peers | None, row: DatabaseRow, primary: str
 ) -> int:
-    """Return this host's place among a group's stewards, 0 first.
+    """Return this host's rank among a group's stewards, 0 first.
 
-    Each failure domain has one before any has two, and the primary's comes last: a
-    domain that is cut off takes its primary and its hosts along, and a first
-    steward in it would cost the others its turn.
+    The first hosts of all failure domains rank before the second ones. The domain of
+    the primary comes last: if that domain is cut off, its hosts are cut off with the
+    primary, and the stewards after them would first wait for theirs to act.
     """
     if peers is None:
         return 0
     identity = node.identity
     endpoint = row.endpoints.get(primary)
-    place = "" if endpoint is None else endpoint.member.failure_domain
+    primary_domain = "" if endpoint is None else endpoint.member.failure_domain
     names = [domain.name for domain in identity.domains]
-    names.sort(key=lambda name: (name == place, _weight(row.key, name)))
-    mine = identity.failure_domain
-    if mine not in names:
+    names.sort(key=lambda name: (name == primary_domain, _weight(row.key, name)))
+    own_domain = identity.failure_domain
+    if own_domain not in names:
         return peers.rank(row.key)
-    return peers.rank(row.key, mine) * len(names) + names.index(mine)
+    return peers.rank(row.key, own_domain) * len(names) + names.index(own_domain)
 
 
 def _weight(key: str, name: str) -> bytes:
@@ -65,8 +70,8 @@
 
 
 def find_membership(node: Node) -> Peers | None:
-    """Return the node's membership, None when it runs without."""
-    # Late: membership is no part of what liveness needs to run.
+    """Return the node's membership, None if it runs without."""
+    # Imported late: liveness also runs on nodes without membership.
     from mallowpass.core.systems.membership import Membership
 
     try:
@@ -76,7 +81,7 @@
 
 
 def find_platform(node: Node) -> Platform | None:
-    """Return the node's client of the platform, None when it runs without."""
+    """Return the node's client of the platform, None if it runs without."""
     from mallowpass.core.systems.platform import PlatformClient
 
     try:
--- a/mallowpass/core/systems/suspicion.py
+++ b/mallowpass/core/systems/suspicion.py
@@ -1,4 +1,4 @@
-"""Whether a primary is gone: what this host and the other members saw of it."""
+"""Confirmation, by the members of a group, that its suspected primary has failed."""
 
 from __future__ import annotations
 
@@ -15,66 +15,68 @@
 
 __all__ = ["Confirmation", "Finding", "Verdict"]
 
-# Without primary_silence the members cannot confirm; this host's own silence counts
-# alone, and has to last so many times longer.
+# A member that does not report primary_silence can't confirm a failure. Then only the
+# time since the primary's last reply to this host counts, and it has to be longer by
+# this factor.
 UNCONFIRMED_FACTOR = 3
-# Members' clocks and this host's timers differ a little.
-TOLERANCE = 0.002
-SETTLE_MIN = 0.005
+# Seconds by which the members' clocks and this host's timers may differ.
+SILENCE_TOLERANCE = 0.002
+SETTLE_DELAY_MIN = 0.005  # seconds
 
 
 class Verdict(Enum):
-    """Say what a round of questions showed."""
+    """Describe the result of a round of probes."""
 
-    GONE = "gone"  # a majority does not hear the primary
-    ISOLATED = "isolated"  # it leads and answers, and a majority does not hear it
-    ABDICATED = "abdicated"  # it says itself that it does not lead any more
-    TAKEN = "taken"  # a member promised a higher term: someone promotes
-    HEARD = "heard"  # too many members hear it
+    GONE = "gone"  # a majority does not receive from the primary
+    ISOLATED = "isolated"  # as GONE, but the primary answers this host and leads
+    ABDICATED = "abdicated"  # the primary answers that it does not lead any more
+    TAKEN = "taken"  # a member promised a higher term, so a promotion is in progress
+    HEARD = "heard"  # too many members may still receive from the primary
     UNREACHABLE = "unreachable"  # no majority answers this host
 
 
 @record
 class Finding:
-    """Tell the verdict, its evidence, and when to ask again, in seconds.
+    """Describe the result of a round of probes, and when to probe again, in seconds.
 
-    `hearing` members answered and may hear the suspect; `able` ones may hold what it
-    takes, `reachable` ones answered, or else either was heard a short while ago.
+    `connected` members answered and may receive from the suspect. `reachable` members
+    answered, or replied to this host within the detection time. `may_hold` members are
+    reachable and may receive the suspect's writes.
     """
 
     verdict: Verdict
     evidence: str
-    again_in: float
+    next_round_in: float
     highest_term: int
     asked_at: float
-    is_led: bool  # the suspect answered as the primary of the present term
-    hearing: int
-    able: int
+    is_leading: bool  # the suspect answered as the primary of the current term
+    connected: int
+    may_hold: int
     reachable: int
-    deaf: frozenset[str]  # addresses of those that follow the suspect and don't hear it
+    disconnected: frozenset[str]  # addresses of followers that lost the suspect
 
 
 _SETTLED = frozenset({Verdict.GONE, Verdict.ABDICATED, Verdict.ISOLATED})
 
 
 class Confirmation:
-    """Ask all members once, and weigh reports that are newer than the question.
+    """Probe all members once, and evaluate the reports in their replies.
 
-    A link that is cut between this host and the primary alone, or a host that is
-    itself cut off, must not cause a promotion: so the members decide.
+    The members decide, because a promotion must not be caused by a broken link between
+    this host and the primary alone, or by a host that is itself cut off.
     """
 
     __slots__ = (
         "_asked_at",
-        "_done",
-        "_left",
+        "_callback",
+        "_expects_suspect",
         "_liveness",
         "_node",
+        "_outstanding",
         "_reports",
         "_row",
-        "_settling",
+        "_settle_timer",
         "_suspect",
-        "_suspect_heard",
         "_threshold",
     )
 
@@ -85,76 +87,76 @@
         row: DatabaseRow,
         suspect: str,
         threshold: float,
-        done: Callable[[Finding], None],
+        callback: Callable[[Finding], None],
     ) -> None:
         self._node = node
         self._liveness = liveness
         self._row = row
         self._suspect = suspect
         self._threshold = threshold
-        # A suspect that is heard is about to answer, and its answer decides: without
-        # it one that is barred would stay so for good.
-        self._suspect_heard = bool(row.primary) or liveness.is_barred(row)
-        self._done: Callable[[Finding], None] | None = done
+        # Wait for the answer of a suspect that still answers this host: the answer
+        # decides, and without it a blocked primary would stay blocked.
+        self._expects_suspect = bool(row.primary) or liveness.is_blocked(row)
+        self._callback: Callable[[Finding], None] | None = callback
         self._reports: dict[str, Report] = {}
-        self._left = len(row.endpoints)
+        self._outstanding = len(row.endpoints)
         self._asked_at = node.timers.now
-        self._settling: Timer | None = None
+        self._settle_timer: Timer | None = None
 
     def begin(self) -> None:
         """Probe all members."""
         for address in list(self._row.endpoints):
-            self._ask(address)
+            self._probe(address)
 
     def cancel(self) -> None:
-        """Drop the question; may be done twice."""
-        self._done = None
-        if self._settling is not None:
-            self._settling.cancel()
+        """Ignore all further replies; may be called twice."""
+        self._callback = None
+        if self._settle_timer is not None:
+            self._settle_timer.cancel()
 
-    def _ask(self, address: str) -> None:
-        def replied(reply: ControlReply | None) -> None:
-            self._replied(address, reply)
+    def _probe(self, address: str) -> None:
+        def on_reply(reply: ControlReply | None) -> None:
+            self._on_reply(address, reply)
 
         timeout = self._node.tuning.promise_timeout
-        self._liveness.control_call(address, ProbeCall(), replied, timeout)
+        self._liveness.control_call(address, ProbeCall(), on_reply, timeout)
 
-    def _replied(self, address: str, reply: ControlReply | None) -> None:
-        self._left -= 1
+    def _on_reply(self, address: str, reply: ControlReply | None) -> None:
+        self._outstanding -= 1
         if reply is not None and reply.report is not None:
             self._reports[address] = reply.report
-        if self._done is None:
+        if self._callback is None:
             return
-        finding = self._find()
+        finding = self._evaluate()
         is_settled = finding.verdict in _SETTLED and not self._awaits_suspect
-        if is_settled or self._left == 0 or self._has_all_expected():
+        if is_settled or self._outstanding == 0 or self._has_all_expected():
             self._settle()
-        elif self._settling is None and finding.verdict is not Verdict.UNREACHABLE:
-            # As long again for the others; a lost call takes many times longer, and
-            # asking once more is cheap.
+        elif self._settle_timer is None and finding.verdict is not Verdict.UNREACHABLE:
+            # Wait for the other members as long again as the majority took. A lost call
+            # would take many times longer, and another round of probes is cheap.
             elapsed = self._node.timers.now - self._asked_at
-            wait = max(elapsed, SETTLE_MIN)
+            wait = max(elapsed, SETTLE_DELAY_MIN)
             if self._awaits_suspect:
-                # It may be the farthest of all, and there is time before the detection.
+                # The suspect may be the most distant member, and is not overdue yet.
                 wait = max(3 * elapsed, self._node.tuning.detection / 8)
-            self._settling = self._node.timers.after(wait, self._settle)
+            self._settle_timer = self._node.timers.after(wait, self._settle)
 
     def _settle(self) -> None:
-        if self._settling is not None:
-            self._settling.cancel()
-        done, self._done = self._done, None
-        if done is not None:
-            done(self._find())
+        if self._settle_timer is not None:
+            self._settle_timer.cancel()
+        callback, self._callback = self._callback, None
+        if callback is not None:
+            callback(self._evaluate())
 
     @property
     def _awaits_suspect(self) -> bool:
-        return self._suspect_heard and self._suspect not in self._reports
+        return self._expects_suspect and self._suspect not in self._reports
 
     def _has_all_expected(self) -> bool:
-        """Tell whether only members that were silent before are still missing.
+        """Return whether only members that were silent before have not answered.
 
-        The suspect is one of them: waiting for its answer would lengthen each
-        failover by the time of a lost call.
+        The suspect is usually silent: waiting for its answer would lengthen each
+        failover by the timeout of a call.
         """
         if len(self._reports) < self._row.definition.majority:
             return False
@@ -164,11 +166,11 @@
             for address in self._row.endpoints
         )
 
-    # -- Weighing ------------------------------------------------------------
+    # -- Evaluation ----------------------------------------------------------
 
-    def _find(self) -> Finding:
+    def _evaluate(self) -> Finding:
         majority = self._row.definition.majority
-        deaf = self._deaf(0.0)
+        disconnected = self._disconnected(0.0)
         confirming = [a for a, r in self._reports.items() if self._confirms(a, r)]
         highest = max((r.term for r in self._reports.values()), default=0)
         if len(self._reports) < majority:
@@ -177,39 +179,42 @@
             verdict = Verdict.TAKEN
         elif self._has_abdicated():
             verdict = Verdict.ABDICATED
-        elif self._is_led:
-            verdict = Verdict.ISOLATED if len(deaf) >= majority else Verdict.HEARD
+        elif self._is_leading:
+            verdict = (
+                Verdict.ISOLATED if len(disconnected) >= majority else Verdict.HEARD
+            )
         elif len(confirming) >= majority:
             verdict = Verdict.GONE
         else:
             verdict = Verdict.HEARD
-        unheard = self._unheard()
+        unreachable = self._unreachable_count()
         members = len(self._row.endpoints)
-        nearly_deaf = self._deaf(silence_margin(self._node.tuning))
+        nearly_disconnected = self._disconnected(silence_margin(self._node.tuning))
         return Finding(
             verdict,
             self._evidence(),
-            self._again_in(),
+            self._next_round_in(),
             highest,
             self._asked_at,
-            self._is_led,
-            hearing=len(self._reports) - len(nearly_deaf),
-            able=members - unheard - len(nearly_deaf),
-            reachable=members - unheard,
-            deaf=deaf,
+            self._is_leading,
+            connected=len(self._reports) - len(nearly_disconnected),
+            may_hold=members - unreachable - len(nearly_disconnected),
+            reachable=members - unreachable,
+            disconnected=disconnected,
         )
 
     @property
-    def _is_led(self) -> bool:
+    def _is_leading(self) -> bool:
         report = self._reports.get(self._suspect)
         if report is None or report.role is not Role.PRIMARY:
             return False
         return report.term == self._row.term
 
-    def _deaf(self, margin: float) -> frozenset[str]:
-        """Return who follows the suspect and has not heard it for long enough.
+    def _disconnected(self, margin: float) -> frozenset[str]:
+        """Return the followers that have not received from the suspect long enough.
 
-        Not who follows nobody: it may hear the primary as soon as it is told to.
+        A member that follows no primary is left out: it may receive from the suspect
+        as soon as a Follow call names it.
         """
         suspect = self._row.endpoints.get(self._suspect)
         if suspect is None:
@@ -221,11 +226,11 @@
             and report.primary == suspect.name
             and report.term == self._row.term
             and report.primary_silence is not None
-            and report.primary_silence >= self._threshold - TOLERANCE - margin
+            and report.primary_silence >= self._threshold - SILENCE_TOLERANCE - margin
         )
 
-    def _unheard(self) -> int:
-        """Count who neither answers nor was heard for the detection time."""
+    def _unreachable_count(self) -> int:
+        """Count the members that sent no reply to this host for the detection time."""
         return sum(
             address not in self._reports
             and self._liveness.time_since_reply(address) >= self._node.tuning.detection
@@ -235,49 +240,50 @@
     def _confirms(self, address: str, report: Report) -> bool:
         if report.role is Role.PRIMARY:
             return report.term < self._row.term
-        if address == self._suspect or self._is_elsewhere(report):
+        if address == self._suspect or self._is_detached(report):
             return True
         silence = report.primary_silence
         if silence is None:
             return self._is_silent_here(self._suspect or self._followed(report))
-        return silence >= self._threshold - TOLERANCE
+        return silence >= self._threshold - SILENCE_TOLERANCE
 
     def _is_silent_here(self, address: str) -> bool:
-        """Tell whether this host's own evidence is that a member does not lead."""
+        """Return whether this host's own evidence is that a member does not lead."""
         report = self._reports.get(address)
         if report is not None:
             return report.role is not Role.PRIMARY
-        own = self._liveness.time_since_reply(address)
-        return own >= self._threshold * UNCONFIRMED_FACTOR
+        elapsed = self._liveness.time_since_reply(address)
+        return elapsed >= self._threshold * UNCONFIRMED_FACTOR
 
     def _followed(self, report: Report) -> str:
-        """Return the address of whom a member follows, empty when it is none here.
+        """Return the address of the primary that a member follows, empty if unknown.
 
-        A host that started after the primary was gone knows no suspect, and a member
-        that restarted has heard nobody: without the name that the member kept, both
-        would wait for each other for good.
+        A host that started after the primary failed knows no suspect, and a member that
+        restarted since has received from no primary. The primary's name that the member
+        has kept is then the only evidence of which member to look at: without it, the
+        group would never get a primary.
         """
         for address, endpoint in self._row.endpoints.items():
             if endpoint.name == report.primary:
                 return address
         return ""
 
-    def _is_elsewhere(self, report: Report) -> bool:
-        """Tell whether a member could not hear the primary even if it lived."""
+    def _is_detached(self, report: Report) -> bool:
+        """Return whether a member would not receive even from a running suspect."""
         if not report.primary or report.role is Role.FENCED_PRIMARY:
             return True
         return self._row.term != 0 and report.term != self._row.term
 
     def _has_abdicated(self) -> bool:
-        """Tell whether the primary itself answers that it does not lead.
+        """Return whether the primary itself answers that it does not lead.
 
-        It restarted, or a promise stopped it: no other member can lead this term.
+        It restarted, or has promised a higher term. No other member can lead its term.
         """
         report = self._reports.get(self._suspect)
         return report is not None and report.role is not Role.PRIMARY
 
-    def _again_in(self) -> float:
-        """Return when enough members' silence may have lasted long enough."""
+    def _next_round_in(self) -> float:
+        """Return in how many seconds a majority may be able to confirm the failure."""
         confirming = 0
         missing = []
         for address, report in self._reports.items():
@@ -288,7 +294,7 @@
         needed = self._row.definition.majority - confirming
         if not 0 < needed <= len(missing):
             return self._threshold
-        # The next question reaches the members a round trip after this reply left.
+        # The next probes reach the members a round trip after these replies left them.
         round_trip = self._node.timers.now - self._asked_at
         return sorted(missing)[needed - 1] - round_trip
 
@@ -298,7 +304,7 @@
             report = self._reports.get(address)
             parts.append(f"{endpoint.name}: {_describe(report)}")
         own = self._liveness.time_since_reply(self._suspect) if self._suspect else 0.0
-        return f"own silence {own:.3f}s; " + ", ".join(parts)
+        return f"no reply to this host for {own:.3f}s; " + ", ".join(parts)
 
 
 def _describe(report: Report | None) -> str:
@@ -307,6 +313,7 @@
     text = f"{report.role.name} of term {report.term}"
     if report.primary_silence is not None and report.role is Role.REPLICA:
         text += (
-            f", hears {report.primary or 'nobody'} {report.primary_silence:.3f}s ago"
+            f", last message from {report.primary or 'nobody'}"
+            f" {report.primary_silence:.3f}s ago"
         )
     return text
--- a/mallowpass/core/systems/switchover.py
+++ b/mallowpass/core/systems/switchover.py
@@ -1,4 +1,7 @@
-"""A primary that leaves gets no new writes: hand over from it without an order."""
+"""Switchover from a primary that is leaving, without an operator's order.
+
+A primary that is leaving gets no new writes.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +14,12 @@
 
 __all__ = ["SwitchoverPlanner"]
 
-TURN_MAX = 8
-RETRY = 4.0  # seconds
+RANK_MAX = 8
+RETRY_DELAY_MAX = 4.0  # seconds
 
 
 class SwitchoverPlanner:
-    """Name a target once a group's primary leaves, and again if that failed."""
+    """Begin a switchover when a group's primary is leaving, and retry if it fails."""
 
     __slots__ = ("_begin", "_liveness", "_node", "_row", "_timer")
 
@@ -34,16 +37,16 @@
         self._timer: Timer | None = None
 
     def review(self) -> None:
-        """Plan a hand-over if the primary leaves, at this host's turn."""
+        """Schedule a switchover for this host's turn if the primary is leaving."""
         primary = self._row.primary_row
         if primary is None or not primary.leaving or self._timer is not None:
             return
-        turn = min(self._liveness.steward_rank(self._row), TURN_MAX)
-        delay = 2 * turn * self._node.tuning.steward_stagger
+        rank = min(self._liveness.steward_rank(self._row), RANK_MAX)
+        delay = 2 * rank * self._node.tuning.steward_stagger
         self._timer = self._node.timers.after(delay, self._act)
 
     def stop(self) -> None:
-        """Drop what is planned."""
+        """Cancel the scheduled switchover."""
         if self._timer is not None:
             self._timer.cancel()
 
@@ -53,20 +56,20 @@
         if primary is None or not primary.leaving:
             return
         if row.definition.manual_promotion:
-            self._node.decide("refusal", row.key, "promotion is by order only")
+            self._node.decide("refusal", row.key, "promotion needs an operator's order")
             return
         target = self._best_target(primary)
-        delay = self._node.random.uniform(RETRY / 2, RETRY)
+        delay = self._node.random.uniform(RETRY_DELAY_MAX / 2, RETRY_DELAY_MAX)
         self._timer = self._node.timers.after(delay, self._act)
         if target is not None:
-            text = f"{primary.name} leaves: hand over to {target.name}"
+            text = f"{primary.name} is leaving: switch over to {target.name}"
             self._node.decide("order", row.key, text)
             self._begin(target.name)
 
     def _best_target(self, primary: EndpointRow) -> EndpointRow | None:
         region_of = self._node.identity.region_of
-        place = region_of(primary.member.failure_domain)
-        fit = [
+        primary_region = region_of(primary.member.failure_domain)
+        candidates = [
             endpoint
             for endpoint in self._row.endpoints.values()
             if endpoint.report is not None
@@ -75,9 +78,9 @@
             and endpoint.report.term == self._row.term
         ]
         return max(
-            fit,
+            candidates,
             key=lambda endpoint: (
-                region_of(endpoint.member.failure_domain) == place,
+                region_of(endpoint.member.failure_domain) == primary_region,
                 endpoint.report.received,
             ),
             default=None,
--- a/mallowpass/core/systems/termhistory.py
+++ b/mallowpass/core/systems/termhistory.py
@@ -1,4 +1,4 @@
-"""Which terms a group's logs are made of, and where each of them starts."""
+"""The terms of a group's logs, and the position at which each term starts."""
 
 from __future__ import annotations
 
@@ -6,66 +6,74 @@
 
 __all__ = ["TermHistory"]
 
-TERMS_KEPT = 64
+TERMS_MAX = 64
 
 
 class TermHistory:
-    """Tell whether a log that ends in some term contains a place of an older one.
+    """Determine whether a log contains a position of an older term.
 
-    A place (T, p) is in a log if T is one of the log's terms and the next of them
-    starts above p. The log's own terms count: one that was elected and replaced
-    before a majority had its first entry is in no log any more, and where it
-    started says nothing.
+    A log contains the position (T, p) if T is one of the log's terms and the log's
+    next term starts above p. Only terms of this log count. If a primary was elected
+    and replaced before a majority had its first entry, no log contains its term, so
+    the start of that term is no evidence.
     """
 
     __slots__ = ("_older", "_starts")
 
     def __init__(self) -> None:
         self._starts: dict[int, int] = {}  # by term
-        # By the term that a log ends in: the older ones, newest first. Two logs
-        # that end in one term have the same ones, because it had one primary.
+        # Starts of the older terms of a log, newest first, by the term in which the
+        # log ends. Logs that end in the same term have the same older terms, because
+        # a term has only one primary.
         self._older: dict[int, tuple[LogPosition, ...]] = {}
 
     def learn(self, report: Report) -> None:
-        """Remember the terms of a member's log."""
+        """Record the terms of a member's log."""
         term = report.received.term
         if report.term_start and term not in self._starts:
             self._starts[term] = report.term_start
         if report.term_starts:
             self._older[term] = report.term_starts
         for known in (self._starts, self._older):
-            while len(known) > TERMS_KEPT:
+            while len(known) > TERMS_MAX:
                 del known[min(known)]
 
-    def knows(self, term: int) -> bool:
-        """Tell whether it is known where a term starts."""
+    def has_start_of(self, term: int) -> bool:
+        """Return whether the start of a term is known."""
         return term in self._starts
 
-    def dropped_by(self, place: LogPosition, end_term: int) -> LogPosition | None:
-        """Return the start of the term that dropped a place from a log, None: it is in.
+    def dropped_by(self, position: LogPosition, end_term: int) -> LogPosition | None:
+        """Return the start of the term that dropped a position from a log.
 
-        The log ends in `end_term`.
+        The log ends in `end_term`. Return None if the log contains the position, or
+        if the start of `end_term` is unknown.
         """
-        if end_term <= place.term or end_term not in self._starts:
+        if end_term <= position.term or end_term not in self._starts:
             return None
         older = self._older.get(end_term)
         if older is None:
-            return self._dropped_by_any(place, end_term)
+            return self._dropped_by_any(position, end_term)
         following = LogPosition(end_term, self._starts[end_term])
         for start in older:
-            if start.term <= place.term:
+            if start.term <= position.term:
                 break
             following = start
         else:
-            # Its own term is older than those told of, or is none of the log's.
-            return following if following.position <= place.position else None
-        if start.term != place.term or following.position <= place.position:
+            # The position's term is older than all reported terms of the log.
+            return following if following.position <= position.position else None
+        if start.term != position.term or following.position <= position.position:
             return following
         return None
 
-    def _dropped_by_any(self, place: LogPosition, end_term: int) -> LogPosition | None:
-        """Judge by all terms ever seen: the member tells no older ones."""
+    def _dropped_by_any(
+        self, position: LogPosition, end_term: int
+    ) -> LogPosition | None:
+        """Compare with all terms ever reported, for members that report no older ones.
+
+        Terms whose entries no log contains count as well, so a position that is still
+        in the log may be taken for dropped.
+        """
         for term, start in self._starts.items():
-            if place.term < term <= end_term and start <= place.position:
+            if position.term < term <= end_term and start <= position.position:
                 return LogPosition(term, start)
         return None
--- a/tests/core/systems/test_liveness.py
+++ b/tests/core/systems/test_liveness.py
@@ -163,7 +163,7 @@
     scene.world.run_till(lambda: scene.row().term == 2)
     scene.group.crash("b")
     host = scene.host
-    host.do(host.system(Liveness).lose_primary, scene.row(), "lost")
+    host.do(host.system(Liveness).mark_primary_lost, scene.row(), "lost")
     scene.group.members["c"].term = 1
     scene.world.run(5.0)
     assert scene.row().primary == ""
