--- a/tests/core/systems/test_busychecks.py
+++ b/tests/core/systems/test_busychecks.py
@@ -1,4 +1,4 @@
-"""Tests of mallowpass.core.systems.busychecks."""
+"""Keep-alives on connections with a slow statement, and connections that go silent."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from mallowpass.core.tables import RequestRow
 from tests.fakes.poolpath import CALL, PoolHost
 
-LONG = 25.0  # seconds: several times the silence and the time to live
+SLOW_STATEMENT_TIME = 25.0  # seconds, above `silence` and the time to live
 
 
-def _host(able: bool = True) -> PoolHost:
+def _host(is_supported: bool = True) -> PoolHost:
     host = PoolHost(limit=8)
-    host.report(connections=0, limit=8, keep_alive_while_busy=able)
+    host.report(connections=0, limit=8, keep_alive_while_busy=is_supported)
     return host
 
 
 def _start(host: PoolHost, class_name: str = "caseworker") -> RequestRow:
-    """Have a statement run on a new connection."""
+    """Run a statement on a new connection."""
     request = host.request(class_name, deadline=60.0)
     host.open_all()
     return request
@@ -32,7 +32,7 @@
     return host.calls(ExecuteCall)[-1]
 
 
-def _told(host: PoolHost) -> list[int]:
+def _answered(host: PoolHost) -> list[int]:
     return [number for number, _ in host.requests.replies]
 
 
@@ -41,25 +41,25 @@
     return Counter(dict(count.attributes)["reason"] for count in counts)
 
 
-def test_a_long_statement_is_waited_for_while_its_connection_answers():
-    """
-    Symptom: a report of the monthly reconciliation never finishes.
-    Sequence: its statement takes longer than a connection may stay silent.
-    Cause: taken for silent, the connection is closed, and the report begins anew.
+def test_a_slow_statement_is_waited_for_while_its_connection_answers():
+    """A slow report never finishes.
+
+    Its statement takes longer than a connection may be silent. If the connection were
+    closed as silent, the report would begin again.
     """
     host = _host()
     request = _start(host)
-    host.wait_answering_keep_alives(LONG)
+    host.wait_answering_keep_alives(SLOW_STATEMENT_TIME)
     host.reply(_statement(host), rows="report")
-    assert _told(host) == [request.number]
+    assert _answered(host) == [request.number]
     assert not host.requests.lost and not host.closed()
 
 
-def test_a_transaction_outlives_its_long_statement():
-    """
-    Symptom: the statement after a long one loses its transaction.
-    Sequence: the long one takes longer than the connection's time to live.
-    Cause: nothing was sent meanwhile that prolongs it.
+def test_a_transaction_outlives_its_slow_statement():
+    """The statement after a slow one fails since its transaction is lost.
+
+    The slow statement takes longer than the connection's time to live, and meanwhile
+    only keep-alives can extend that time.
     """
     host = _host()
     host.requests.hold = True
@@ -67,7 +67,7 @@
     connection = host.node.tables.connections[host.requests.granted[0][1]]
     host.pooling.pin(connection, "t")
     host.pooling.send(connection, CALL, request)
-    host.wait_answering_keep_alives(LONG)
+    host.wait_answering_keep_alives(SLOW_STATEMENT_TIME)
     host.reply(_statement(host))
     host.pooling.send(connection, CALL, request)
     host.wait(0.1)
@@ -75,7 +75,7 @@
     assert not host.requests.lost and not host.transactions.lost
 
 
-def test_a_connection_that_answers_nothing_is_silent_as_before():
+def test_a_connection_without_any_answer_is_closed_after_the_silence():
     host = _host()
     request = _start(host)
     host.wait(host.node.tuning.silence - 0.1)
@@ -85,68 +85,68 @@
     assert host.requests.lost == [(request.number, "silent")]
 
 
-def test_a_connection_that_goes_silent_under_a_long_statement_is_found():
+def test_a_connection_that_goes_silent_during_a_slow_statement_is_closed():
     host = _host()
     request = _start(host)
-    host.wait_answering_keep_alives(LONG)
+    host.wait_answering_keep_alives(SLOW_STATEMENT_TIME)
     host.wait(1.5 * host.node.tuning.silence)
     assert host.requests.lost == [(request.number, "silent")]
 
 
 def test_the_answer_to_a_keep_alive_is_not_taken_for_the_statements():
-    """
-    Symptom: a caller gets an empty answer to a report that still runs.
-    Sequence: the keep-alive beside the statement is answered first, or twice.
-    Cause: its sequence was taken for that of the call in flight.
+    """A caller gets an empty answer to a statement that still runs.
+
+    A keep-alive is sent during the statement and is answered first, or twice. Its
+    sequence must not be taken for that of the call in flight.
     """
     host = _host()
     request = _start(host)
     host.wait(host.node.tuning.silence / 2)
-    (asked,) = host.calls(KeepAliveCall)
+    (keep_alive,) = host.calls(KeepAliveCall)
     statement = _statement(host)
-    assert statement.sequence < FIRST_BUSY_SEQUENCE <= asked.sequence
-    host.reply(asked)
-    host.reply(asked)
-    assert _told(host) == []
+    assert statement.sequence < FIRST_BUSY_SEQUENCE <= keep_alive.sequence
+    host.reply(keep_alive)
+    host.reply(keep_alive)
+    assert _answered(host) == []
     host.reply(statement)
-    host.reply(asked)
-    assert _told(host) == [request.number]
-    # Idle again, and not taken for the next statement's answer either.
+    host.reply(keep_alive)
+    assert _answered(host) == [request.number]
+    # The connection is idle again; the answer must not count for the next statement.
     host.request()
-    host.reply(asked)
-    assert _told(host) == [request.number]
+    host.reply(keep_alive)
+    assert _answered(host) == [request.number]
 
 
-def test_an_old_answer_does_not_prove_a_connection_again():
+def test_an_old_answer_does_not_count_for_a_later_check():
     host = _host()
     request = _start(host)
     host.wait(host.node.tuning.silence / 2)
-    (asked,) = host.calls(KeepAliveCall)
-    host.reply(asked)
+    (keep_alive,) = host.calls(KeepAliveCall)
+    host.reply(keep_alive)
     host.wait(host.node.tuning.silence / 2)
-    host.reply(asked)
+    host.reply(keep_alive)
     host.wait(host.node.tuning.silence / 2)
     assert host.requests.lost == [(request.number, "silent")]
 
 
 @pytest.mark.parametrize("class_name", ["caseworker", "reconciliation"])
-def test_an_endpoint_that_cannot_be_asked_is_waited_for_by_patient_classes(class_name):
-    host = _host(able=False)
+def test_patient_classes_wait_for_an_endpoint_without_busy_keep_alives(class_name):
+    host = _host(is_supported=False)
     request = _start(host, class_name)
-    host.wait(LONG)
+    host.wait(SLOW_STATEMENT_TIME)
     assert not host.calls(KeepAliveCall)
     if class_name == "reconciliation":
         host.reply(_statement(host))
-        assert _told(host) == [request.number]
+        assert _answered(host) == [request.number]
     else:
         assert host.requests.lost == [(request.number, "silent")]
 
 
-@pytest.mark.parametrize("given_up", [False, True])
-def test_a_part_of_an_answer_is_a_proof_as_well(given_up: bool):
-    host = _host(able=False)
+@pytest.mark.parametrize("is_cancelled", [False, True])
+def test_a_part_of_an_answer_counts_like_a_keep_alive(is_cancelled: bool):
+    host = _host(is_supported=False)
     request = _start(host)
-    if given_up:
+    if is_cancelled:
         host.pooling.cancel(request)
     for _ in range(5):
         host.wait(0.8 * host.node.tuning.silence)
@@ -154,18 +154,18 @@
     assert not host.requests.lost and not host.closed()
 
 
-def test_a_given_up_statement_keeps_its_connection_no_longer_than_a_silent_one():
+def test_a_cancelled_statement_keeps_its_connection_no_longer_than_a_silent_one():
     host = _host()
     request = _start(host)
     host.wait_answering_keep_alives(2.0)
     host.pooling.cancel(request)
     host.wait_answering_keep_alives(2 * host.node.tuning.silence)
     assert not host.pool.connections
-    # Its neighbours are not suspected: the connection answered.
+    # No other connection is suspected, since this one answered.
     assert _losses(host) == Counter({"given-up": 1})
 
 
-def test_a_given_up_statement_that_ends_in_time_leaves_its_connection():
+def test_the_connection_of_a_cancelled_statement_that_ends_in_time_is_reused():
     host = _host()
     request = _start(host)
     host.wait_answering_keep_alives(2.0)
@@ -175,11 +175,12 @@
     assert len(host.pool.idle) == 1
 
 
-def test_a_paused_host_does_not_prolong_what_ran_out_meanwhile():
-    """
-    Symptom: an endpoint's place is used twice after a host was paused.
-    Sequence: its statement is in flight; it stands still past the time to live.
-    Cause: the keep-alive on waking prolongs what the endpoint gave to others.
+def test_a_paused_host_does_not_extend_an_expired_connection():
+    """An endpoint's connection limit is exceeded after a host was paused.
+
+    The host is paused during a statement until the time to live has passed. A keep-
+    alive when it resumes must not extend a connection that the endpoint has given to
+    others.
     """
     host = _host()
     _start(host)
@@ -192,10 +193,10 @@
 
 
 def test_the_last_part_of_a_long_answer_is_not_taken_for_a_quick_statement():
-    """
-    Symptom: statements wait although the endpoint is far from crowded.
-    Sequence: a long answer comes in parts, the last one soon after another.
-    Cause: its time counted from that part, and made all others look contended.
+    """Statements are queued though the endpoint is not overloaded.
+
+    A long answer arrives in parts, the last one soon after another. If the statement's
+    time began with that part, all other statements would seem to be slowed down.
     """
     host = _host()
     _start(host)
@@ -208,7 +209,7 @@
 
 
 def _give_up_unanswered(host: PoolHost) -> None:
-    """Give a statement up whose connection leaves a keep-alive unanswered."""
+    """Cancel a statement whose connection does not answer a keep-alive."""
     request = host.request()
     host.wait(0.1)
     connection = host.node.tables.connections[request.connection]
@@ -221,11 +222,11 @@
     host.flush()
 
 
-def test_a_retry_does_not_meet_the_next_silent_connection():
-    """
-    Symptom: a write takes two seconds and more: its retries go unanswered as well.
-    Sequence: all connections of a host to an endpoint go silent at one moment.
-    Cause: others were checked only once the first had been silent for its whole time.
+def test_a_retry_does_not_use_the_next_silent_connection():
+    """A write takes seconds, since its retries get no answer either.
+
+    All connections of a host to an endpoint go silent at the same time. The others must
+    be checked before the first one has been silent for its whole time.
     """
     host = _host()
     host.requests.hold = True
@@ -241,11 +242,11 @@
     assert not host.pool.idle
 
 
-def test_a_silent_connection_gives_its_place_back_soon():
-    """
-    Symptom: requests wait three seconds while nothing runs.
-    Sequence: the only connection that a host may have goes silent.
-    Cause: given up by its request, it kept its place for the whole silence.
+def test_the_slot_of_a_silent_connection_is_freed_soon():
+    """Requests wait for three seconds while no statement runs.
+
+    The only connection that a host may have goes silent. After its request was
+    cancelled, it must not keep its slot for the whole silence.
     """
     host = _host()
     _start(host)
@@ -256,7 +257,7 @@
     assert not host.pool.connections
 
 
-def test_a_given_up_connection_that_answers_after_all_is_kept():
+def test_a_connection_of_a_cancelled_request_that_answers_late_is_kept():
     host = _host()
     _start(host)
     host.reply_all()
--- a/tests/core/systems/test_failover.py
+++ b/tests/core/systems/test_failover.py
@@ -1,4 +1,4 @@
-"""Failover against a fake group: each failure that it has to survive, and none."""
+"""Failover against a fake group: failures to survive, and faults that are none."""
 
 from __future__ import annotations
 
@@ -28,20 +28,20 @@
 SYSTEMS = (Liveness, Failover)
 
 
-def make(**options) -> Scene:
+def make_scene(**options) -> Scene:
     scene = Scene(systems=SYSTEMS, **options)
     scene.run_till_serving()
     return scene
 
 
 def write(scene: Scene, name: str = "") -> LogPosition:
-    """Append to a primary's log as some host's connection would."""
+    """Append to a primary's log as the connection of a host would."""
     member = scene.group.members[name] if name else scene.group.primary
-    place = member.append(Entry(member.term, f"w{len(member.log)}", sql="insert"))
+    position = member.append(Entry(member.term, f"w{len(member.log)}", sql="insert"))
     scene.group._ship(member)
     scene.group._changed(member)
     scene.world.poke(scene.group)
-    return place
+    return position
 
 
 def run_till_primary(scene: Scene, *, but: str = "a", limit: float = 10.0) -> str:
@@ -62,7 +62,7 @@
 
 
 def steward(scene: Scene) -> str:
-    """Return the name of the host whose turn is first."""
+    """Return the name of the host with the first rank among the stewards."""
     return min(
         scene.live,
         key=lambda name: (
@@ -84,93 +84,101 @@
 @pytest.mark.parametrize("members", [3, 5])
 @pytest.mark.parametrize("tell", [False, True])
 def test_crash_promotes_the_furthest_log(members, tell):
-    """Symptom: acknowledged writes are gone after a primary's crash.
-    Sequence: b is behind c when a crashes.
-    Cause: a member was promoted that lacks what a majority had.
+    """Acknowledged writes are missing after the primary crashes.
+
+    b lags behind c when a crashes. No member may be promoted that lacks what a majority
+    held.
     """
-    scene = make(members=members)
+    scene = make_scene(members=members)
     scene.links.cut("a", "b")
-    place = write(scene)
+    position = write(scene)
     scene.world.run(0.05)
     scene.links.heal()
     scene.group.crash("a", tell=tell)
     name = run_till_primary(scene)
     assert name != "b"
-    assert scene.group.members[name].log[place.position - 1].request_id
+    assert scene.group.members[name].log[position.position - 1].request_id
     assert len(scene.group.led) == 2
     assert scene.counted("promotions") == 1
     assert scene.journal("suspicion") and scene.journal("promotion")
 
 
 @pytest.mark.parametrize("phase", [0.2, 0.7, 1.2, 1.7])
-def test_host_that_watches_slowly_learns_a_promotion_from_notices(phase):
-    """Symptom: some hosts hold writes for seconds longer than others.
-    Sequence: a host that is no steward and idle gets a report each 2 s only.
-    Cause: nobody told it that asking is worth while now.
+def test_host_with_rare_reports_learns_a_promotion_from_notices(phase):
+    """Some hosts hold writes seconds longer than others.
+
+    An idle host that is no steward gets a report only every 2 s. The notice of a
+    promotion must make it probe the members.
     """
-    scene = make(hosts=8)
+    scene = make_scene(hosts=8)
     scene.world.run(5.0 + phase)
     scene.group.crash("a")
     scene.world.run_till(lambda: scene.group.primary is not None)
     run_till_primary(scene, limit=0.1)
 
 
-def test_watching_closely_is_no_reason_to_suspect():
-    """Symptom: a healthy primary is suspected as the first write comes.
-    Sequence: an idle host had a report each 2 s; a write makes it watch closely.
-    Cause: silence that a slow watch had asked for counted as silence.
+def test_change_of_the_report_interval_raises_no_suspicion():
+    """A healthy primary is suspected when the first write arrives.
+
+    An idle host got a report every 2 s; a write makes it ask for frequent reports. The
+    silence of the long interval must not count.
     """
-    scene = make(hosts=8)
+    scene = make_scene(hosts=8)
     scene.world.run(5.0)
     for delay in range(20):
         name = max(scene.live, key=lambda name: int(name[1:]))
-        place = write(scene)
+        position = write(scene)
         host = scene.world.hosts[name]
-        host.do(host.system(Liveness).wait_for_majority, scene.row(name), place, bool)
+        host.do(
+            host.system(Liveness).wait_for_majority, scene.row(name), position, bool
+        )
         scene.world.run(5.0 + delay / 10)
     assert scene.counted("suspicions") == 0
 
 
-def test_crash_resumes_within_detection_and_some_round_trips():
-    scene = make(between=0.012)
+def test_writes_resume_within_detection_and_some_round_trips():
+    scene = make_scene(between=0.012)
     scene.group.crash("a")
     began = scene.world.now
     scene.world.run_till(lambda: scene.group.primary is not None)
     promoted_at = scene.world.now
     run_till_primary(scene)
-    assert scene.world.now - promoted_at < 0.02  # one way, not a notice and a probe
+    assert (
+        scene.world.now - promoted_at < 0.02
+    )  # a message one way, no notice and probe
     assert scene.world.now - began < Tuning().detection + 0.2
     gaps = [gap for host in scene.world.hosts.values() for gap in host.observed]
     assert gaps
 
 
-def test_member_of_the_old_primarys_region_goes_first_among_equals():
-    scene = make(members=5)  # a and d share a region
+def test_member_of_the_old_primarys_region_is_preferred_among_equals():
+    scene = make_scene(members=5)  # a and d share a region
     scene.group.crash("a")
     assert run_till_primary(scene) == "d"
 
 
 def test_promotion_needs_no_platform():
-    """Symptom: a primary's crash during an outage of the platform ends all writes.
-    Sequence: the platform's table answers nothing; the primary crashes.
-    Cause: the decision, or the choice of who decides, went through the table.
+    """A crash of the primary during an outage of the platform ends all writes.
+
+    The platform does not answer and the primary crashes. Neither the decision nor the
+    choice of the steward may depend on the platform's table.
     """
-    scene = make()
+    scene = make_scene()
     calls: list = []
 
-    class DeafPlatform:
+    class UnresponsivePlatform:
         def call(self, request, callback):
             calls.append(request)
 
     for host in scene.world.hosts.values():
-        host.system(Failover)._platform = DeafPlatform()
+        host.system(Failover)._platform = UnresponsivePlatform()
     scene.group.crash("a")
     run_till_primary(scene)
     assert [type(call) for call in calls] == [ReadRow]
 
 
-def test_result_is_kept_in_the_platforms_table():
-    scene = make()
+def test_result_is_recorded_in_the_platforms_table():
+    scene = make_scene()
     writes: list = []
 
     class Platform:
@@ -197,11 +205,12 @@
 
 
 def test_lag_spike_promotes_nobody():
-    """Symptom: a healthy primary is replaced while a network link stutters.
-    Sequence: all messages from and to the primary are held up for 300 ms.
-    Cause: a spike shorter than the detection time counted as silence.
+    """A healthy primary is replaced because of a short network delay.
+
+    All messages from and to the primary are delayed by 300 ms. A delay below the
+    detection time must not count as a failure.
     """
-    scene = make()
+    scene = make_scene()
     for _ in range(20):
         for other in ("b", "c", "h0", "h1", "h2"):
             scene.links.stall("a", other, scene.world.now + 0.3)
@@ -210,11 +219,12 @@
 
 
 def test_pause_of_300_ms_promotes_nobody():
-    """Symptom: a primary that collects garbage loses its role.
-    Sequence: the primary's process stands still for 300 ms, again and again.
-    Cause: the detection time is shorter than an ordinary pause.
+    """A primary is replaced because of a garbage collection.
+
+    The primary's process is paused for 300 ms, again and again. The detection time must
+    be longer than an ordinary pause.
     """
-    scene = make()
+    scene = make_scene()
     for _ in range(20):
         scene.group.pause("a")
         scene.world.run(0.3)
@@ -225,11 +235,12 @@
 
 
 def test_one_lost_message_in_a_hundred_promotes_nobody():
-    """Symptom: promotions without a failure on a lossy network.
-    Sequence: one message in a hundred is lost for five minutes.
-    Cause: a single unanswered probe counted as a failure.
+    """A healthy primary is replaced on a lossy network.
+
+    One message in a hundred is lost for five minutes. A single unanswered probe must
+    not count as a failure.
     """
-    scene = make()
+    scene = make_scene()
     scene.links.loss = 0.01
     scene.world.run(300.0)
     assert_nothing_promoted(scene)
@@ -237,11 +248,12 @@
 
 @pytest.mark.parametrize("members", [3, 5])
 def test_cut_between_one_host_and_the_primary_promotes_nobody(members):
-    """Symptom: one host's broken link replaces a primary that all others use.
-    Sequence: only the first steward cannot reach the primary, for a minute.
-    Cause: a host's own silence was enough, without the members' word.
+    """The broken link of one host replaces a primary that all other hosts use.
+
+    Only the first steward can't reach the primary, for a minute. Without confirmation
+    by the members, its own observation must not be enough.
     """
-    scene = make(members=members)
+    scene = make_scene(members=members)
     first = steward(scene)
     scene.links.cut(first, "a")
     scene.world.run(60.0)
@@ -251,17 +263,18 @@
     traffic = scene.world.hosts[first].system(Liveness).traffic
     before = traffic.calls
     scene.world.run(30.0)
-    assert traffic.calls - before < 45 * members  # not at a failover's pace
+    assert traffic.calls - before < 45 * members  # below the rate of a failover
     scene.links.heal()
     scene.world.run_till(lambda: scene.row(first).state is GroupState.SERVING, 5.0)
 
 
-def test_cut_between_host_and_primary_without_the_members_silence():
-    """Symptom: as above, in a group whose members don't tell primary_silence.
-    Sequence: the first steward alone loses the primary for 0.8 s.
-    Cause: members that cannot confirm were taken to confirm.
+def test_cut_between_host_and_primary_without_primary_silence():
+    """A primary is replaced though its members can't confirm the failure.
+
+    The members do not report primary_silence, and only the first steward loses the
+    primary, for 0.8 s. Members that can't confirm must not count as confirming.
     """
-    scene = make()
+    scene = make_scene()
     for member in scene.group.members.values():
         member.reports_silence = False
     scene.links.cut(steward(scene), "a")
@@ -274,12 +287,12 @@
 
 
 def test_own_pause_of_this_host_promotes_nobody():
-    """Symptom: a steward that was stopped replaces healthy primaries as it wakes.
-    Sequence: it stands still for 3 s; timers are due before the reports are read;
-    the members' link to the primary is slow just then.
-    Cause: its own pause counted as the primary's silence.
+    """A steward that was suspended replaces healthy primaries when it resumes.
+
+    It is paused for 3 s, and its timers run before the reports are read. Its own pause
+    must not count as silence of the primary.
     """
-    scene = make()
+    scene = make_scene()
     for _ in range(10):
         scene.world.hosts[steward(scene)].pause(3.0)
         scene.world.run(5.0)
@@ -288,23 +301,25 @@
 
 
 def test_silent_connections_promote_nobody():
-    """Symptom: a healthy primary is replaced after a firewall forgot its streams.
-    Sequence: all open control streams to it fall silent for good at one moment.
-    Cause: no fresh stream was tried before the silence was believed.
+    """A healthy primary is replaced after a firewall dropped its connections.
+
+    All open control streams to the primary go silent at the same moment. New streams
+    must be tried before the primary counts as failed.
     """
-    scene = make(between=0.012)
+    scene = make_scene(between=0.012)
     scene.group.silence("a")
     scene.world.run(10.0)
     assert scene.counted("suspicions") == 0
     assert_nothing_promoted(scene)
 
 
-def test_hint_of_the_request_path_tries_a_fresh_stream():
-    """Symptom: callers meet a broken link first, and nothing looks at it.
-    Sequence: a connection breaks while all open links to the primary are dead.
-    Cause: only the watch's pace decided when to look.
+def test_failed_connection_probes_the_primary_on_a_new_stream():
+    """The failure of a primary is detected late though a call to it has failed.
+
+    A connection breaks while all open streams to the primary are silent. The request
+    path must cause a probe on a new stream.
     """
-    scene = make()
+    scene = make_scene()
     name = max(scene.live)
     scene.world.run(0.06)
     scene.group.silence("a", name)
@@ -316,12 +331,13 @@
     assert scene.row(name).primary_row.heard_at > heard_at
 
 
-def test_one_of_two_rounds_waits_for_no_silent_member():
-    """Symptom: a gap that is longer by a round trip between regions.
-    Sequence: the primary is silent, so it does not answer the question either.
-    Cause: a round waited for its answer though it is the one in doubt.
+def test_round_does_not_wait_for_a_silent_primary():
+    """A failover takes longer by a round trip between regions.
+
+    The primary is silent, so it does not answer the probe either. A round must not wait
+    for the member that is suspected.
     """
-    scene = make(between=0.012)
+    scene = make_scene(between=0.012)
     node = scene.world.hosts[steward(scene)].node
     scene.group.crash("a")
     run_till_primary(scene)
@@ -335,11 +351,12 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_racing_stewards_leave_one_primary(seed, monkeypatch):
-    """Symptom: two members take writes in one term.
-    Sequence: five hosts all believe that they are the first steward.
-    Cause: an agreement that rests on membership instead of the members' promises.
+    """Two members accept writes in one term.
+
+    Five hosts all have the first rank among the stewards. The members' promises must
+    decide, not the membership.
     """
-    scene = make(hosts=5, seed=seed, between=0.012)
+    scene = make_scene(hosts=5, seed=seed, between=0.012)
     monkeypatch.setattr(f"{Liveness.__module__}.steward_rank", lambda *_: 0)
     scene.group.crash("a")
     run_till_primary(scene)
@@ -349,13 +366,13 @@
     assert len(leading) == 1
 
 
-def test_steward_paused_after_its_promises_changes_nothing_when_it_wakes():
-    """Symptom: a host wakes and puts its own choice in place of the primary.
-    Sequence: the first has a majority's promises and stands still for 3 s; another
-    promotes with a higher term; the first goes on with what it had in mind.
-    Cause: a promotion that does not name the term it was promised in.
+def test_steward_paused_after_its_promises_changes_nothing_when_it_resumes():
+    """A steward resumes and replaces the primary by its own choice.
+
+    It has the promises of a majority and is paused for 3 s while another steward
+    promotes in a higher term. Its call to promote must be refused for its lower term.
     """
-    scene = make(between=0.012)
+    scene = make_scene(between=0.012)
     first = steward(scene)
     scene.group.crash("a")
     members = scene.group.members
@@ -371,12 +388,13 @@
 
 
 def test_proposers_names_are_never_used_twice():
-    """Symptom: two primaries in one term after a host restarted.
-    Sequence: it promotes in term 2 and dies; its successor, who saw nothing of
-    it, asks for term 2 under the same name.
-    Cause: members grant a term again to the proposer that has it.
+    """Two primaries lead one term after a host restarted.
+
+    A host proposes term 2 and restarts; without knowing of it, the restarted host
+    proposes term 2 again. Members repeat a promise to the same proposer, so the names
+    must differ.
     """
-    first, second = make(seed=1), make(seed=1)
+    first, second = make_scene(seed=1), make_scene(seed=1)
     names = set()
     for incarnation, scene in enumerate((first, second), 1):
         node = scene.host.node
@@ -389,15 +407,16 @@
     assert len(names) == 4
 
 
-# -- Second failures ---------------------------------------------------------
+# -- Failures during a failover ----------------------------------------------
 
 
 def test_chosen_member_dies_after_its_promise():
-    """Symptom: a group stays without primary though a majority lives.
-    Sequence: of five members, the one with the furthest log promises and dies.
-    Cause: the attempt ended with its chosen member, and no new one began.
+    """A group stays without a primary though a majority is running.
+
+    Of five members, the one with the furthest log promises and crashes. A new attempt
+    must follow.
     """
-    scene = make(hosts=1, members=5, between=0.012)
+    scene = make_scene(hosts=1, members=5, between=0.012)
     scene.links.isolate("a", ["c", "d", "e"])
     write(scene)
     scene.world.run(0.05)
@@ -411,11 +430,12 @@
 
 
 def test_majority_lost_and_back():
-    """Symptom: writes stay held after enough members came back.
-    Sequence: two of three members crash; one of them starts again later.
-    Cause: an attempt without majority was not repeated.
+    """Writes stay held after enough members have restarted.
+
+    Two of three members crash, and one restarts later. An attempt without a majority
+    must be repeated.
     """
-    scene = make()
+    scene = make_scene()
     scene.group.crash("a")
     scene.group.crash("b")
     scene.world.run(10.0)
@@ -429,10 +449,11 @@
 
 @pytest.mark.parametrize("back", ["abc", "bc"])
 def test_restarted_members_get_a_primary_from_hosts_that_know_none(back):
-    """Symptom: a group has no primary for good.
-    Sequence: all members restart, without the primary in one case, and so do the
-    hosts: these know no suspect, and no member has heard anybody.
-    Cause: the silence of no suspect, 0 s for ever, stood for what a member can't tell.
+    """A group never gets a primary.
+
+    All members restart, in one case without the primary, and so do the hosts. The hosts
+    know no suspect and no member has received from a primary, so no silence can be
+    compared.
     """
     scene = Scene(systems=SYSTEMS)
     for name in "abc":
@@ -446,11 +467,12 @@
 
 @pytest.mark.parametrize("lost", [1, 3])
 def test_answer_lost_after_the_promotion_took_effect(lost):
-    """Symptom: a second promotion, or none that anybody knows of.
-    Sequence: the new primary's answers to Promote are lost, once or each time.
-    Cause: a lost answer was taken for a failure.
+    """A second promotion follows, or hosts do not learn of the first one.
+
+    The new primary's answers to Promote are lost, once or every time. A lost answer
+    must not count as a failed promotion.
     """
-    scene = make()
+    scene = make_scene()
     for name in "bc":
         scene.group.members[name].lose_control[PromoteCall] = lost
     scene.group.crash("a")
@@ -461,11 +483,12 @@
 
 
 def test_call_to_promote_is_lost():
-    """Symptom: a gap that is longer by a whole attempt.
-    Sequence: a majority promised; the call to promote is lost once.
-    Cause: the call was not repeated though it is idempotent.
+    """A failover takes longer by a whole attempt.
+
+    A majority has promised, and the call to promote is lost once. The call is
+    idempotent and must be repeated.
     """
-    scene = make()
+    scene = make_scene()
     for name in "bc":
         scene.group.members[name].lose_calls[PromoteCall] = 1
     scene.group.crash("a")
@@ -474,11 +497,12 @@
 
 
 def test_refusal_with_a_higher_term_ends_the_attempt():
-    """Symptom: two promotions in a row, the first for nothing.
-    Sequence: of five members, one has promised term 7 to a quicker proposer.
-    Cause: an attempt in term 2 went on with the other three.
+    """Two promotions follow each other, the first one in vain.
+
+    Of five members, one has promised term 7 to another proposer. An attempt in term 2
+    must not continue with the other members.
     """
-    scene = make(hosts=1, members=5, between=0.012)
+    scene = make_scene(hosts=1, members=5, between=0.012)
     scene.group.crash("a")
     members = [scene.group.members[name] for name in "bcde"]
     scene.world.run_till(lambda: any(member.term == 2 for member in members))
@@ -488,11 +512,12 @@
 
 
 def test_steward_dies_in_the_middle():
-    """Symptom: members that promised a term wait for a steward that is gone.
-    Sequence: the first gets its promises and dies; others see the higher term.
-    Cause: a higher term was left to its proposer for ever.
+    """Members that promised a term wait for a steward that has failed.
+
+    The first steward gets its promises and stops; the others see the higher term. They
+    must not wait for its proposer forever.
     """
-    scene = make(between=0.012)
+    scene = make_scene(between=0.012)
     first = steward(scene)
     scene.group.crash("a")
     scene.world.run_till(lambda: scene.group.members["c"].term == 2)
@@ -502,15 +527,16 @@
     assert_one_primary_a_term(scene)
 
 
-# -- Afterwards --------------------------------------------------------------
+# -- After a failover --------------------------------------------------------
 
 
 def test_old_primary_comes_back_as_a_replica():
-    """Symptom: a replaced primary serves old data, or its rest of a log spreads.
-    Sequence: it was cut off with a write nobody else has, and returns.
-    Cause: nobody told it to follow the new primary.
+    """A replaced primary serves old data, or other members get the end of its log.
+
+    It was isolated with a write that no other member has, and returns. It must be
+    ordered to follow the new primary.
     """
-    scene = make()
+    scene = make_scene()
     scene.links.isolate("a", ["b", "c", "h0", "h1", "h2"])
     lost = write(scene, "a")
     scene.world.run_till(lambda: scene.group.primary.name != "a")
@@ -523,8 +549,8 @@
     run_till_primary(scene)
 
 
-def test_member_that_follows_nobody_is_told_by_the_first_steward_only():
-    scene = make()
+def test_member_without_a_primary_gets_a_follow_call_from_the_first_steward_only():
+    scene = make_scene()
     member = scene.group.members["c"]
     member.lose_calls[FollowCall] = 3
     member.primary = ""
@@ -540,26 +566,28 @@
 
 
 def test_member_stranded_in_a_higher_term_is_freed():
-    """Symptom: a replica stays behind for good and one more crash ends writes.
-    Sequence: a steward gets one promise of three and dies.
-    Cause: the member refuses the primary's term, and nobody begins a higher one.
+    """A replica stays behind, and one more crash ends all writes.
+
+    A steward gets one promise of three and fails. The member refuses the primary's term
+    until a higher term begins.
     """
-    scene = make()
+    scene = make_scene()
     member = scene.group.members["c"]
     member.promise(PromiseCall(7, "gone"))
     scene.group._changed(member)
-    place = write(scene)
-    scene.world.run_till(lambda: member.received.position > place.position, 20.0)
+    position = write(scene)
+    scene.world.run_till(lambda: member.received.position > position.position, 20.0)
     assert member.primary == "a"
     assert scene.group.led[-1] == (8, "a")
 
 
-def test_young_primary_has_to_be_silent_for_longer():
-    """Symptom: a group is promoted again and again and never gets to serve.
-    Sequence: the new primary, slow after its promotion, stands still for 0.6 s.
-    Cause: no hold-down after a promotion.
+def test_recently_promoted_primary_has_a_longer_detection_time():
+    """A group is promoted again and again and never serves.
+
+    The new primary, slow after its promotion, is paused for 0.6 s. The hold-down after
+    a promotion must prevent the next one.
     """
-    scene = make(members=5)
+    scene = make_scene(members=5)
     scene.group.crash("a")
     name = run_till_primary(scene)
     scene.world.run(1.0)
@@ -571,8 +599,8 @@
     assert len(scene.group.led) == 2
 
 
-def test_young_primary_that_fails_is_replaced():
-    scene = make(members=5)
+def test_recently_promoted_primary_that_fails_is_replaced():
+    scene = make_scene(members=5)
     scene.group.crash("a")
     name = run_till_primary(scene)
     scene.world.run(1.0)
@@ -585,11 +613,12 @@
 
 
 def test_manual_database_is_promoted_on_order_only():
-    """Symptom: a database whose operators decide themselves is promoted.
-    Sequence: its primary crashes; 30 s later an operator names a member.
-    Cause: manual_promotion was not looked at.
+    """A database is promoted though its operators reserve the decision.
+
+    Its primary crashes; 30 s later an operator orders a promotion. manual_promotion
+    must prevent any earlier one.
     """
-    scene = make(manual=True)
+    scene = make_scene(manual=True)
     scene.group.crash("a")
     scene.world.run(30.0)
     assert scene.group.led == [(1, "a")]
@@ -599,28 +628,30 @@
 
 
 def test_planned_promotion_loses_nothing():
-    """Symptom: writes that ran just before a hand-over are gone after it.
-    Sequence: the old primary has entries under way to the target as it stops.
-    Cause: the target promised, and refused them, before it had received them.
+    """Writes that ran just before a switchover are missing afterwards.
+
+    The old primary has entries in flight to the target when it stops. The target must
+    not promise, and so refuse them, before it has received them.
     """
-    scene = make(between=0.012)
-    places = [write(scene) for _ in range(20)]
+    scene = make_scene(between=0.012)
+    positions = [write(scene) for _ in range(20)]
     answers = promote(scene, "b")
     scene.world.run(0.0001)
     assert scene.group.members["a"].role is Role.PRIMARY
-    places.append(write(scene, "a"))
+    positions.append(write(scene, "a"))
     scene.world.run_till(lambda: answers)
     assert answers[0][:2] == (True, 2)
     log = scene.group.members["b"].log
-    assert all(log[p.position - 1].request_id for p in places)
+    assert all(log[p.position - 1].request_id for p in positions)
 
 
 def test_planned_promotion_holds_writes_meanwhile():
-    """Symptom: writes go to a primary that is being stopped, and have to be resolved.
-    Sequence: reports of it are under way as the hand-over begins.
-    Cause: a report put it back though this host was stopping it.
+    """Writes are sent to a primary that is being stopped, and their outcome is unknown.
+
+    Its reports are in flight when the switchover begins. They must not make_scene it
+    the primary again.
     """
-    scene = make(between=0.012)
+    scene = make_scene(between=0.012)
     for _ in range(20):
         write(scene)
         scene.world.run(0.003)
@@ -631,11 +662,12 @@
 
 
 def test_planned_promotion_of_a_member_that_cannot_keep_up():
-    """Symptom: a hand-over to a member that is cut off ends all writes.
-    Sequence: b cannot receive from the primary and is to take over.
-    Cause: the hand-over waited for its target without a limit.
+    """A switchover to a member that is cut off ends all writes.
+
+    b can't receive from the primary and is the target. The switchover must not wait for
+    it without a limit.
     """
-    scene = make()
+    scene = make_scene()
     scene.links.cut("a", "b")
     write(scene)
     scene.world.run(0.05)
@@ -646,20 +678,21 @@
     assert scene.group.primary.name in "ac"
 
 
-def test_orders_that_make_no_sense_are_refused():
-    scene = make()
+def test_invalid_orders_are_refused():
+    scene = make_scene()
     assert promote(scene, "nobody")[0][0] is False
     assert promote(scene, "a") == [(True, 1, "a leads already")]
     promote(scene, "b")
     assert promote(scene, "c")[0][0] is False
 
 
-def test_leaving_primary_is_handed_over_from():
-    """Symptom: writes wait for ever once a primary's host is to be replaced.
-    Sequence: the primary reports that it leaves and so gets no new work.
-    Cause: a leaving primary was taken for one that serves.
+def test_switchover_from_a_leaving_primary():
+    """Writes wait forever when the host of the primary is to be replaced.
+
+    The primary reports that it is leaving, so it gets no new writes. A switchover must
+    begin without an order.
     """
-    scene = make()
+    scene = make_scene()
     scene.group.members["a"].leaving = True
     for host in scene.world.hosts.values():
         endpoint = host.node.tables.endpoints["a:1"]
@@ -672,16 +705,17 @@
 # -- Partition ---------------------------------------------------------------
 
 
-def test_partition_serves_on_the_majority_side_and_reads_on_the_other():
-    """Symptom: both sides of a partition take writes, or neither serves reads.
-    Sequence: the primary's failure domain is cut off from the other two.
-    Cause: a side decided without a majority of members, or gave up altogether.
+def test_partition_serves_writes_on_the_majority_side_and_reads_on_the_other():
+    """Both sides of a partition accept writes, or neither serves reads.
+
+    The failure domain of the primary is cut off from the other two. Only the side with
+    a majority of members may promote.
     """
-    scene = make(between=0.012)
+    scene = make_scene(between=0.012)
     acknowledged: list = []
     write_through(scene, "h0", acknowledged)
     scene.world.run_till(lambda: acknowledged)
-    place = acknowledged[0][0]
+    position = acknowledged[0][0]
     scene.links.isolate("d0", ["d1", "d2"])
     scene.live.discard("h0")
     name = run_till_primary(scene)
@@ -690,19 +724,20 @@
     minority = scene.row("h0")
     assert minority.primary == "" or minority.term == 1
     liveness = scene.host.system(Liveness)
-    assert liveness.has_reached(minority.endpoints["a:1"], place)
-    assert minority.held == place  # nothing after the cut is acknowledged there
+    assert liveness.has_reached(minority.endpoints["a:1"], position)
+    assert minority.held == position  # no later write is acknowledged there
     scene.links.heal()
     scene.world.run_till(lambda: scene.row("h0").primary == f"{name}:1", 10.0)
 
 
 @pytest.mark.parametrize("phase", [0.2, 0.7, 1.2, 1.7])
 def test_partition_of_five_members_waits_for_no_lost_call(phase):
-    """Symptom: a gap that is longer by the time of a lost call.
-    Sequence: a failure domain with the primary and another member is cut off.
-    Cause: the round of questions waited for members that cannot answer.
+    """A failover takes longer by the timeout of a call.
+
+    A failure domain with the primary and another member is cut off. The round of probes
+    must not wait for members that were silent before.
     """
-    scene = make(members=5, between=0.012)
+    scene = make_scene(members=5, between=0.012)
     scene.world.run(5.0 + phase)
     scene.links.isolate("d0", ["d1", "d2"])
     scene.live.discard("h0")
@@ -711,17 +746,18 @@
     assert scene.world.now - began < Tuning().detection + 0.22
 
 
-# -- All of it ---------------------------------------------------------------
+# -- Random faults -----------------------------------------------------------
 
 
 @pytest.mark.parametrize("seed", range(25))
 def test_acknowledged_writes_survive_faults(seed):
-    """Symptom: a write that a host saw held by a majority is not in the log.
-    Sequence: crashes, cuts, pauses, losses and lost answers at random moments.
-    Cause: any of the rules of holding, promising and choosing is broken.
+    """A write that a host saw held by a majority is not in the log.
+
+    Crashes, cuts, pauses, losses and lost answers occur at random times. The rules of
+    holding, promising and choosing must keep every acknowledged write.
     """
     members = 3 if seed % 2 else 5
-    scene = make(seed=seed, members=members, between=0.012)
+    scene = make_scene(seed=seed, members=members, between=0.012)
     random = scene.world.random
     acknowledged: list[tuple[LogPosition, str]] = []
     for _ in range(60):
@@ -732,13 +768,13 @@
     assert_one_primary_a_term(scene)
     assert acknowledged
     log = scene.group.primary.log
-    for place, request_id in acknowledged:
-        assert log[place.position - 1].request_id == request_id
-        assert log[place.position - 1].term == place.term
+    for position, request_id in acknowledged:
+        assert log[position.position - 1].request_id == request_id
+        assert log[position.position - 1].term == position.term
 
 
 def write_through(scene: Scene, name: str, acknowledged: list) -> None:
-    """Write at the primary that a host knows of, and wait as its writes do."""
+    """Write to the primary that a host knows, and wait for a majority to hold it."""
     host, row = scene.world.hosts[name], scene.row(name)
     if not row.primary or scene.links.is_cut(name, row.primary_row.name):
         return
@@ -746,22 +782,22 @@
     stopped = member.crashed or member.paused
     if stopped or member.role is not Role.PRIMARY or member.term != row.term:
         return
-    place = write(scene, member.name)
-    request_id = member.log[place.position - 1].request_id
+    position = write(scene, member.name)
+    request_id = member.log[position.position - 1].request_id
     connection = ConnectionRow(
         9, member.address, ConnectionState.BUSY, 0.0, 0.0, sequence=1
     )
     host.node.tables.connections[9] = connection
     reply = EndpointReply(
-        sequence=1, code=EndpointCode.OK, applied=place, term=place.term
+        sequence=1, code=EndpointCode.OK, applied=position, term=position.term
     )
     host.handle(EndpointReplied(9, reply))
 
     def resolved(held: bool) -> None:
         if held:
-            acknowledged.append((place, request_id))
+            acknowledged.append((position, request_id))
 
-    host.do(host.system(Liveness).wait_for_majority, row, place, resolved)
+    host.do(host.system(Liveness).wait_for_majority, row, position, resolved)
 
 
 def fault(scene: Scene, random) -> None:
@@ -785,7 +821,7 @@
         case 8:
             links.loss = random.choice([0.0, 0.02, 0.1])
         case 9 if group.primary is not None:
-            links.isolate(group.primary.name, names)  # its replication alone
+            links.isolate(group.primary.name, names)  # only its replication
     scene.world.poke(group)
 
 
--- a/tests/core/systems/test_isolation.py
+++ b/tests/core/systems/test_isolation.py
@@ -1,4 +1,4 @@
-"""A primary that hosts hear and its members don't, and hosts that reach no majority."""
+"""Primaries that can't replicate to a majority, and hosts that reach no majority."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.core.systems.test_failover import (
     assert_nothing_promoted,
     assert_one_primary_a_term,
-    make,
+    make_scene,
     run_till_primary,
     write,
     write_through,
@@ -21,16 +21,19 @@
 
 
 def isolate(scene: Scene) -> None:
-    """Cut the primary's replication; hosts still reach everybody."""
+    """Cut the primary's replication; hosts still reach all members."""
     scene.links.isolate("a", scene.group.members)
 
 
 def wait_for_majority(scene: Scene, name: str) -> list[bool]:
-    """Write at a host and note how its wait for a majority ends."""
+    """Write on a host, and return a list for the result of its wait for a majority."""
     results: list[bool] = []
-    host, place = scene.world.hosts[name], write(scene, "a")
+    host, position = scene.world.hosts[name], write(scene, "a")
     host.do(
-        host.system(Liveness).wait_for_majority, scene.row(name), place, results.append
+        host.system(Liveness).wait_for_majority,
+        scene.row(name),
+        position,
+        results.append,
     )
     return results
 
@@ -40,12 +43,13 @@
 
 @pytest.mark.parametrize("members", [3, 5])
 @pytest.mark.parametrize("hosts", [3, 8])
-def test_primary_that_only_its_members_lost_is_replaced(members, hosts):
-    """Symptom: all writes of a group end UNKNOWN at their deadlines, for hours.
-    Sequence: the primary's replication is cut off, hosts go on hearing it.
-    Cause: only this host's own silence raised a suspicion.
+def test_primary_cut_off_from_its_members_is_replaced(members, hosts):
+    """All writes of a group end UNKNOWN at their deadlines.
+
+    The primary's replication is cut, while hosts still reach the primary. Not only the
+    silence towards this host may raise a suspicion.
     """
-    scene = make(members=members, hosts=hosts)
+    scene = make_scene(members=members, hosts=hosts)
     scene.world.run(5.0)
     isolate(scene)
     results = wait_for_majority(scene, f"h{hosts - 1}")
@@ -53,7 +57,7 @@
     name = run_till_primary(scene, limit=5.0)
     assert name != "a"
     assert scene.world.now - began < Tuning().detection + 0.15
-    assert results == [False]  # its term is over: it is looked up at the new primary
+    assert results == [False]  # the term ended; the new primary has the outcome
     assert_one_primary_a_term(scene)
     scene.world.run(2.0)
     assert len(scene.group.led) == 2
@@ -65,23 +69,26 @@
 
 @pytest.mark.parametrize("phase", [0.1, 0.7, 1.3, 1.9])
 def test_isolated_primary_of_an_idle_group_is_replaced_before_writes_come(phase):
-    """Symptom: the first write of the morning waits out a whole failover.
-    Sequence: replication is cut while nobody writes.
-    Cause: only a write that nobody could hold made a host look.
+    """The first write to an idle group waits for a whole failover.
+
+    Replication is cut while there are no writes. The members' reports must raise a
+    suspicion without a write.
     """
-    scene = make(hosts=8)
+    scene = make_scene(hosts=8)
     scene.world.run(5.0 + phase)
     isolate(scene)
     run_till_primary(scene, limit=Tuning().detection + 0.06)
 
 
 @pytest.mark.parametrize("phase", [0.1, 0.7, 1.3, 1.9])
-def test_isolated_primary_is_found_by_a_write_that_nobody_can_hold(phase):
-    """Symptom: as above, with members that know no Watch.silence_ms.
-    Sequence: replication is cut; a write comes, and no report tells of silence.
-    Cause: that no majority holds more while a write waits was no hint.
+def test_isolated_primary_is_found_by_a_write_that_no_majority_holds(phase):
+    """All writes of a group end UNKNOWN at their deadlines.
+
+    Replication is cut and the members do not support Watch.silence_ms, so no report
+    shows the silence. A write that waits while the majority position does not advance
+    must raise a suspicion.
     """
-    scene = make(hosts=8, manual=True)
+    scene = make_scene(hosts=8, manual=True)
     scene.group.tells_silence = False
     name = "h7"
     assert scene.world.hosts[name].system(Liveness).steward_rank(scene.row(name)) > 3
@@ -92,17 +99,17 @@
     scene.world.run_till(lambda: scene.row(name).primary == "", limit)
 
 
-def test_stall_ends_with_the_waits_for_it():
-    scene = make()
+def test_stall_ends_with_the_waits():
+    scene = make_scene()
     liveness, row = scene.host.system(Liveness), scene.row()
     for name in "bc":
         scene.group.pause(name)
     for _ in range(2):
         waiter: list = []
-        place = write(scene, "a")
+        position = write(scene, "a")
         scene.host.do(
-            lambda place=place, waiter=waiter: waiter.append(
-                liveness.wait_for_majority(row, place, bool)
+            lambda position=position, waiter=waiter: waiter.append(
+                liveness.wait_for_majority(row, position, bool)
             )
         )
         assert not liveness.is_stalled(row)
@@ -114,11 +121,12 @@
 
 
 def test_isolated_primary_is_not_chosen_again():
-    """Symptom: a promotion every second, and each puts the same member back.
-    Sequence: the cut off primary goes on taking writes, so its log is the furthest.
-    Cause: its promise counted, though no member can follow it.
+    """A promotion every second chooses the same isolated member again.
+
+    The isolated primary still accepts writes, so its log is the furthest. Its promise
+    must not count, since no member can follow it.
     """
-    scene = make()
+    scene = make_scene()
     isolate(scene)
     for _ in range(5):
         write(scene, "a")
@@ -130,13 +138,13 @@
     assert scene.group.members["a"].received == scene.group.primary.received
 
 
-def test_isolated_primary_that_falls_silent_is_not_chosen_again_either():
-    """Symptom: as above, when the isolated primary is slow to answer just then.
-    Sequence: it is barred; the answer to the next question is late, to the promise
-    it is not.
-    Cause: without its answer the question was that of a crash, in which all promise.
+def test_isolated_primary_that_answers_late_is_not_chosen_again():
+    """A promotion every second chooses the same isolated member again.
+
+    The isolated primary is blocked. It answers the next probe late, but not the call to
+    promise. Without its answer, the round must not be evaluated like that of a crash.
     """
-    scene = make(hosts=1, between=0.012)
+    scene = make_scene(hosts=1, between=0.012)
     isolate(scene)
     write(scene, "a")
     scene.world.run_till(lambda: scene.row().primary == "")
@@ -145,11 +153,12 @@
 
 
 def test_all_members_are_asked_to_promise_after_a_crash():
-    """Symptom: writes are dropped by a promotion though a living member has them.
-    Sequence: e is ahead of b, c and d, and slow to answer the question as a crashes.
-    Cause: only who had confirmed the silence took part, as with an isolated primary.
+    """A promotion drops writes though a running member has them.
+
+    e is ahead of b, c and d, and answers the probe late when a crashes. Unlike with an
+    isolated primary, not only the members that confirmed the failure may promise.
     """
-    scene = make(members=5, hosts=1)
+    scene = make_scene(members=5, hosts=1)
     scene.links.isolate("a", "bcd")
     write(scene, "a")
     scene.world.run(0.05)
@@ -158,8 +167,8 @@
     assert run_till_primary(scene) == "e"
 
 
-def test_writes_are_not_sent_to_an_isolated_primary_meanwhile():
-    scene = make(manual=True)
+def test_writes_are_not_sent_to_an_isolated_primary():
+    scene = make_scene(manual=True)
     isolate(scene)
     scene.world.run(1.0)
     assert {scene.row(name).primary for name in scene.live} == {""}
@@ -171,13 +180,13 @@
     assert_nothing_promoted(scene)
 
 
-def test_barred_primary_that_is_the_farthest_member_returns():
-    """Symptom: a host holds all writes for good though a healthy primary leads.
-    Sequence: a primary is barred and heard again; the other members answer this
-    host's questions before the primary's answer can be there.
-    Cause: the round was over without the answer that it turned on.
+def test_blocked_primary_that_is_the_most_distant_member_returns():
+    """A host holds all writes though a healthy primary leads.
+
+    A blocked primary recovers. The other members answer this host's probes sooner than
+    the primary, and the round must wait for the primary's answer.
     """
-    scene = make(manual=True, between=0.012)
+    scene = make_scene(manual=True, between=0.012)
     scene.links.between[frozenset(("d1", "d2"))] = 0.0005
     isolate(scene)
     rows = [scene.row(name) for name in scene.live]
@@ -198,11 +207,12 @@
 
 @pytest.mark.parametrize("members", [3, 5])
 def test_one_cut_off_replica_promotes_nobody(members):
-    """Symptom: a healthy primary is replaced because one replica lost it.
-    Sequence: one replica's link to the primary is cut for a minute, with writes.
-    Cause: one member's word was enough.
+    """A healthy primary is replaced because one replica lost it.
+
+    The link of one replica to the primary is cut for a minute, with writes. The report
+    of one member must not be enough.
     """
-    scene = make(members=members)
+    scene = make_scene(members=members)
     scene.links.cut("a", "b")
     keep_writing(scene, 60.0)
     assert_nothing_promoted(scene)
@@ -210,11 +220,12 @@
 
 
 def test_replica_restarts_promote_nobody():
-    """Symptom: maintenance of the replicas, one by one, moves the primary.
-    Sequence: replicas stop and start again in turn, at times both.
-    Cause: a member that has not heard yet counted as one that hears no more.
+    """Maintenance of the replicas causes a failover.
+
+    Replicas stop and restart in turn, sometimes both at once. A restarted member that
+    has not received yet must not count as disconnected.
     """
-    scene = make()
+    scene = make_scene()
     for round_number in range(20):
         for name in ("b", "c") if round_number % 4 == 0 else ("b",):
             scene.group.crash(name, tell=True)
@@ -225,12 +236,13 @@
     assert_nothing_promoted(scene)
 
 
-def test_members_that_follow_another_are_no_evidence():
-    """Symptom: a second promotion right after one whose Follow was lost.
-    Sequence: of five members one lost the primary; two still follow an older one.
-    Cause: silence towards another primary counted as silence towards this one.
+def test_members_that_follow_another_primary_are_no_evidence():
+    """A second promotion follows one whose Follow call was lost.
+
+    Of five members, one lost the primary and two still follow an older one. Their
+    silence concerns another primary and must not count.
     """
-    scene = make(members=5)
+    scene = make_scene(members=5)
     scene.links.cut("a", "b")
     for name in "cd":
         scene.group.members[name].primary = "e"
@@ -239,7 +251,7 @@
 
 
 def test_idle_group_promotes_nobody():
-    scene = make(hosts=8)
+    scene = make_scene(hosts=8)
     scene.world.run(60.0)
     assert_nothing_promoted(scene)
     assert scene.counted("suspicions") == 0
@@ -247,19 +259,19 @@
 
 @pytest.mark.parametrize("pause", [0.3, 0.34, 0.38])
 @pytest.mark.parametrize("between", [0.001, 0.012])
-def test_primary_that_wakes_is_not_taken_for_an_isolated_one(pause, between):
-    """Symptom: a primary is replaced that paused for hardly the detection time.
-    Sequence: it stands still until the members' silence is told, wakes, answers
-    the question, and only then sends its next heartbeat.
-    Cause: silence from before its pause ended counted as a cut link.
+def test_primary_that_resumes_is_not_taken_for_isolated(pause, between):
+    """A primary is replaced after a pause of hardly the detection time.
+
+    It is paused until its members report silence, resumes, and answers the probe before
+    it sends its next heartbeat. The silence of the pause must not count as isolation.
     """
-    scene = make(between=between, hosts=2)
+    scene = make_scene(between=between, hosts=2)
     for _ in range(30):
         scene.group.pause("a")
         scene.world.run(pause)
         scene.group.resume("a")
         scene.world.poke(scene.group)
-        # The worst moment to ask: before its next heartbeat.
+        # Probe at the worst time, before the next heartbeat.
         for host in scene.world.hosts.values():
             host.do(host.system(Failover)._groups[KEY]._check_in, 0.0)
         scene.world.run(1.0 + scene.world.random.random())
@@ -268,7 +280,7 @@
 
 
 def test_slow_apply_promotes_nobody():
-    scene = make()
+    scene = make_scene()
     for name in ("b", "c"):
         scene.group.members[name].apply_lag = 3.0
     keep_writing(scene, 10.0)
@@ -280,12 +292,13 @@
 
 
 @pytest.mark.parametrize("writes", [False, True])
-def test_host_that_reaches_the_old_primary_alone_takes_no_writes(writes):
-    """Symptom: writes on one side of a partition end UNKNOWN at their deadlines.
-    Sequence: the primary's domain is cut off; its own host hears it well.
-    Cause: nobody asked whether a majority could be reached at all.
+def test_host_that_reaches_only_the_old_primary_sends_no_writes(writes):
+    """Writes on one side of a partition end UNKNOWN at their deadlines.
+
+    The primary's domain is cut off, and its own host still reaches the primary. The
+    host must check whether a majority is reachable.
     """
-    scene = make(between=0.012)
+    scene = make_scene(between=0.012)
     acknowledged: list = []
     write_through(scene, "h0", acknowledged)
     scene.world.run_till(lambda: acknowledged)
@@ -302,7 +315,7 @@
     assert cut_at < liveness.minority_since(row) <= scene.world.now
     run_till_primary(scene)
     scene.world.run(5.0)
-    # Reads go on from what the floor proves; a floor by majority is not to be had.
+    # Members that prove a floor still serve reads; no majority can provide a new floor.
     assert liveness.has_reached(row.endpoints["a:1"], acknowledged[0][0])
     floors: list[LogPosition | None] = []
     scene.host.do(liveness.look_up_floor, row, floors.append)
@@ -313,12 +326,13 @@
     assert liveness.minority_since(row) is None
 
 
-def test_primary_whose_replicas_are_down_gets_no_writes_until_one_is_back():
-    """Symptom: writes end UNKNOWN one by one while all replicas are down.
-    Sequence: both replicas of three members crash; one starts again.
-    Cause: writes went to a primary whose word no majority could back.
+def test_primary_without_replicas_gets_no_writes_until_one_returns():
+    """Writes end UNKNOWN one by one while all replicas are down.
+
+    Both replicas of three members crash, and one restarts. Meanwhile no majority can
+    hold a write of the primary.
     """
-    scene = make()
+    scene = make_scene()
     for name in ("b", "c"):
         scene.group.crash(name)
     wait_for_majority(scene, "h0")
@@ -329,14 +343,13 @@
     assert_nothing_promoted(scene)
 
 
-def test_lost_probes_make_no_minority_and_admit_nobody():
-    """Symptom: writes go to an isolated primary for a moment, again and again.
-    Sequence: it is barred; then the members' answers to probes are lost for a while,
-    their reports are not.
-    Cause: a round without answers counted as one that showed the contrary, or as one
-    that showed a partition.
+def test_lost_probes_neither_show_a_minority_nor_unblock_a_primary():
+    """Writes are sent to an isolated primary for a moment, again and again.
+
+    It is blocked; then the answers to probes are lost for a while, the reports are not.
+    A round without answers shows neither a healthy primary nor a partition.
     """
-    scene = make(manual=True, hosts=1)
+    scene = make_scene(manual=True, hosts=1)
     liveness, row = scene.host.system(Liveness), scene.row()
     isolate(scene)
     scene.world.run_till(lambda: row.primary == "")
--- a/tests/core/systems/test_liveness.py
+++ b/tests/core/systems/test_liveness.py
@@ -1,4 +1,4 @@
-"""Liveness against a fake group: reports, held positions, floors, the primary."""
+"""Liveness against a fake group: reports, majority positions, floors, the primary."""
 
 from __future__ import annotations
 
@@ -29,20 +29,22 @@
 
 
 def write(scene: Scene, count: int = 1) -> LogPosition:
-    """Append to the primary's log as a host that is not ours would."""
+    """Append to the primary's log as the connection of another host would."""
     primary = scene.group.primary
     for _ in range(count):
-        place = primary.append(Entry(primary.term, sql="insert"))
+        position = primary.append(Entry(primary.term, sql="insert"))
     scene.group._ship(primary)
     scene.group._changed(primary)
     scene.world.poke(scene.group)
-    return place
+    return position
 
 
-def wait_for_majority(scene: Scene, place: LogPosition) -> list[bool]:
+def wait_for_majority(scene: Scene, position: LogPosition) -> list[bool]:
     answers: list[bool] = []
     host = scene.host
-    host.do(host.system(Liveness).wait_for_majority, scene.row(), place, answers.append)
+    host.do(
+        host.system(Liveness).wait_for_majority, scene.row(), position, answers.append
+    )
     return answers
 
 
@@ -53,7 +55,7 @@
     return answers
 
 
-def test_primary_is_learnt_from_reports(scene):
+def test_primary_is_determined_from_reports(scene):
     scene.run_till_serving()
     row = scene.row()
     assert (row.term, row.primary_row.name) == (1, "a")
@@ -62,25 +64,26 @@
 
 def test_waiters_are_resolved_in_order_of_position(scene):
     scene.run_till_serving()
-    place = write(scene, 5)
+    position = write(scene, 5)
     order: list[int] = []
     host = scene.host
-    for position in (6, 3, 4):
+    for index in (6, 3, 4):
         host.do(
             host.system(Liveness).wait_for_majority,
             scene.row(),
-            LogPosition(1, position),
-            lambda held, position=position: order.append(position),
+            LogPosition(1, index),
+            lambda held, index=index: order.append(index),
         )
     scene.world.run_till(lambda: len(order) == 3)
     assert order == [3, 4, 6]
-    assert scene.row().held == place
+    assert scene.row().held == position
 
 
 def test_write_that_only_its_primary_has_is_not_held(scene):
-    """Symptom: an acknowledged write is gone after a promotion.
-    Sequence: the primary is cut off from its replicas and takes a write.
-    Cause: one member's position was taken for a majority's.
+    """An acknowledged write is missing after a promotion.
+
+    The primary is cut off from its replicas and accepts a write. The position of one
+    member must not count as that of a majority.
     """
     scene.run_till_serving()
     scene.links.isolate("a", ["b", "c"])
@@ -90,27 +93,28 @@
 
 
 def test_member_that_promised_a_higher_term_does_not_hold(scene):
-    """Symptom: an acknowledged write is missing at the next primary.
-    Sequence: b and c promise term 2; reports of theirs still show the log of term 1.
-    Cause: a member's position counted though it may elect a primary without it.
+    """An acknowledged write is missing on the next primary.
+
+    b and c promise term 2 while their reports still show the log of term 1. They may
+    elect a primary without the write, so their positions must not count.
     """
     scene.run_till_serving()
     scene.links.isolate("a", ["b", "c"])
-    place = write(scene)
+    position = write(scene)
     for name in "bc":
         member = scene.group.members[name]
         member.log = list(scene.group.members["a"].log)
         member.promise(PromiseCall(2, "someone"))
-    answers = wait_for_majority(scene, place)
+    answers = wait_for_majority(scene, position)
     scene.world.run(3.0)
     assert True not in answers
 
 
 def test_entry_of_an_older_term_on_a_majority_is_not_held(scene):
-    """Symptom: an acknowledged write is overwritten (Raft's figure 8).
-    Sequence: b is primary of term 2 and copies an entry of term 1 to a majority
-    before its own first entry is anywhere else.
-    Cause: positions were compared without the term of the log's end.
+    """An acknowledged write is overwritten (figure 8 of the Raft paper).
+
+    b, the primary of term 2, copies an entry of term 1 to a majority before any other
+    member has its own first entry. The term at the end of a log must count.
     """
     scene.run_till_serving()
     for name in "abc":
@@ -127,7 +131,7 @@
     assert scene.row().held == LogPosition(2, 0)
 
 
-def test_waiters_of_a_term_that_is_over_are_told(scene):
+def test_waiters_of_an_ended_term_are_resolved(scene):
     scene.run_till_serving()
     scene.links.isolate("a", ["b", "c"])
     answers = wait_for_majority(scene, write(scene))
@@ -137,9 +141,10 @@
 
 
 def test_primary_whose_term_is_over_does_not_return(scene):
-    """Symptom: writes go to a primary that can get none of them acknowledged.
-    Sequence: a majority promised term 2; the primary, cut off, still reports.
-    Cause: its report alone put it back.
+    """Writes are sent to a primary that can't get any of them acknowledged.
+
+    A majority has promised term 2; the primary is cut off and still reports. Its report
+    alone must not make it the primary again.
     """
     scene.run_till_serving()
     scene.links.isolate("a", ["b", "c"])
@@ -153,9 +158,10 @@
 
 
 def test_primary_of_an_older_term_does_not_return(scene):
-    """Symptom: writes go to a primary that was replaced.
-    Sequence: its successor is lost; the old one, cut off, still reports as primary.
-    Cause: any member that calls itself primary was taken for one.
+    """Writes are sent to a primary that was replaced.
+
+    The new primary is lost; the old one, which was cut off, still reports as a primary.
+    A primary of an older term must not be accepted.
     """
     scene.run_till_serving()
     scene.links.isolate("a", ["b", "c"])
@@ -170,7 +176,7 @@
 
 
 def promote(scene: Scene, name: str, term: int) -> None:
-    """Promote a member as a steward that is not ours would."""
+    """Promote a member as the steward on another host would."""
     for other in scene.group.members.values():
         if other.name != "a":
             other.promise(PromiseCall(term, "x"))
@@ -179,34 +185,35 @@
     scene.world.poke(scene.group)
 
 
-def test_learnt_floor_covers_what_was_acknowledged_before(scene):
+def test_floor_covers_earlier_acknowledged_writes(scene):
     scene.run_till_serving()
-    place = write(scene)
+    position = write(scene)
     scene.world.run(0.1)
     answers = look_up_floor(scene)
     scene.world.run_till(lambda: answers)
-    assert answers[0] >= place
+    assert answers[0] >= position
 
 
 def test_floor_is_not_taken_from_probes_in_flight(scene):
-    """Symptom: a session without token misses its own write.
-    Sequence: a round of probes is answered; the write is acknowledged elsewhere;
-    a session asks for a floor before the answers are here.
-    Cause: a coalesced asker was given the round that was under way.
+    """A session without a token does not see its own write.
+
+    A round of probes is answered, the write is acknowledged elsewhere, and a session
+    asks for a floor before the answers arrive. It must not get the floor of that round.
     """
     scene.run_till_serving()
     first = look_up_floor(scene)
-    scene.world.run(0.0011)  # the probes are there, their answers under way
-    place = write(scene)
+    scene.world.run(0.0011)  # the probes have arrived, their answers have not
+    position = write(scene)
     second = look_up_floor(scene)
     scene.world.run_till(lambda: first and second)
-    assert first[0] < place <= second[0]
+    assert first[0] < position <= second[0]
+
 
+def test_floor_needs_a_majority(scene):
+    """A read on the minority side of a partition misses the newest writes.
 
-def test_floor_is_not_learnt_from_a_minority(scene):
-    """Symptom: a read behind a partition misses the newest writes.
-    Sequence: this host reaches one member of three, which is cut off and behind.
-    Cause: a floor was learnt from fewer than a majority.
+    This host reaches only one of three members, which is cut off and lags. Its position
+    alone must not become a floor.
     """
     scene.run_till_serving()
     scene.links.isolate("h0", ["a", "b"])
@@ -216,39 +223,41 @@
 
 
 def test_floor_with_all_replies_is_what_a_majority_holds(scene):
-    """Symptom: replicas serve no read of an accepted age while a primary is cut off.
-    Sequence: it is cut off from its replicas and takes a write nobody acknowledges.
-    Cause: a floor was the highest reply though all members had answered.
+    """Replicas serve no reads of an accepted age while the primary is isolated.
+
+    The primary accepts a write that is never acknowledged. If all members have
+    answered, the floor must not be the highest reply.
     """
     scene.run_till_serving()
     scene.links.isolate("a", ["b", "c"])
-    place = write(scene)
+    position = write(scene)
     answers = look_up_floor(scene)
     scene.world.run(0.1)
-    assert answers and scene.row().floors[-1].position < place
+    assert answers and scene.row().floors[-1].position < position
+
 
+def test_replica_wait_is_predicted_from_the_average_lag(scene):
+    """Reads wait for a replica that applies nothing, or never wait for a quick one.
 
-def test_reach_is_predicted_from_a_members_usual_lag(scene):
-    """Symptom: reads wait for a replica that stands still, or never for a quick one.
-    Sequence: b applies 50 ms late, for long; then it stops applying.
-    Cause: the wait was guessed from the number of entries that are missing.
+    b applies 50 ms late for some time, then stops applying. The predicted wait must
+    follow the member's lag, not the number of entries that it lacks.
     """
     scene.run_till_serving()
     liveness, row = scene.host.system(Liveness), scene.row()
     replica = scene.group.members["b"]
     replica.apply_lag = 0.05
     for _ in range(60):
-        place = write(scene)
-        wait_for_majority(scene, place)
+        position = write(scene)
+        wait_for_majority(scene, position)
         scene.world.run(0.1)
     replica.apply_lag = 1000.0
-    place = write(scene)
+    position = write(scene)
     scene.world.run(0.02)
     b = row.endpoints["b:1"]
-    assert 0.01 < liveness.predicted_replica_wait(b, place) < 0.06
+    assert 0.01 < liveness.predicted_replica_wait(b, position) < 0.06
     scene.world.run(1.0)
-    assert liveness.predicted_replica_wait(b, place) > 0.5
-    assert liveness.predicted_replica_wait(row.primary_row, place) == 0.0
+    assert liveness.predicted_replica_wait(b, position) > 0.5
+    assert liveness.predicted_replica_wait(row.primary_row, position) == 0.0
 
 
 def test_age_floor_is_at_or_above_what_was_acknowledged(scene):
@@ -265,45 +274,47 @@
         scene.host.do(ask)
         scene.world.run(0.1)
     known = [(at, floor) for at, floor in floors if floor is not None]
-    assert known[-1][1] > ages_ago(acknowledged, known[-1][0] - 2.0)
+    assert known[-1][1] > newest_acknowledged(acknowledged, known[-1][0] - 2.0)
     for at, floor in known:
-        assert floor >= ages_ago(acknowledged, at - 1.0)
+        assert floor >= newest_acknowledged(acknowledged, at - 1.0)
     assert len(row.floors) <= 13
 
 
-def ages_ago(acknowledged: list, at: float) -> LogPosition:
-    before = [place for when, place in acknowledged if when + 0.002 <= at]
+def newest_acknowledged(acknowledged: list, at: float) -> LogPosition:
+    before = [position for when, position in acknowledged if when + 0.002 <= at]
     return max(before, default=LogPosition(1, 1))
 
 
 def test_floor_above_the_start_of_a_later_term_is_lost(scene):
-    """Symptom: a session that saw data which is gone reads on as if nothing was.
-    Sequence: it read position 3 of term 1 on a primary cut off; term 2 starts at 2.
-    Cause: positions were compared across terms by number.
+    """A session that saw dropped data goes on reading as if nothing was dropped.
+
+    It read position 3 of term 1 on an isolated primary; term 2 starts at 2. Positions
+    of different terms must not be compared by number.
     """
     scene.run_till_serving()
     scene.links.isolate("a", ["b", "c"])
-    place = write(scene, 2)
+    position = write(scene, 2)
     promote(scene, "b", 2)
     scene.world.run_till(lambda: scene.row().term == 2)
     for _ in range(5):
         write(scene)
     scene.world.run(3.0)
     liveness, row = scene.host.system(Liveness), scene.row()
-    assert liveness.is_floor_lost(row, place)
-    assert not liveness.has_reached(row.primary_row, place)
+    assert liveness.is_floor_lost(row, position)
+    assert not liveness.has_reached(row.primary_row, position)
     assert liveness.has_reached(row.primary_row, LogPosition(1, 1))
 
 
 def test_floor_that_a_term_never_seen_dropped_is_lost(scene):
-    """Symptom: a session that saw data which is gone reads on as if nothing was.
-    Sequence: it read positions of term 1 on a primary cut off; term 2 starts below
-    them while this host is cut off too; term 3 starts above them.
-    Cause: only the start of the newest term was known.
+    """A session that saw dropped data goes on reading as if nothing was dropped.
+
+    It read positions of term 1 on an isolated primary. Term 2 starts below them while
+    this host is cut off too, and term 3 starts above them. All terms of the log must
+    count.
     """
     scene.run_till_serving()
     scene.links.isolate("a", ["b", "c"])
-    place = write(scene, 2)
+    position = write(scene, 2)
     scene.world.run(0.1)
     scene.links.isolate("h0", ["a", "b", "c"])
     promote(scene, "b", 2)
@@ -314,38 +325,40 @@
     scene.links.heal()
     scene.world.run_till(lambda: scene.row().term == 3, 10.0)
     liveness, row = scene.host.system(Liveness), scene.row()
-    assert row.primary_row.report.term_start > place.position
-    assert liveness.is_floor_lost(row, place)
-    assert not liveness.has_reached(row.primary_row, place)
+    assert row.primary_row.report.term_start > position.position
+    assert liveness.is_floor_lost(row, position)
+    assert not liveness.has_reached(row.primary_row, position)
     assert not liveness.is_floor_lost(row, LogPosition(1, 1))
 
 
 def test_age_floor_holds_no_entry_that_a_promotion_dropped(scene):
-    """Symptom: reads of an accepted age find no member until the age has passed.
-    Sequence: the primary, cut off from c, takes entries that b has not got either
-    when two members answer a round; then b is promoted without them.
-    Cause: a recorded floor was above what any log reaches from then on.
+    """Reads of an accepted age find no member until that time has passed.
+
+    The primary is cut off from the others and accepts entries. A round gets answers
+    from the primary and b, then b is promoted without those entries, so no log reaches
+    the recorded floor any more.
     """
     scene.run_till_serving()
     scene.links.isolate("a", ["b", "c"])
     scene.links.cut("h0", "c")
-    place = write(scene, 5)
+    position = write(scene, 5)
     assert (answers := look_up_floor(scene)) is not None
     scene.world.run_till(lambda: answers)
-    assert answers == [place]
+    assert answers == [position]
     promote(scene, "b", 2)
     scene.world.run_till(lambda: scene.row().term == 2)
     floors: list = []
     liveness, row = scene.host.system(Liveness), scene.row()
     scene.host.do(lambda: floors.append(liveness.age_floor(row, 60.0)))
     assert liveness.has_reached(row.primary_row, floors[0])
-    assert not liveness.has_reached(row.primary_row, place)
+    assert not liveness.has_reached(row.primary_row, position)
+
 
+def test_silent_stream_is_replaced(scene):
+    """A healthy endpoint counts as silent as long as its stream stays open.
 
-def test_stream_that_fell_silent_is_replaced(scene):
-    """Symptom: a healthy endpoint counts as silent for good.
-    Sequence: something on the way loses track of the open control stream.
-    Cause: no fresh stream was tried beside the one that is open.
+    A middlebox drops the state of the open control stream. A second stream must be
+    opened.
     """
     scene.run_till_serving()
     scene.group.silence("a")
@@ -358,9 +371,10 @@
 
 
 def test_late_reply_of_a_replaced_stream_is_dropped(scene):
-    """Symptom: what a host knows of a member goes back in time.
-    Sequence: a stream is replaced; a report that it held up comes afterwards.
-    Cause: any stream's report was taken for the newest.
+    """What a host knows of a member goes back in time.
+
+    A stream is replaced, and a report that was delayed on the old one arrives
+    afterwards. Only reports of the current stream must count.
     """
     scene.run_till_serving()
     report = replace(scene.row().primary_row.report, term=9)
@@ -370,9 +384,10 @@
 
 
 def test_own_pause_is_not_taken_for_silence(scene):
-    """Symptom: a host that was stopped suspects every primary when it goes on.
-    Sequence: it stands still for 5 s; its timers run before the reports are read.
-    Cause: its own pause counted as the endpoints' silence.
+    """A host that was suspended suspects every primary when it resumes.
+
+    It is paused for 5 s, and its timers run before the reports are read. Its own pause
+    must not count as silence of the endpoints.
     """
     scene.run_till_serving()
     address = scene.row().primary
@@ -403,6 +418,6 @@
     traffic = scene.host.system(Liveness).traffic
     before = traffic.calls, traffic.replies
     scene.world.run(60.0)
-    # The primary each 100 ms, as a steward's host; two replicas each 2 s.
+    # The primary reports every 100 ms, as a steward runs here; two replicas every 2 s.
     assert traffic.replies - before[1] <= 600 + 2 * 31
     assert traffic.calls == before[0]
