--- a/mallowpass/core/systems/groupview.py
+++ b/mallowpass/core/systems/groupview.py
@@ -181,7 +181,7 @@
     # -- Lag -----------------------------------------------------------------
 
     def record_received(self, now: float, received: LogPosition) -> None:
-        """Record the time at which some member had first received a position."""
+        """Record when a position was first seen as received by some member."""
         if self.received_samples and received <= self.received_samples[-1][1]:
             return
         if (
@@ -208,8 +208,9 @@
     ) -> float | None:
         """Return in how many seconds a member should have applied a position.
 
-        A member that is later than its average is expected to need as long again as
-        it is late. So a member that applies nothing soon gets no more waiting reads.
+        If the member has already taken longer than its average lag, it is expected to
+        need as long again. So reads soon stop waiting for a member that applies
+        nothing.
         """
         member = self.members.get(endpoint.address)
         if member is None or endpoint.report is None:
--- a/mallowpass/core/systems/hosts.py
+++ b/mallowpass/core/systems/hosts.py
@@ -57,8 +57,8 @@
 
     __slots__ = (
         "_buckets",
-        "_gone_since",
         "_digest",
+        "_gone_since",
         "_host_hashes",
         "_live",
         "_node",
--- a/mallowpass/core/systems/liveness.py
+++ b/mallowpass/core/systems/liveness.py
@@ -298,7 +298,7 @@
             return
         view.record_received(self.now, reply.applied)
         if view.count_answer(endpoint.address, reply.term, reply.applied):
-            self._primaries.advance_held(view)
+            self._primaries.advance_majority_position(view)
 
     def _on_control_reply(self, endpoint: EndpointRow, reply: ControlReply) -> None:
         view = self._views.get(endpoint.database)
@@ -316,7 +316,7 @@
         view.note_applied(self.now, endpoint.address, report.applied)
         self._primaries.note_role(view, endpoint, report)
         if view.count_holder(endpoint.address, report):
-            self._primaries.advance_held(view)
+            self._primaries.advance_majority_position(view)
         self._node.publish(EndpointReported(endpoint.address))
 
     def mark_primary_lost(self, database: DatabaseRow, why: str) -> None:
--- a/mallowpass/core/systems/primaries.py
+++ b/mallowpass/core/systems/primaries.py
@@ -36,12 +36,12 @@
         elif row.primary and self._is_over(row):
             self.mark_lost(view, "a majority promised a higher term")
 
-    def advance_held(self, view: GroupView) -> None:
+    def advance_majority_position(self, view: GroupView) -> None:
         """Advance the position that a majority holds, and resolve the waiters below."""
-        held = view.compute_majority_position()
-        if held <= view.row.held:
+        position = view.compute_majority_position()
+        if position <= view.row.held:
             return
-        view.row.held = held
+        view.row.held = position
         view.is_stalled = False
         view.resolve_waiters()
         self._node.publish(HeldAdvanced(view.row.key))
@@ -113,7 +113,7 @@
         view.begin_term(now)
         self._publish(view, f"{endpoint.name} leads term {report.term}")
         view.resolve_waiters()
-        self.advance_held(view)
+        self.advance_majority_position(view)
 
     def _publish(self, view: GroupView, why: str) -> None:
         self._node.decide("primary", view.row.key, why)
--- a/mallowpass/core/systems/promotion.py
+++ b/mallowpass/core/systems/promotion.py
@@ -59,7 +59,8 @@
 class PromotionResult:
     """Describe how an attempt ended.
 
-    If `ok`, `member` was promoted; `as_ordered` if no other member had been ordered.
+    If `ok`, `member` was promoted. `as_ordered` is false if an order had named another
+    member.
     """
 
     ok: bool
@@ -80,11 +81,11 @@
     __slots__ = (
         "_among",
         "_callback",
-        "_old_log_end",
         "_failed",
         "_grants",
         "_liveness",
         "_node",
+        "_old_log_end",
         "_phase",
         "_row",
         "_target",
@@ -124,7 +125,7 @@
         self._phase = _Phase.PROMISE
         self._old_log_end = ZERO_POSITION  # once the old primary has stopped
         self._grants: dict[str, Report] = {}  # reports with promises, by address
-        self._failed: set[str] = set()
+        self._failed: set[str] = set()  # addresses that refused or did not answer
         self._tries_left: dict[str, int] = {}
         self._timer: Timer | None = None
 
@@ -134,7 +135,7 @@
         return self._phase is _Phase.PROMOTE
 
     def begin(self) -> None:
-        """Begin with the old primary for a switchover, else with promises."""
+        """Begin: a switchover stops the old primary before it asks for promises."""
         if self._target and self.old_primary:
             self._catch_up()
         else:
@@ -288,7 +289,9 @@
             elif self._timer is None:
                 self._wait(GRACE_TIME, self._choose)
         elif members - len(self._failed) < majority:
-            self.finish(False, f"{self._name}: no majority of promises")
+            self.finish(
+                False, f"{self._name}: fewer than {majority} of {members} promised"
+            )
 
     @property
     def _awaited(self) -> list[str]:
@@ -353,7 +356,9 @@
             self.finish(False, f"{self._name}: {self.chosen.name} did not answer")
         elif reply.code is not EndpointCode.OK:
             self._refused(address, reply)
-            self.finish(False, f"{self._name}: refused ({reply.message})")
+            self.finish(
+                False, f"{self._name}: {self.chosen.name} refused ({reply.message})"
+            )
         else:
             self.succeed()
 
--- a/mallowpass/core/systems/suspicion.py
+++ b/mallowpass/core/systems/suspicion.py
@@ -211,10 +211,10 @@
         return report.term == self._row.term
 
     def _disconnected(self, margin: float) -> frozenset[str]:
-        """Return the followers that have not received from the suspect long enough.
+        """Return the followers whose silence is at least the threshold less `margin`.
 
         A member that follows no primary is left out: it may receive from the suspect
-        as soon as a Follow call names it.
+        as soon as a Follow call names the suspect.
         """
         suspect = self._row.endpoints.get(self._suspect)
         if suspect is None:
@@ -238,6 +238,7 @@
         )
 
     def _confirms(self, address: str, report: Report) -> bool:
+        """Return whether a member's report confirms that the suspect does not lead."""
         if report.role is Role.PRIMARY:
             return report.term < self._row.term
         if address == self._suspect or self._is_detached(report):
@@ -259,9 +260,9 @@
         """Return the address of the primary that a member follows, empty if unknown.
 
         A host that started after the primary failed knows no suspect, and a member that
-        restarted since has received from no primary. The primary's name that the member
-        has kept is then the only evidence of which member to look at: without it, the
-        group would never get a primary.
+        restarted since has received from no primary. The member has kept the name of
+        its primary. Without this name, neither the host nor the member could confirm
+        the failure, and the group would never get a primary.
         """
         for address, endpoint in self._row.endpoints.items():
             if endpoint.name == report.primary:
@@ -304,7 +305,7 @@
             report = self._reports.get(address)
             parts.append(f"{endpoint.name}: {_describe(report)}")
         own = self._liveness.time_since_reply(self._suspect) if self._suspect else 0.0
-        return f"no reply to this host for {own:.3f}s; " + ", ".join(parts)
+        return f"silence towards this host {own:.3f}s; " + ", ".join(parts)
 
 
 def _describe(report: Report | None) -> str:
