--- a/mallowpass/core/systems/busychecks.py
+++ b/mallowpass/core/systems/busychecks.py
@@ -121,7 +121,8 @@
         self, pool: EndpointPool, connection: ConnectionRow, proof: Proof
     ) -> None:
         now = self.now
-        # After a pause of this host, the endpoint may have closed the connection.
+        # After a pause of this host, the endpoint may have closed the connection, so a
+        # connection that has expired is not extended.
         if connection.expires <= now:
             return
         expires = self._pooling.expiry(pool, connection, now)
--- a/mallowpass/core/systems/failover.py
+++ b/mallowpass/core/systems/failover.py
@@ -57,9 +57,10 @@
     # -- For other systems ---------------------------------------------------
 
     def probe_primary(self, address: str, why: str) -> None:
-        """Probe an endpoint on a new stream if it is a primary that may have failed.
+        """Probe a primary on a second stream, unless it has just replied.
 
-        The request path calls this when a connection to the endpoint fails.
+        The request path calls this when a connection to an endpoint fails. Endpoints
+        that are not a primary are ignored.
         """
         group = self._group_of(address)
         if group is None or address != group.row.primary:
--- a/mallowpass/core/systems/liveness.py
+++ b/mallowpass/core/systems/liveness.py
@@ -291,7 +291,7 @@
         """Count a member's answer on a connection like one of its reports.
 
         The answer to a write carries the primary's own position, so no further round
-        trip is needed to learn it.
+        trip is needed to get the position.
         """
         view = self._views.get(endpoint.database)
         if view is None or reply.code is not EndpointCode.OK:
@@ -311,7 +311,7 @@
         endpoint.report = report
         endpoint.report_at = self.now
         endpoint.misses = 0
-        view.history.learn(report)
+        view.history.add(report)
         view.record_received(self.now, report.received)
         view.note_applied(self.now, endpoint.address, report.applied)
         self._primaries.note_role(view, endpoint, report)
--- a/mallowpass/core/systems/stewards.py
+++ b/mallowpass/core/systems/stewards.py
@@ -49,8 +49,8 @@
     """Return this host's rank among a group's stewards, 0 first.
 
     The first hosts of all failure domains rank before the second ones. The domain of
-    the primary comes last: if that domain is cut off, its hosts are cut off with the
-    primary, and the stewards after them would first wait for theirs to act.
+    the primary comes last: if that domain is cut off, its hosts are cut off together
+    with the primary, and stewards of higher rank would wait for these hosts in vain.
     """
     if peers is None:
         return 0
--- a/mallowpass/core/systems/termhistory.py
+++ b/mallowpass/core/systems/termhistory.py
@@ -27,7 +27,7 @@
         # a term has only one primary.
         self._older: dict[int, tuple[LogPosition, ...]] = {}
 
-    def learn(self, report: Report) -> None:
+    def add(self, report: Report) -> None:
         """Record the terms of a member's log."""
         term = report.received.term
         if report.term_start and term not in self._starts:
--- a/tests/core/systems/test_failover.py
+++ b/tests/core/systems/test_failover.py
@@ -341,9 +341,9 @@
     node = scene.world.hosts[steward(scene)].node
     scene.group.crash("a")
     run_till_primary(scene)
-    doubts = [entry for entry in node.journal if entry.kind == "suspicion"]
-    assert doubts[1].text.startswith("heard")
-    assert doubts[1].at - doubts[0].at < 0.03
+    suspicions = [entry for entry in node.journal if entry.kind == "suspicion"]
+    assert suspicions[1].text.startswith("heard")
+    assert suspicions[1].at - suspicions[0].at < 0.03
 
 
 # -- Several stewards --------------------------------------------------------
@@ -557,12 +557,12 @@
     scene.group._changed(member)
     scene.world.poke(scene.group)
     scene.world.run_till(lambda: member.primary == "a", 20.0)
-    told = [
+    senders = [
         host.name
         for host in scene.world.hosts.values()
         if any(entry.kind == "follow" for entry in host.node.journal)
     ]
-    assert told == [steward(scene)]
+    assert senders == [steward(scene)]
 
 
 def test_member_stranded_in_a_higher_term_is_freed():
