--- a/mallowpass/core/systems/admission.py
+++ b/mallowpass/core/systems/admission.py
@@ -45,13 +45,13 @@
 
     def refuse_at(self, pool: EndpointPool, request: RequestRow) -> Refusal | None:
         """Refuse a request that has to wait at an endpoint, and can't."""
-        if pool.endpoint.leaving:
+        if pool.endpoint.is_leaving:
             why = f"{pool.address} is leaving"
             return self._refusal(request, ErrorCode.ENDPOINT_REFUSED, why, 0.0)
         refusal = self._refuse_full(request)
         if refusal is not None:
             return refusal
-        wait = self.wait_at(pool, request.request_class)
+        wait = self.predicted_pool_wait(pool, request.request_class)
         return self._refuse_late(request, wait, pool.address)
 
     def predicted_wait(self, database_key: str, class_name: str) -> float:
@@ -60,19 +60,19 @@
         if database is None:
             return 0.0
         waits = (
-            0.0 if pool is None else self.wait_at(pool, class_name)
-            for pool in map(self._pooling.known_pool, database.endpoints)
+            0.0 if pool is None else self.predicted_pool_wait(pool, class_name)
+            for pool in map(self._pooling.find_pool, database.endpoints)
         )
         return min(waits, default=0.0)
 
-    def wait_at(self, pool: EndpointPool, class_name: str) -> float:
+    def predicted_pool_wait(self, pool: EndpointPool, class_name: str) -> float:
         """Return how long a new request of a class would wait, in seconds."""
-        ahead = pool.queue.ahead(class_name)
-        room = self._pooling.opener.room(pool)
+        ahead = pool.queue.requests_ahead(class_name)
+        room = self._pooling.opener.openable_count(pool)
         if ahead < self._free(pool, room) or not (ahead or pool.connections):
             return 0.0
         servers = min(len(pool.connections) + room, pool.statement_limit)
-        return (ahead + 1) * pool.hold / max(1, servers)
+        return (ahead + 1) * pool.average_hold_time / max(1, servers)
 
     @staticmethod
     def _free(pool: EndpointPool, room: int) -> int:
@@ -83,7 +83,7 @@
         """
         idle = len(pool.idle) + len(pool.idle_borrowed)
         free = idle + len(pool.opening) + room
-        return min(free, pool.statement_limit - pool.active)
+        return min(free, pool.statement_limit - pool.active_count)
 
     def _refuse_full(self, request: RequestRow) -> Refusal | None:
         database = self.tables.databases.get(request.database)
@@ -92,7 +92,7 @@
         row = self.tables.services.get(database.service)
         service = row.service if row is not None else None
         limit = service.queue_length if service is not None else DEFAULT_QUEUE_LENGTH
-        if self._pooling.waiting_for_service(database.service) < limit:
+        if self._pooling.queued_count_of_service(database.service) < limit:
             return None
         # Half the queue has to be served before a place is likely to be free.
         wait = self.predicted_wait(request.database, request.request_class) / 2
@@ -102,7 +102,7 @@
     def _refuse_late(
         self, request: RequestRow, wait: float, where: str
     ) -> Refusal | None:
-        remaining = request.expires - self.now
+        remaining = request.expires_at - self.now
         if wait < remaining:
             return None
         why = f"{wait:.3f}s to wait at {where}, {remaining:.3f}s left"
@@ -116,5 +116,5 @@
         spread = 1.0 + RETRY_SPREAD * self._node.random.random()
         retry_after = max(RETRY_AFTER_MIN, wait) * spread
         self._node.count("turned_away", reason=code.name.lower())
-        self._node.decide("refusal", request.database, f"{code.code} {why}")
+        self._node.record_decision("refusal", request.database, f"{code.code} {why}")
         return Refusal(code.code, why, retry_after)
--- a/mallowpass/core/systems/busychecks.py
+++ b/mallowpass/core/systems/busychecks.py
@@ -8,7 +8,7 @@
 
 from mallowpass.core.calls import EndpointReply, KeepAliveCall
 from mallowpass.core.effects import SendEndpoint
-from mallowpass.core.systems.connections import EndpointPool, Proof
+from mallowpass.core.systems.connections import BusyKeepAlive, EndpointPool
 from mallowpass.core.systems.poolpart import PoolPart
 from mallowpass.core.tables import ConnectionRow
 
@@ -26,7 +26,7 @@
 
     # -- For the request path --------------------------------------------------
 
-    def answers(self, connection: ConnectionRow, within: float) -> bool:
+    def is_responsive(self, connection: ConnectionRow, within: float) -> bool:
         """Return whether a busy connection answers; send a keep-alive if necessary.
 
         Return False if a keep-alive is unanswered for `within` seconds. If the endpoint
@@ -37,12 +37,12 @@
         if not self._is_supported(pool):
             return self._is_patient(pool, connection)
         number = connection.number
-        if number not in pool.answering:
+        if number not in pool.in_flight:
             return True
         proof = self._proof(pool, number)
-        if not proof.outstanding and proof.asked_at + RECHECK_INTERVAL <= self.now:
+        if not proof.is_outstanding and proof.asked_at + RECHECK_INTERVAL <= self.now:
             self._send(pool, connection, proof)
-        return not proof.outstanding or self.now < proof.asked_at + within
+        return not proof.is_outstanding or self.now < proof.asked_at + within
 
     # -- When a call is not answered -------------------------------------------
 
@@ -51,50 +51,50 @@
         connection = self._connections.get(number)
         if connection is None:
             return
-        pool.answering.add(number)  # the call is still in flight
-        if number in pool.late:
+        pool.in_flight.add(number)  # the call is still in flight
+        if number in pool.overdue:
             return
-        pool.late.add(number)
+        pool.overdue.add(number)
         proof = self._proof(pool, number)
-        if self._is_supported(pool) and not proof.outstanding:
+        if self._is_supported(pool) and not proof.is_outstanding:
             self._send(pool, connection, proof)
 
     def on_still_overdue(self, pool: EndpointPool, number: int) -> None:
         """Close a connection that did not answer within the other half either."""
         connection = self._connections.get(number)
-        if connection is None or number not in pool.answering:
+        if connection is None or number not in pool.in_flight:
             return
         if not self._is_supported(pool) and self._is_patient(pool, connection):
             return
         if self._proof(pool, number).answered:
             # No request waits for the statement any more, and only closing the
             # connection can end it.
-            self._pooling.closing.lose(pool, connection, "given-up")
-            self._pooling.granting.pump(pool)
+            self._pooling.closer.close_and_notify(pool, connection, "given-up")
+            self._pooling.granting.dispatch(pool)
         else:
-            self._pooling.keepalive.went_silent(pool, number)
+            self._pooling.keepalive.close_silent(pool, number)
 
     def on_reply(
         self, pool: EndpointPool, connection: ConnectionRow, reply: EndpointReply
     ) -> None:
         """Process the answer to a keep-alive on a busy connection."""
         number = connection.number
-        proof = pool.proofs.get(number)
+        proof = pool.busy_keep_alives.get(number)
         if proof is None or proof.sequence != reply.sequence:
-            self._pooling.drop("late-keep-alive")
+            self._pooling.count_dropped_reply("late-keep-alive")
             return
         proof.answered = True
         if connection.request or connection.transaction:
-            pool.late.remove(number)
+            pool.overdue.remove(number)
         else:
             # The request was given up. That the connection answers is no reason to
             # wait for its statement.
-            pool.checking.remove(number)
+            pool.internal_in_flight.remove(number)
 
     def discard(self, pool: EndpointPool, number: int) -> None:
         """Discard the state of a call that was answered or whose connection closed."""
-        pool.proofs.pop(number, None)
-        pool.late.remove(number)
+        pool.busy_keep_alives.pop(number, None)
+        pool.overdue.remove(number)
 
     # -- Borrowed connections --------------------------------------------------
 
@@ -104,42 +104,42 @@
             return
         for loan in pool.borrowed.values():
             for number in loan.numbers:
-                if number in pool.answering:
+                if number in pool.in_flight:
                     self._extend(pool, self._connections[number])
 
     def _extend(self, pool: EndpointPool, connection: ConnectionRow) -> None:
-        life = self._pooling.loans.life(connection.loan)
-        called_at = connection.expires - life
+        life = self._pooling.loans.usable_time(connection.loan)
+        called_at = connection.expires_at - life
         proof = self._proof(pool, connection.number)
         is_due = called_at + life / CHECKS_PER_LIFE <= self.now
-        if is_due and not proof.outstanding:
+        if is_due and not proof.is_outstanding:
             self._send(pool, connection, proof)
 
     # -- Keep-alives -----------------------------------------------------------
 
     def _send(
-        self, pool: EndpointPool, connection: ConnectionRow, proof: Proof
+        self, pool: EndpointPool, connection: ConnectionRow, proof: BusyKeepAlive
     ) -> None:
         now = self.now
         # After a pause of this host, the endpoint may have closed the connection, so a
         # connection that has expired is not extended.
-        if connection.expires <= now:
+        if connection.expires_at <= now:
             return
         expires = self._pooling.expiry(pool, connection, now)
         if expires <= now:
             return
-        connection.expires = expires
-        proof.sequence = FIRST_BUSY_SEQUENCE + self._node.number()
+        connection.expires_at = expires
+        proof.sequence = FIRST_BUSY_SEQUENCE + self._node.next_number()
         proof.asked_at = now
         proof.answered = False
         self._node.emit(
             SendEndpoint(connection.number, proof.sequence, KeepAliveCall())
         )
 
-    def _proof(self, pool: EndpointPool, number: int) -> Proof:
-        proof = pool.proofs.get(number)
+    def _proof(self, pool: EndpointPool, number: int) -> BusyKeepAlive:
+        proof = pool.busy_keep_alives.get(number)
         if proof is None:
-            proof = pool.proofs[number] = Proof()
+            proof = pool.busy_keep_alives[number] = BusyKeepAlive()
         return proof
 
     def _is_supported(self, pool: EndpointPool) -> bool:
@@ -148,4 +148,4 @@
 
     def _is_patient(self, pool: EndpointPool, connection: ConnectionRow) -> bool:
         request = self.tables.requests.get(connection.request)
-        return request is not None and request.request_class in pool.patient
+        return request is not None and request.request_class in pool.patient_classes
--- a/mallowpass/core/systems/failover.py
+++ b/mallowpass/core/systems/failover.py
@@ -11,7 +11,7 @@
     DatabaseRemoved,
     EndpointReported,
     EndpointStateChanged,
-    HeldStalled,
+    MajorityPositionStalled,
     PrimaryChanged,
 )
 from mallowpass.core.systems.groupfailover import GroupFailover, PromoteCallback
@@ -48,7 +48,7 @@
         self._node.subscribe(PrimaryChanged, self._on_primary_changed)
         self._node.subscribe(EndpointReported, self._on_reported)
         self._node.subscribe(EndpointStateChanged, self._on_state_changed)
-        self._node.subscribe(HeldStalled, self._on_stalled)
+        self._node.subscribe(MajorityPositionStalled, self._on_stalled)
 
     def use_membership(self, membership: Peers) -> None:
         """Take this host's ranks from the membership, and announce promotions by it."""
@@ -71,8 +71,8 @@
         ):
             return
         name = group.row.primary_row.name
-        self._node.decide("hint", group.row.key, f"{name}: {why}")
-        self._liveness.try_fresh(address)
+        self._node.record_decision("hint", group.row.key, f"{name}: {why}")
+        self._liveness.open_second_stream(address)
         timeout = self._node.tuning.promise_timeout
         self._liveness.control_call(address, ProbeCall(), _ignore, timeout)
 
@@ -83,7 +83,7 @@
         group = self._groups.get(database_key)
         problem = self._find_problem(group, database_key, member_name)
         if problem:
-            self._node.decide("refusal", database_key, problem)
+            self._node.record_decision("refusal", database_key, problem)
             callback(False, 0, problem)
             return
         row = group.row
@@ -91,7 +91,7 @@
         if primary is not None and primary.name == member_name:
             callback(True, row.term, f"{member_name} leads already")
             return
-        self._node.decide("order", database_key, f"promote {member_name}")
+        self._node.record_decision("order", database_key, f"promote {member_name}")
         group.begin(member_name, callback)
 
     @staticmethod
@@ -137,7 +137,7 @@
         if group is not None and endpoint.report is not None:
             group.on_report(endpoint, endpoint.report)
 
-    def _on_stalled(self, signal: HeldStalled) -> None:
+    def _on_stalled(self, signal: MajorityPositionStalled) -> None:
         group = self._groups.get(signal.database)
         if group is not None:
             group.check_isolation()
--- a/mallowpass/core/systems/followers.py
+++ b/mallowpass/core/systems/followerrepair.py
@@ -10,13 +10,13 @@
 from mallowpass.core.tables import DatabaseRow, EndpointRow
 from mallowpass.core.timers import Timer
 
-__all__ = ["Followers"]
+__all__ = ["FollowerRepair"]
 
 FOLLOW_DELAY = 0.2  # seconds; whoever promoted tells the members itself, at once
 FOLLOW_GAP = 0.5
 
 
-class Followers:
+class FollowerRepair:
     """Bring one group's members back behind its primary; the first steward does."""
 
     __slots__ = (
@@ -94,7 +94,7 @@
         self._told_at[endpoint.address] = now
         term = self._row.term
         text = f"{endpoint.name} is to follow {primary.name} in term {term}"
-        self._node.decide("follow", self._row.key, text)
+        self._node.record_decision("follow", self._row.key, text)
         call = FollowCall(term, primary.name, primary.address)
         timeout = self._node.tuning.promise_timeout
         self._liveness.control_call(endpoint.address, call, _ignore, timeout)
@@ -113,7 +113,7 @@
             return
         self._stranded_at.clear()
         text = f"{endpoint.name} is stranded in term {report.term}"
-        self._node.decide("renewal", self._row.key, text)
+        self._node.record_decision("renewal", self._row.key, text)
         self._renew()
 
 
--- a/mallowpass/core/systems/groupfailover.py
+++ b/mallowpass/core/systems/groupfailover.py
@@ -6,14 +6,14 @@
 
 from mallowpass.core.calls import Report
 from mallowpass.core.node import Node
-from mallowpass.core.systems.followers import Followers
+from mallowpass.core.systems.followerrepair import FollowerRepair
 from mallowpass.core.systems.isolation import Isolation
 from mallowpass.core.systems.liveness import Liveness
 from mallowpass.core.systems.promotion import Promotion, PromotionResult
+from mallowpass.core.systems.promotionturn import PromotionTurn
 from mallowpass.core.systems.suspicion import Confirmation, Finding, Verdict
 from mallowpass.core.systems.switchover import SwitchoverPlanner
-from mallowpass.core.systems.turns import Turn
-from mallowpass.core.systems.watching import silence_margin
+from mallowpass.core.systems.watchintervals import detection_margin
 from mallowpass.core.tables import DatabaseRow, EndpointRow, GroupState
 from mallowpass.core.timers import Timer
 
@@ -40,7 +40,7 @@
         "_confirmation",
         "_created_at",
         "_disconnected",
-        "_followers",
+        "_follower_repair",
         "_heard_rounds",
         "_highest_term",
         "_is_checking_isolation",
@@ -63,12 +63,12 @@
         self._node = node
         self._liveness = liveness
         self._announce = announce
-        self._followers = Followers(node, liveness, row, self._renew_term)
+        self._follower_repair = FollowerRepair(node, liveness, row, self._renew_term)
         self._switchover = SwitchoverPlanner(
             node, liveness, row, self._begin_switchover
         )
         self._isolation = Isolation(node, liveness, row)
-        self._turn = Turn(node, liveness, row)
+        self._turn = PromotionTurn(node, liveness, row)
         self._created_at = node.timers.now
         self._suspect = ""  # the newest primary's address, even if it was lost
         self._check_timer: Timer | None = None
@@ -87,7 +87,7 @@
         if self._check_timer is not None:
             self._check_timer.cancel()
         self._switchover.stop()
-        self._followers.stop()
+        self._follower_repair.stop()
         if self._confirmation is not None:
             self._confirmation.cancel()
         if self.promotion is not None:
@@ -96,7 +96,7 @@
     def remove_members(self, addresses: tuple[str, ...]) -> None:
         """Discard the state of members that were removed."""
         for address in addresses:
-            self._followers.forget(address)
+            self._follower_repair.forget(address)
         if self._suspect in addresses:
             self._suspect = ""
 
@@ -120,7 +120,7 @@
         if self.promotion is not None:
             self.promotion.on_report()
         elif self.row.primary:
-            self._followers.review(endpoint, report)
+            self._follower_repair.review(endpoint, report)
             if self._isolation.is_disconnected(report):
                 self.check_isolation()
         elif self._recorded_verdict is Verdict.UNREACHABLE:
@@ -146,7 +146,7 @@
         self._disconnected = frozenset()
         self._is_checking_isolation = False
         self._highest_term = max(self._highest_term, row.term)
-        self._turn.forget()
+        self._turn.reset()
         self._switchover.review()
         promotion = self.promotion
         if promotion is not None and row.term >= promotion.term:
@@ -205,7 +205,7 @@
         This round would wait for the primary's answer, and delay the round that
         confirms its failure.
         """
-        if overdue_in < silence_margin(self._node.tuning) / 2:
+        if overdue_in < detection_margin(self._node.tuning) / 2:
             self._check_in(overdue_in)
         else:
             self._confirm()
@@ -249,13 +249,15 @@
         if row.primary:
             silence = self._liveness.time_since_reply(self._suspect)
             why = f"no reply from {row.primary_row.name} for {silence:.3f}s"
-            self._node.decide("suspicion", row.key, why)
+            self._node.record_decision("suspicion", row.key, why)
             self._node.log("warning", "primary_suspected", database=row.key, why=why)
             self._liveness.mark_primary_lost(row, why)
         elif row.state is GroupState.UNKNOWN:
             row.state = GroupState.SUSPECTED
             row.suspected_at = self._now
-            self._node.decide("suspicion", row.key, "no member reports as primary")
+            self._node.record_decision(
+                "suspicion", row.key, "no member reports as primary"
+            )
 
     def _confirm(self) -> None:
         self._confirmation = Confirmation(
@@ -302,7 +304,7 @@
         else:
             # Two rounds have to find isolation, so the first one begins early.
             is_first = not self._isolation.was_found
-            early = silence_margin(self._node.tuning) if is_first else 0.0
+            early = detection_margin(self._node.tuning) if is_first else 0.0
             self._probe_again(finding.next_round_in - early)
 
     def _record_verdict(self, finding: Finding) -> None:
@@ -310,7 +312,7 @@
             return
         self._recorded_verdict = finding.verdict
         text = f"{finding.verdict.value}: {finding.evidence}"
-        self._node.decide("suspicion", self.row.key, text)
+        self._node.record_decision("suspicion", self.row.key, text)
 
     def _probe_again(self, delay: float) -> None:
         """Probe when a majority may confirm the failure, but rarely after many rounds.
@@ -330,7 +332,7 @@
         if self.row.definition.manual_promotion:
             self._check_in(self._jitter(SLOW_RETRY_DELAY))
             return
-        left = self._turn.left()
+        left = self._turn.seconds_left()
         if left > 0:
             # The evidence will be outdated after the wait, so probe again then.
             self._check_in(left)
@@ -339,7 +341,7 @@
 
     def _yield_turn(self) -> None:
         """Let the proposer of a higher term finish before proposing a higher term."""
-        delay = self._turn.leave()
+        delay = self._turn.seconds_to_yield()
         if delay > 0:
             self._check_in(delay)
         else:
@@ -379,10 +381,14 @@
         if row.state is GroupState.PROMOTING:
             row.state = GroupState.SUSPECTED
         callback, self._callback = self._callback, None
-        self._node.decide("promoted" if result.ok else "refusal", row.key, result.why)
+        self._node.record_decision(
+            "promoted" if result.ok else "refusal", row.key, result.why
+        )
         if result.ok:
             self._announce(row, result)
-        self._check_in(self._overdue_in() if row.primary else self._turn.fail())
+        self._check_in(
+            self._overdue_in() if row.primary else self._turn.next_retry_delay()
+        )
         if callback is not None:
             term = result.term if result.ok else 0
             callback(result.ok and result.as_ordered, term, result.why)
--- a/mallowpass/core/systems/groupview.py
+++ b/mallowpass/core/systems/groupview.py
@@ -163,7 +163,7 @@
         A new term sets the majority position to its own beginning, above all older
         positions: reports can't prove any more that a majority holds those.
         """
-        while self._waiters and self._waiters[0][0] <= self.row.held:
+        while self._waiters and self._waiters[0][0] <= self.row.majority_position:
             waiter = heapq.heappop(self._waiters)[2]
             waiter.resolve(self.is_held_by_majority(waiter.position))
 
@@ -175,7 +175,7 @@
 
     def is_held_by_majority(self, position: LogPosition) -> bool:
         """Return whether a majority is known to hold a position in its own term."""
-        held = self.row.held
+        held = self.row.majority_position
         return held.term == position.term and held.position >= position.position
 
     # -- Lag -----------------------------------------------------------------
--- a/mallowpass/core/systems/hostlist.py
+++ b/mallowpass/core/systems/hostlist.py
@@ -20,7 +20,7 @@
     RegisterHost,
 )
 from mallowpass.core.systems.hosts import HostTable
-from mallowpass.core.systems.platform import PlatformClient
+from mallowpass.core.systems.platformclient import PlatformClient
 from mallowpass.core.tables import HostRow, HostState
 
 __all__ = ["HostList"]
@@ -131,7 +131,7 @@
                 self._dial_if_silent(row, ABSENT_SILENCE)
 
     def _dial_if_silent(self, row: HostRow, silence: float) -> None:
-        if self._node.timers.now - row.heard_at >= silence:
+        if self._node.timers.now - row.last_contact_at >= silence:
             self._dial_host(row)
 
 
--- a/mallowpass/core/systems/hosts.py
+++ b/mallowpass/core/systems/hosts.py
@@ -177,7 +177,7 @@
 
     def note_contact(self, row: HostRow, beat: int = 0) -> None:
         """Record a message from a host, which ends the suspicion of its incarnation."""
-        row.heard_at = self._node.timers.now
+        row.last_contact_at = self._node.timers.now
         row.beat = max(row.beat, beat)
         if row.state is HostState.SUSPECTED:
             self._set_state(row, HostState.ALIVE)
@@ -201,7 +201,7 @@
             notice.seat,
             notice.address,
             notice.incarnation,
-            heard_at=self._node.timers.now,
+            last_contact_at=self._node.timers.now,
         )
         self._rows[notice.host] = row
         self._set_state(row, state)
--- a/mallowpass/core/systems/isolation.py
+++ b/mallowpass/core/systems/isolation.py
@@ -12,7 +12,7 @@
 from mallowpass.core.node import Node
 from mallowpass.core.systems.liveness import Liveness
 from mallowpass.core.systems.suspicion import SILENCE_TOLERANCE, Finding, Verdict
-from mallowpass.core.systems.watching import silence_margin
+from mallowpass.core.systems.watchintervals import detection_margin
 from mallowpass.core.tables import DatabaseRow, EndpointRow
 
 __all__ = ["Isolation"]
@@ -58,7 +58,9 @@
             return False
         if report.term != row.term or report.primary != primary.name:
             return False
-        return silence >= tuning.detection - silence_margin(tuning) - SILENCE_TOLERANCE
+        return (
+            silence >= tuning.detection - detection_margin(tuning) - SILENCE_TOLERANCE
+        )
 
     def reset(self) -> None:
         """Discard earlier rounds: the primary was replaced, or did not answer."""
@@ -95,7 +97,7 @@
         name = row.primary_row.name
         why = f"no majority can hold what {name} takes: {finding.evidence}"
         self._node.count("suspicions", database=row.key)
-        self._node.decide("suspicion", row.key, why)
+        self._node.record_decision("suspicion", row.key, why)
         self._node.log("warning", "primary_suspected", database=row.key, why=why)
         self._liveness.block_primary(row, why)
 
--- a/mallowpass/core/systems/liveness.py
+++ b/mallowpass/core/systems/liveness.py
@@ -31,8 +31,8 @@
 )
 from mallowpass.core.systems.floors import FloorCallback, FloorRounds
 from mallowpass.core.systems.groupview import GroupView, MajorityWaiter
-from mallowpass.core.systems.heldwaits import HeldWaits
 from mallowpass.core.systems.hostpause import HostPause
+from mallowpass.core.systems.majoritywaits import MajorityWaits
 from mallowpass.core.systems.primaries import Primaries
 from mallowpass.core.systems.stewards import Peers, find_membership, steward_rank
 from mallowpass.core.tables import DatabaseRow, EndpointRow
@@ -62,13 +62,13 @@
         super().__init__(node)
         self._views: dict[str, GroupView] = {}
         self._rounds: dict[str, FloorRounds] = {}
-        self._waits: dict[str, HeldWaits] = {}
+        self._waits: dict[str, MajorityWaits] = {}
         self._pause = HostPause(node)
         self._control = ControlStreams(
             node, self._on_control_reply, lambda: self._pause.awake_since
         )
         self._activity = Activity(node, self._control, self._views, self.steward_rank)
-        self._primaries = Primaries(node, self._activity.watch)
+        self._primaries = Primaries(node, self._activity.update_watches)
         self._counted = (0, 0, 0)  # calls, replies, bytes
         self._noticed_terms: dict[str, int] = {}  # by database key
         self._membership: Peers | None = None
@@ -89,7 +89,7 @@
         self._node.subscribe(DatabaseChanged, self._on_changed)
         self._node.subscribe(DatabaseRemoved, self._on_removed)
         self._node.subscribe(EndpointReplied, self._on_endpoint_replied)
-        self._node.subscribe(HostStateChanged, self._activity.hosts_changed)
+        self._node.subscribe(HostStateChanged, self._activity.on_hosts_changed)
         self.timers.every(TRAFFIC_COUNT_INTERVAL, self._count_traffic)
         membership = find_membership(self._node)
         if membership is not None:
@@ -224,15 +224,15 @@
 
     def time_since_reply(self, address: str) -> float:
         """Return the seconds since an endpoint's last reply, without own pauses."""
-        return self._control.silence(address)
+        return self._control.time_since_reply(address)
 
     def report_interval(self, address: str) -> float:
         """Return the interval at which an endpoint is asked to report, in seconds."""
-        return self._control.slack(address)
+        return self._control.report_interval(address)
 
-    def try_fresh(self, address: str) -> None:
+    def open_second_stream(self, address: str) -> None:
         """Open a second control stream beside one that may be broken."""
-        self._control.try_fresh(address)
+        self._control.open_second_stream(address)
 
     # -- Databases -----------------------------------------------------------
 
@@ -241,8 +241,8 @@
         view = GroupView(row)
         self._views[row.key] = view
         self._rounds[row.key] = FloorRounds(self._node, self._control, row)
-        self._waits[row.key] = HeldWaits(self._node, self._control, view)
-        self._activity.watch(view)
+        self._waits[row.key] = MajorityWaits(self._node, self._control, view)
+        self._activity.update_watches(view)
 
     def _on_changed(self, signal: DatabaseChanged) -> None:
         view = self._views.get(signal.database)
@@ -254,7 +254,7 @@
             view.members.pop(address, None)
         if view.row.primary not in view.row.endpoints:
             self._primaries.mark_lost(view, "the primary was removed from the group")
-        self._activity.watch(view)
+        self._activity.update_watches(view)
 
     def _on_removed(self, signal: DatabaseRemoved) -> None:
         view = self._views.pop(signal.database, None)
@@ -283,7 +283,7 @@
         endpoint = self.tables.endpoints.get(connection.address)
         if endpoint is None:
             return
-        endpoint.heard_at = self.now
+        endpoint.last_reply_at = self.now
         if connection.sequence == event.reply.sequence:
             self._take_answer(endpoint, event.reply)
 
@@ -309,7 +309,7 @@
         self, view: GroupView, endpoint: EndpointRow, report: Report
     ) -> None:
         endpoint.report = report
-        endpoint.report_at = self.now
+        endpoint.last_report_at = self.now
         endpoint.misses = 0
         view.history.add(report)
         view.record_received(self.now, report.received)
@@ -352,7 +352,7 @@
             return
         self._noticed_terms[notice.database] = notice.term
         if self._membership is not None:
-            self._membership.broadcast(notice, but=host_name)
+            self._membership.broadcast(notice, exclude=host_name)
         for address in row.endpoints:
             self._control.call(address, ProbeCall(), _ignore, self._node.tuning.silence)
 
--- a/mallowpass/core/systems/heldwaits.py
+++ b/mallowpass/core/systems/majoritywaits.py
@@ -4,15 +4,15 @@
 
 from mallowpass.core.calls import LogPosition
 from mallowpass.core.node import Node
-from mallowpass.core.signals import HeldStalled
-from mallowpass.core.systems.awaiting import PlaceAwaits
+from mallowpass.core.signals import MajorityPositionStalled
 from mallowpass.core.systems.controlstreams import ControlStreams
 from mallowpass.core.systems.groupview import GroupView, MajorityWaiter
+from mallowpass.core.systems.positionawaits import PositionAwaits
 
-__all__ = ["HeldWaits"]
+__all__ = ["MajorityWaits"]
 
 
-class HeldWaits:
+class MajorityWaits:
     """Queue the waits of one group, and ask its members for what they wait for."""
 
     __slots__ = ("_awaits", "_node", "_view")
@@ -20,12 +20,12 @@
     def __init__(self, node: Node, control: ControlStreams, view: GroupView) -> None:
         self._node = node
         self._view = view
-        self._awaits = PlaceAwaits(node, control, view)
+        self._awaits = PositionAwaits(node, control, view)
 
     @property
     def awaits_positions(self) -> bool:
         """Tell whether members should be asked for places, not watched."""
-        return self._awaits.are_as_fast
+        return self._awaits.is_as_fast_as_watching
 
     @property
     def is_stalled(self) -> bool:
@@ -42,7 +42,7 @@
         view.resolve_waiters()
         self._expect_progress()
         if view.awaits_positions:
-            self._awaits.want(view.highest_awaited)
+            self._awaits.request(view.highest_awaited)
 
     def stop(self) -> None:
         """Ask nothing more; all waits end without a majority."""
@@ -58,7 +58,7 @@
         view = self._view
         if view.stall_timer is None:
             delay = self._node.tuning.probe_interval
-            held = view.row.held
+            held = view.row.majority_position
             view.stall_timer = self._node.timers.after(delay, self._review, held)
 
     def _review(self, before: LogPosition) -> None:
@@ -67,7 +67,7 @@
         if not view.is_awaited:
             view.is_stalled = False
             return
-        if view.row.held == before and not view.is_stalled:
+        if view.row.majority_position == before and not view.is_stalled:
             view.is_stalled = True
-            self._node.publish(HeldStalled(view.row.key))
+            self._node.publish(MajorityPositionStalled(view.row.key))
         self._expect_progress()
--- a/mallowpass/core/systems/primaries.py
+++ b/mallowpass/core/systems/primaries.py
@@ -6,7 +6,7 @@
 
 from mallowpass.core.calls import LogPosition, Report, Role
 from mallowpass.core.node import Node
-from mallowpass.core.signals import HeldAdvanced, PrimaryChanged
+from mallowpass.core.signals import MajorityPositionAdvanced, PrimaryChanged
 from mallowpass.core.systems.groupview import GroupView
 from mallowpass.core.tables import DatabaseRow, EndpointRow, GroupState
 
@@ -39,12 +39,12 @@
     def advance_majority_position(self, view: GroupView) -> None:
         """Advance the position that a majority holds, and resolve the waiters below."""
         position = view.compute_majority_position()
-        if position <= view.row.held:
+        if position <= view.row.majority_position:
             return
-        view.row.held = position
+        view.row.majority_position = position
         view.is_stalled = False
         view.resolve_waiters()
-        self._node.publish(HeldAdvanced(view.row.key))
+        self._node.publish(MajorityPositionAdvanced(view.row.key))
 
     # -- Lost and blocked primaries ------------------------------------------
 
@@ -102,7 +102,7 @@
         row.primary = view.last_primary = endpoint.address
         row.state = GroupState.SERVING
         row.suspected_at = None
-        row.held = LogPosition(report.term, 0)
+        row.majority_position = LogPosition(report.term, 0)
         now = self._node.timers.now
         if not is_first:
             row.last_promotion_at = now
@@ -116,7 +116,7 @@
         self.advance_majority_position(view)
 
     def _publish(self, view: GroupView, why: str) -> None:
-        self._node.decide("primary", view.row.key, why)
+        self._node.record_decision("primary", view.row.key, why)
         self._node.publish(PrimaryChanged(view.row.key))
         self._on_primary_changed(view)
 
--- a/mallowpass/core/systems/promotion.py
+++ b/mallowpass/core/systems/promotion.py
@@ -110,7 +110,7 @@
     ) -> None:
         identity = node.identity
         self.term = term
-        self.proposer = f"{identity.name}/{identity.incarnation}/{node.number()}"
+        self.proposer = f"{identity.name}/{identity.incarnation}/{node.next_number()}"
         self.chosen: EndpointRow | None = None
         self.old_primary = row.primary
         self.refused_term = 0
@@ -194,7 +194,7 @@
         self._phase = _Phase.STOP
         self._cancel_timer()
         self._hold_writes()
-        self._node.decide(
+        self._node.record_decision(
             "promise", self._row.key, f"{self._name}: stop {self.old_primary}"
         )
         self._repeat(self.old_primary, self._promise, self._on_stopped, PROMISE_TRIES)
@@ -203,7 +203,7 @@
         if self._phase is not _Phase.STOP:
             return
         if reply is None:
-            self._node.decide(
+            self._node.record_decision(
                 "promise", self._row.key, f"{self._name}: {address} did not answer"
             )
             self._ask_promises()
@@ -245,7 +245,9 @@
         self._phase = _Phase.PROMISE
         self._cancel_timer()
         self._hold_writes()
-        self._node.decide("promise", self._row.key, f"{self._name}: ask all members")
+        self._node.record_decision(
+            "promise", self._row.key, f"{self._name}: ask all members"
+        )
         for address in self._among:
             if address not in self._grants:
                 self._repeat(address, self._promise, self._on_promised, PROMISE_TRIES)
@@ -272,7 +274,7 @@
         seen = reply.report.term if reply.report is not None else 0
         self.refused_term = max(self.refused_term, seen)
         text = f"{self._name}: {name} refused with {reply.code.name} in term {seen}"
-        self._node.decide("refusal", self._row.key, text)
+        self._node.record_decision("refusal", self._row.key, text)
         # The proposer of a higher term asks the other members as well. To go on with
         # a lower one would only prolong the time without a primary. An equal term may
         # still get its majority for this attempt.
@@ -325,7 +327,7 @@
             if address in self._row.endpoints
         )
         text = f"{self._name}: promote {self.chosen.name}; promises: {evidence}"
-        self._node.decide("promotion", self._row.key, text)
+        self._node.record_decision("promotion", self._row.key, text)
         self._promote(furthest)
 
     def _preference(self, endpoint: EndpointRow) -> tuple[bool, bool, bool, str]:
@@ -334,7 +336,7 @@
         region_of = self._node.identity.region_of
         return (
             endpoint.name != self._target,
-            endpoint.leaving,
+            endpoint.is_leaving,
             region_of(endpoint.member.failure_domain) != region_of(old_domain),
             endpoint.name,
         )
--- a/mallowpass/core/systems/stewards.py
+++ b/mallowpass/core/systems/stewards.py
@@ -30,7 +30,7 @@
     ) -> None:
         """Call a handler with the sender and each message of a type."""
 
-    def broadcast(self, message: PeerMessage, but: str = "") -> None:
+    def broadcast(self, message: PeerMessage, exclude: str = "") -> None:
         """Send a message to all linked hosts, except to the host it came from."""
 
 
@@ -82,7 +82,7 @@
 
 def find_platform(node: Node) -> Platform | None:
     """Return the node's client of the platform, None if it runs without."""
-    from mallowpass.core.systems.platform import PlatformClient
+    from mallowpass.core.systems.platformclient import PlatformClient
 
     try:
         return node.system(PlatformClient)
--- a/mallowpass/core/systems/switchover.py
+++ b/mallowpass/core/systems/switchover.py
@@ -39,7 +39,7 @@
     def review(self) -> None:
         """Schedule a switchover for this host's turn if the primary is leaving."""
         primary = self._row.primary_row
-        if primary is None or not primary.leaving or self._timer is not None:
+        if primary is None or not primary.is_leaving or self._timer is not None:
             return
         rank = min(self._liveness.steward_rank(self._row), RANK_MAX)
         delay = 2 * rank * self._node.tuning.steward_stagger
@@ -53,17 +53,19 @@
     def _act(self) -> None:
         self._timer = None
         row, primary = self._row, self._row.primary_row
-        if primary is None or not primary.leaving:
+        if primary is None or not primary.is_leaving:
             return
         if row.definition.manual_promotion:
-            self._node.decide("refusal", row.key, "promotion needs an operator's order")
+            self._node.record_decision(
+                "refusal", row.key, "promotion needs an operator's order"
+            )
             return
         target = self._best_target(primary)
         delay = self._node.random.uniform(RETRY_DELAY_MAX / 2, RETRY_DELAY_MAX)
         self._timer = self._node.timers.after(delay, self._act)
         if target is not None:
             text = f"{primary.name} is leaving: switch over to {target.name}"
-            self._node.decide("order", row.key, text)
+            self._node.record_decision("order", row.key, text)
             self._begin(target.name)
 
     def _best_target(self, primary: EndpointRow) -> EndpointRow | None:
@@ -73,7 +75,7 @@
             endpoint
             for endpoint in self._row.endpoints.values()
             if endpoint.report is not None
-            and not endpoint.leaving
+            and not endpoint.is_leaving
             and endpoint is not primary
             and endpoint.report.term == self._row.term
         ]
--- a/tests/core/systems/test_busychecks.py
+++ b/tests/core/systems/test_busychecks.py
@@ -185,10 +185,10 @@
     host = _host()
     _start(host)
     (connection,) = host.pool.connections.values()
-    expires = connection.expires
+    expires = connection.expires_at
     host.pause(host.node.tuning.connection_time_to_live)
     host.wait(host.node.tuning.silence)
-    assert connection.expires == expires
+    assert connection.expires_at == expires
     assert not host.calls(KeepAliveCall)
 
 
@@ -213,11 +213,11 @@
     request = host.request()
     host.wait(0.1)
     connection = host.node.tables.connections[request.connection]
-    host.pooling.answers(connection, 0.1)
+    host.pooling.is_responsive(connection, 0.1)
     host.flush()
     host.wait(0.1)
-    assert not host.pooling.answers(connection, 0.1)
-    host.pooling.suspect(connection)
+    assert not host.pooling.is_responsive(connection, 0.1)
+    host.pooling.check_older_idle(connection)
     host.pooling.cancel(request)
     host.flush()
 
@@ -252,7 +252,7 @@
     _start(host)
     host.reply_all()
     _give_up_unanswered(host)
-    host.endpoint.heard_at = host.now + 1.0
+    host.endpoint.last_reply_at = host.now + 1.0
     host.wait(0.6)
     assert not host.pool.connections
 
@@ -262,7 +262,7 @@
     _start(host)
     host.reply_all()
     _give_up_unanswered(host)
-    host.endpoint.heard_at = host.now + 1.0
+    host.endpoint.last_reply_at = host.now + 1.0
     host.reply(host.calls(KeepAliveCall)[-1])
     host.wait(0.6)
     assert host.pool.connections and not host.closed()
--- a/tests/core/systems/test_failover.py
+++ b/tests/core/systems/test_failover.py
@@ -325,10 +325,10 @@
     scene.group.silence("a", name)
     scene.world.run(0.06)
     host = scene.world.hosts[name]
-    heard_at = scene.row(name).primary_row.heard_at
+    heard_at = scene.row(name).primary_row.last_reply_at
     host.do(host.system(Failover).probe_primary, "a:1", "connection lost")
     scene.world.run(0.01)
-    assert scene.row(name).primary_row.heard_at > heard_at
+    assert scene.row(name).primary_row.last_reply_at > heard_at
 
 
 def test_round_does_not_wait_for_a_silent_primary():
@@ -696,7 +696,7 @@
     scene.group.members["a"].leaving = True
     for host in scene.world.hosts.values():
         endpoint = host.node.tables.endpoints["a:1"]
-        endpoint.leaving = True
+        endpoint.is_leaving = True
         host.do(host.node.publish, EndpointStateChanged("a:1"))
     run_till_primary(scene)
     assert scene.counted("promotions") == 1
@@ -725,7 +725,9 @@
     assert minority.primary == "" or minority.term == 1
     liveness = scene.host.system(Liveness)
     assert liveness.has_reached(minority.endpoints["a:1"], position)
-    assert minority.held == position  # no later write is acknowledged there
+    assert (
+        minority.majority_position == position
+    )  # no later write is acknowledged there
     scene.links.heal()
     scene.world.run_till(lambda: scene.row("h0").primary == f"{name}:1", 10.0)
 
--- a/tests/core/systems/test_liveness.py
+++ b/tests/core/systems/test_liveness.py
@@ -17,7 +17,7 @@
 from mallowpass.core.node import Tuning
 from mallowpass.core.systems.groupview import GroupView
 from mallowpass.core.systems.liveness import Liveness
-from mallowpass.core.systems.watching import watch_for
+from mallowpass.core.systems.watchintervals import choose_watch
 from mallowpass.core.tables import GroupState
 from tests.fakes.groups import Entry
 from tests.fakes.scenes import Scene
@@ -76,7 +76,7 @@
         )
     scene.world.run_till(lambda: len(order) == 3)
     assert order == [3, 4, 6]
-    assert scene.row().held == position
+    assert scene.row().majority_position == position
 
 
 def test_write_that_only_its_primary_has_is_not_held(scene):
@@ -128,7 +128,7 @@
     answers = wait_for_majority(scene, LogPosition(2, 3))
     scene.world.run(3.0)
     assert answers == []
-    assert scene.row().held == LogPosition(2, 0)
+    assert scene.row().majority_position == LogPosition(2, 0)
 
 
 def test_waiters_of_an_ended_term_are_resolved(scene):
@@ -365,7 +365,7 @@
     scene.world.run(0.15)
     address = scene.row().primary
     scene.world.run_till(
-        lambda: scene.world.now - scene.row().endpoints[address].heard_at < 0.05
+        lambda: scene.world.now - scene.row().endpoints[address].last_reply_at < 0.05
     )
     assert scene.row().primary == address
 
@@ -406,8 +406,8 @@
     node, row = scene.host.node, scene.row()
     view = GroupView(row, last_read_at=node.timers.now)
     replica = row.endpoints["b:1"]
-    few = watch_for(node, view, replica, False, 4)
-    many = watch_for(node, view, replica, False, 40)
+    few = choose_watch(node, view, replica, False, 4)
+    many = choose_watch(node, view, replica, False, 40)
     assert many.minimum_gap == pytest.approx(10 * few.minimum_gap)
     assert many.interval > few.interval
 
--- a/tests/fakes/requestpath.py
+++ b/tests/fakes/requestpath.py
@@ -131,14 +131,14 @@
     def grant(self) -> None:
         while self.queue:
             request, address = self.queue.pop(0)
-            number = self._node.number()
+            number = self._node.next_number()
             connection = ConnectionRow(
                 number, address, ConnectionState.BUSY, self.now, self.now
             )
             connection.request = request.number
             self.tables.connections[number] = connection
             request.connection = number
-            self._node.system(Requests).on_connection(request, connection)
+            self._node.system(Requests).on_connection_granted(request, connection)
 
     def cancel(self, request: RequestRow) -> None:
         self.queue = [entry for entry in self.queue if entry[0] is not request]
@@ -168,10 +168,10 @@
         self.discarded.append(connection.number)
         self.tables.connections.pop(connection.number, None)
 
-    def answers(self, connection: ConnectionRow, within: float) -> bool:
+    def is_responsive(self, connection: ConnectionRow, within: float) -> bool:
         return self.answering
 
-    def suspect(self, connection: ConnectionRow) -> None:
+    def check_older_idle(self, connection: ConnectionRow) -> None:
         self.suspected.append(connection.number)
 
     def close_silent(self, connection: ConnectionRow) -> None:
@@ -180,8 +180,10 @@
     def is_patient(self, request: RequestRow) -> bool:
         return self.patient
 
-    def known_pool(self, address: str) -> SimpleNamespace:
-        return SimpleNamespace(active=0, queue=(), share=8, connections=self.connected)
+    def find_pool(self, address: str) -> SimpleNamespace:
+        return SimpleNamespace(
+            active_count=0, queue=(), share=8, connections=self.connected
+        )
 
 
 class FakeLiveness(System):
@@ -228,7 +230,7 @@
         for waiter in list(self.waiters):
             if waiter.position.term < database.term:
                 waiter.resolve(False)
-            elif waiter.position <= database.held:
+            elif waiter.position <= database.majority_position:
                 waiter.resolve(True)
         self.waiters = [entry for entry in self.waiters if entry.callback is not None]
 
@@ -274,8 +276,8 @@
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
-        self.draining = False
-        self.closing = False
+        self.is_draining = False
+        self.is_closing = False
 
 
 @dataclass
@@ -335,7 +337,7 @@
             tables.endpoints[member.address] = row
             self.database.endpoints[member.address] = row
         self.database.term = 1
-        self.database.held = LogPosition(1, 1)
+        self.database.majority_position = LogPosition(1, 1)
         self.database.primary = "127.0.0.1:1"
         self.database.state = GroupState.SERVING
         tables.databases[KEY] = self.database
@@ -456,13 +458,13 @@
             applied=place,
             **more,
         )
-        endpoint.report_at = self.now
+        endpoint.last_report_at = self.now
         self.node.publish(EndpointReported(endpoint.address))
         self._collect()
 
     def hold(self, term: int, position: int) -> None:
         """Have a majority hold the log up to a place."""
-        self.database.held = LogPosition(term, position)
+        self.database.majority_position = LogPosition(term, position)
         self.liveness.settle(self.database)
         self._collect()
 
@@ -476,7 +478,9 @@
         self.database.primary = self.endpoint(name).address
         self.database.term = term
         self.database.state = GroupState.SERVING
-        self.database.held = max(self.database.held, LogPosition(term, 0))
+        self.database.majority_position = max(
+            self.database.majority_position, LogPosition(term, 0)
+        )
         self.liveness.term_starts[term] = start
         self.report(name, (term, start), Role.PRIMARY)
         self.node.publish(PrimaryChanged(KEY))
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -26,8 +26,8 @@
     closing,
     configuration,
     draining,
+    endpointnotices,
     groupview,
-    leaving,
     liveness,
     outcomes,
     poolchanges,
@@ -353,7 +353,7 @@
 
 
 def set_no_floor(floors: sessionfloors.SessionFloors, request) -> None:
-    request.floor, request.fresh_floor = ZERO_POSITION, False
+    request.floor, request.needs_fresh_floor = ZERO_POSITION, False
 
 
 def take_zero_for_unknown(floors: sessionfloors.SessionFloors, request) -> None:
@@ -402,7 +402,7 @@
 
 
 def call_unknown_not_run(system: requests.Requests, request, why: str) -> None:
-    system.not_run(request, requests.ErrorCode.DEADLINE_PASSED, why)
+    system.answer_not_run(request, requests.ErrorCode.DEADLINE_PASSED, why)
 
 
 def name_each_copy_anew(patch: Patch) -> None:
@@ -468,7 +468,7 @@
     ),
     "position_of_the_answer_is_checked": Guard(
         "read_your_writes",
-        replace(sessionfloors.SessionFloors, "proves", lambda *arguments: True),
+        replace(sessionfloors.SessionFloors, "is_satisfied", lambda *arguments: True),
         read_own_write_where_routing_guesses_wrong,
     ),
     "unknown_floor_is_learnt": Guard(
@@ -503,7 +503,7 @@
         "own_whole_answer",
         replace(
             reads.Reads,
-            "elsewhere",
+            "try_elsewhere",
             lambda system, request, code, why: system.route(request),
         ),
         reads_tests.test_answer_that_broke_off_is_not_continued_from_another_member,
@@ -522,7 +522,7 @@
     ),
     "unknown_is_not_called_not_run": Guard(
         "not_run_is_true",
-        replace(requests.Requests, "unknown", call_unknown_not_run),
+        replace(requests.Requests, "answer_unknown", call_unknown_not_run),
         write_whose_deadline_passes_before_a_majority_has_it,
     ),
     "copies_share_one_record": Guard(
@@ -530,7 +530,7 @@
     ),
     "leaving_member_is_marked": Guard(
         "leaving_gets_no_work",
-        replace(leaving.EndpointNews, "_mark", nothing),
+        replace(endpointnotices.EndpointNotices, "_mark", nothing),
         reads_beside_a_leaving_member,
     ),
     "drain_waits_for_what_is_in_flight": Guard(
@@ -553,7 +553,7 @@
     ),
     "expired_connections_are_not_used": Guard(
         "connections_in_limit",
-        replace(closing.Closing, "expire", nothing),
+        replace(closing.Closer, "close_expired", nothing),
         pooling_tests.test_a_paused_host_does_not_use_connections_that_ran_out_meanwhile,
     ),
     "members_confirm_a_suspicion": Guard(
