--- a/mallowpass/core/systems/busychecks.py
+++ b/mallowpass/core/systems/busychecks.py
@@ -39,10 +39,13 @@
         number = connection.number
         if number not in pool.in_flight:
             return True
-        proof = self._proof(pool, number)
-        if not proof.is_outstanding and proof.asked_at + RECHECK_INTERVAL <= self.now:
-            self._send(pool, connection, proof)
-        return not proof.is_outstanding or self.now < proof.asked_at + within
+        keep_alive = self._keep_alive_of(pool, number)
+        if (
+            not keep_alive.is_outstanding
+            and keep_alive.asked_at + RECHECK_INTERVAL <= self.now
+        ):
+            self._send(pool, connection, keep_alive)
+        return not keep_alive.is_outstanding or self.now < keep_alive.asked_at + within
 
     # -- When a call is not answered -------------------------------------------
 
@@ -55,9 +58,9 @@
         if number in pool.overdue:
             return
         pool.overdue.add(number)
-        proof = self._proof(pool, number)
-        if self._is_supported(pool) and not proof.is_outstanding:
-            self._send(pool, connection, proof)
+        keep_alive = self._keep_alive_of(pool, number)
+        if self._is_supported(pool) and not keep_alive.is_outstanding:
+            self._send(pool, connection, keep_alive)
 
     def on_still_overdue(self, pool: EndpointPool, number: int) -> None:
         """Close a connection that did not answer within the other half either."""
@@ -66,7 +69,7 @@
             return
         if not self._is_supported(pool) and self._is_patient(pool, connection):
             return
-        if self._proof(pool, number).answered:
+        if self._keep_alive_of(pool, number).answered:
             # No request waits for the statement any more, and only closing the
             # connection can end it.
             self._pooling.closer.close_and_notify(pool, connection, "given-up")
@@ -79,11 +82,11 @@
     ) -> None:
         """Process the answer to a keep-alive on a busy connection."""
         number = connection.number
-        proof = pool.busy_keep_alives.get(number)
-        if proof is None or proof.sequence != reply.sequence:
+        keep_alive = pool.busy_keep_alives.get(number)
+        if keep_alive is None or keep_alive.sequence != reply.sequence:
             self._pooling.count_dropped_reply("late-keep-alive")
             return
-        proof.answered = True
+        keep_alive.answered = True
         if connection.request or connection.transaction:
             pool.overdue.remove(number)
         else:
@@ -108,39 +111,39 @@
                     self._extend(pool, self._connections[number])
 
     def _extend(self, pool: EndpointPool, connection: ConnectionRow) -> None:
-        life = self._pooling.loans.usable_time(connection.loan)
-        called_at = connection.expires_at - life
-        proof = self._proof(pool, connection.number)
-        is_due = called_at + life / CHECKS_PER_LIFE <= self.now
-        if is_due and not proof.is_outstanding:
-            self._send(pool, connection, proof)
+        usable_time = self._pooling.loans.usable_time(connection.loan)
+        last_call_at = connection.expires_at - usable_time
+        keep_alive = self._keep_alive_of(pool, connection.number)
+        is_due = last_call_at + usable_time / CHECKS_PER_LIFE <= self.now
+        if is_due and not keep_alive.is_outstanding:
+            self._send(pool, connection, keep_alive)
 
     # -- Keep-alives -----------------------------------------------------------
 
     def _send(
-        self, pool: EndpointPool, connection: ConnectionRow, proof: BusyKeepAlive
+        self, pool: EndpointPool, connection: ConnectionRow, keep_alive: BusyKeepAlive
     ) -> None:
         now = self.now
         # After a pause of this host, the endpoint may have closed the connection, so a
         # connection that has expired is not extended.
         if connection.expires_at <= now:
             return
-        expires = self._pooling.expiry(pool, connection, now)
-        if expires <= now:
+        expires_at = self._pooling.expiry(pool, connection, now)
+        if expires_at <= now:
             return
-        connection.expires_at = expires
-        proof.sequence = FIRST_BUSY_SEQUENCE + self._node.next_number()
-        proof.asked_at = now
-        proof.answered = False
+        connection.expires_at = expires_at
+        keep_alive.sequence = FIRST_BUSY_SEQUENCE + self._node.next_number()
+        keep_alive.asked_at = now
+        keep_alive.answered = False
         self._node.emit(
-            SendEndpoint(connection.number, proof.sequence, KeepAliveCall())
+            SendEndpoint(connection.number, keep_alive.sequence, KeepAliveCall())
         )
 
-    def _proof(self, pool: EndpointPool, number: int) -> BusyKeepAlive:
-        proof = pool.busy_keep_alives.get(number)
-        if proof is None:
-            proof = pool.busy_keep_alives[number] = BusyKeepAlive()
-        return proof
+    def _keep_alive_of(self, pool: EndpointPool, number: int) -> BusyKeepAlive:
+        keep_alive = pool.busy_keep_alives.get(number)
+        if keep_alive is None:
+            keep_alive = pool.busy_keep_alives[number] = BusyKeepAlive()
+        return keep_alive
 
     def _is_supported(self, pool: EndpointPool) -> bool:
         report = pool.endpoint.report
--- a/mallowpass/core/systems/groupview.py
+++ b/mallowpass/core/systems/groupview.py
@@ -175,8 +175,11 @@
 
     def is_held_by_majority(self, position: LogPosition) -> bool:
         """Return whether a majority is known to hold a position in its own term."""
-        held = self.row.majority_position
-        return held.term == position.term and held.position >= position.position
+        majority_position = self.row.majority_position
+        return (
+            majority_position.term == position.term
+            and majority_position.position >= position.position
+        )
 
     # -- Lag -----------------------------------------------------------------
 
--- a/mallowpass/core/systems/hostlist.py
+++ b/mallowpass/core/systems/hostlist.py
@@ -3,7 +3,7 @@
 The list lags: it contains hosts that have gone and lacks new ones. It serves only to
 find hosts that no peer has reported. It never brings back a host that has left, and
 never removes one: a host that is listed as leaving, or is not listed any more, is
-dialled and answers with its own state.
+probed and answers with its own state.
 """
 
 from __future__ import annotations
@@ -32,8 +32,8 @@
 POLL_INTERVAL_PER_SEAT = 0.03  # seconds
 REGISTER_INTERVAL_MIN = 5.0  # seconds
 REGISTER_INTERVAL_PER_SEAT = 0.01  # seconds
-ABSENT_POLLS = 3  # consecutive polls without a host until it is dialled
-# Seconds since a host's last message until the list is reason to dial the host.
+ABSENT_POLLS = 3  # consecutive polls without a host until it is probed
+# Seconds since a host's last message until the list is reason to probe the host.
 ABSENT_SILENCE = 30.0  # not listed any more
 LEAVING_SILENCE = 1.0  # listed as leaving
 
@@ -44,10 +44,10 @@
     __slots__ = (
         "_absent_polls",
         "_add_host",
-        "_dial_host",
         "_hosts",
         "_is_leaving",
         "_node",
+        "_probe_host",
         "_seats",
     )
 
@@ -56,12 +56,12 @@
         node: Node,
         hosts: HostTable,
         add_host: Callable[[HostNotice], None],
-        dial_host: Callable[[HostRow], None],
+        probe_host: Callable[[HostRow], None],
     ) -> None:
         self._node = node
         self._hosts = hosts
         self._add_host = add_host
-        self._dial_host = dial_host
+        self._probe_host = probe_host
         self._absent_polls: dict[str, int] = {}  # consecutive, by host listed before
         self._is_leaving = False
         self._seats = sum(domain.hosts for domain in node.identity.domains)
@@ -118,7 +118,7 @@
             # A restarted host may still be listed with the entry from before its
             # restart. If this host sent notices that it is leaving, it would have to
             # refute them after every poll.
-            self._dial_if_silent(row, LEAVING_SILENCE)
+            self._probe_if_silent(row, LEAVING_SILENCE)
 
     def _check_absent(self, listed: dict[str, ListedHost]) -> None:
         for name in [n for n in self._absent_polls if n not in listed]:
@@ -128,11 +128,11 @@
                 continue
             self._absent_polls[name] += 1
             if self._absent_polls[name] >= ABSENT_POLLS:
-                self._dial_if_silent(row, ABSENT_SILENCE)
+                self._probe_if_silent(row, ABSENT_SILENCE)
 
-    def _dial_if_silent(self, row: HostRow, silence: float) -> None:
+    def _probe_if_silent(self, row: HostRow, silence: float) -> None:
         if self._node.timers.now - row.last_contact_at >= silence:
-            self._dial_host(row)
+            self._probe_host(row)
 
 
 def _notice(host: ListedHost) -> HostNotice:
--- a/mallowpass/core/systems/promotion.py
+++ b/mallowpass/core/systems/promotion.py
@@ -292,7 +292,8 @@
                 self._wait(GRACE_TIME, self._choose)
         elif members - len(self._failed) < majority:
             self.finish(
-                False, f"{self._name}: fewer than {majority} of {members} promised"
+                False,
+                f"{self._name}: fewer than {majority} of {members} members promised",
             )
 
     @property
--- a/tests/core/systems/test_failover.py
+++ b/tests/core/systems/test_failover.py
@@ -325,10 +325,10 @@
     scene.group.silence("a", name)
     scene.world.run(0.06)
     host = scene.world.hosts[name]
-    heard_at = scene.row(name).primary_row.last_reply_at
+    last_reply_at = scene.row(name).primary_row.last_reply_at
     host.do(host.system(Failover).probe_primary, "a:1", "connection lost")
     scene.world.run(0.01)
-    assert scene.row(name).primary_row.last_reply_at > heard_at
+    assert scene.row(name).primary_row.last_reply_at > last_reply_at
 
 
 def test_round_does_not_wait_for_a_silent_primary():
--- a/tests/core/systems/test_isolation.py
+++ b/tests/core/systems/test_isolation.py
@@ -46,8 +46,8 @@
 def test_primary_cut_off_from_its_members_is_replaced(members, hosts):
     """All writes of a group end UNKNOWN at their deadlines.
 
-    The primary's replication is cut, while hosts still reach the primary. Not only the
-    silence towards this host may raise a suspicion.
+    The primary's replication is cut, while hosts still reach the primary. The silence
+    that its members report must raise a suspicion.
     """
     scene = make_scene(members=members, hosts=hosts)
     scene.world.run(5.0)
@@ -155,8 +155,8 @@
 def test_all_members_are_asked_to_promise_after_a_crash():
     """A promotion drops writes though a running member has them.
 
-    e is ahead of b, c and d, and answers the probe late when a crashes. Unlike with an
-    isolated primary, not only the members that confirmed the failure may promise.
+    e is ahead of b, c and d, and answers the probe late when a crashes. All members
+    must be asked to promise, not only those that confirmed the failure.
     """
     scene = make_scene(members=5, hosts=1)
     scene.links.isolate("a", "bcd")
