--- a/mallowpass/core/systems/busychecks.py
+++ b/mallowpass/core/systems/busychecks.py
@@ -1,7 +1,7 @@
-"""Tell a slow statement from a silent connection while a call is in flight.
+"""Keep-alives on busy connections, to tell slow statements from dead connections.
 
-A keep-alive goes out beside the call. Its sequence is of a range of its own, so that
-neither answer can be taken for the other.
+A keep-alive is sent while the connection has a call in flight. Its sequence number is
+from a separate range, so that its answer can't be taken for the call's.
 """
 
 from __future__ import annotations
@@ -14,59 +14,64 @@
 
 __all__ = ["FIRST_BUSY_SEQUENCE", "BusyChecks"]
 
-FIRST_BUSY_SEQUENCE = 1 << 62  # calls that requests wait for have sequences below this
-REPEATED = 1.0  # seconds for which an answered keep-alive counts, at least
-CHECKS_PER_LIFE = 3  # on borrowed connections, in their time to live
+FIRST_BUSY_SEQUENCE = 1 << 62  # sequences of all other calls are below this
+RECHECK_INTERVAL = 1.0  # seconds for which an answered keep-alive counts, at least
+CHECKS_PER_LIFE = 3  # on borrowed connections, within their usable time
 
 
 class BusyChecks(PoolPart):
-    """Have connections prove themselves beside the call that they owe an answer to."""
+    """Check connections with a call in flight by sending keep-alives on them."""
 
     __slots__ = ()
 
     # -- For the request path --------------------------------------------------
 
     def is_responsive(self, connection: ConnectionRow, within: float) -> bool:
-        """Tell whether a connection answers beside its call; ask it if need be.
+        """Return whether a busy connection answers; send a keep-alive if necessary.
 
-        False when a keep-alive is unanswered for `within` seconds. Where the endpoint
-        can't be asked, statements of patient classes are taken for slow, not silent.
+        Return False if a keep-alive is unanswered for `within` seconds. If the endpoint
+        does not support keep-alives on busy connections, the statements of patient
+        classes are taken for slow, and all others for silent.
         """
         pool = self._pooling.by_address[connection.address]
-        if not self._is_able(pool):
+        if not self._is_supported(pool):
             return self._is_patient(pool, connection)
         number = connection.number
         if number not in pool.in_flight:
             return True
-        proof = self._proof(pool, number)
-        if not proof.is_outstanding and proof.asked_at + REPEATED <= self.now:
-            self._ask(pool, connection, proof)
-        return not proof.is_outstanding or self.now < proof.asked_at + within
+        keep_alive = self._keep_alive_of(pool, number)
+        if (
+            not keep_alive.is_outstanding
+            and keep_alive.asked_at + RECHECK_INTERVAL <= self.now
+        ):
+            self._send(pool, connection, keep_alive)
+        return not keep_alive.is_outstanding or self.now < keep_alive.asked_at + within
 
     # -- When a call is not answered -------------------------------------------
 
     def on_overdue(self, pool: EndpointPool, number: int) -> None:
-        """Ask a connection that owes an answer for half of the silence."""
+        """Check a connection whose call is unanswered for half of `Tuning.silence`."""
         connection = self._connections.get(number)
         if connection is None:
             return
-        pool.in_flight.add(number)  # its call is in flight as before
+        pool.in_flight.add(number)  # the call is still in flight
         if number in pool.overdue:
             return
         pool.overdue.add(number)
-        proof = self._proof(pool, number)
-        if self._is_able(pool) and not proof.is_outstanding:
-            self._ask(pool, connection, proof)
+        keep_alive = self._keep_alive_of(pool, number)
+        if self._is_supported(pool) and not keep_alive.is_outstanding:
+            self._send(pool, connection, keep_alive)
 
     def on_still_overdue(self, pool: EndpointPool, number: int) -> None:
-        """Give up a connection that did not prove itself in the other half."""
+        """Close a connection that did not answer within the other half either."""
         connection = self._connections.get(number)
         if connection is None or number not in pool.in_flight:
             return
-        if not self._is_able(pool) and self._is_patient(pool, connection):
+        if not self._is_supported(pool) and self._is_patient(pool, connection):
             return
-        if self._proof(pool, number).answered:
-            # Nobody waits for its statement, which only the closing may end.
+        if self._keep_alive_of(pool, number).answered:
+            # No request waits for the statement any more, and only closing the
+            # connection can end it.
             self._pooling.closer.close_and_notify(pool, connection, "given-up")
             self._pooling.granting.dispatch(pool)
         else:
@@ -75,70 +80,72 @@
     def on_reply(
         self, pool: EndpointPool, connection: ConnectionRow, reply: EndpointReply
     ) -> None:
-        """Take the answer to a keep-alive that was sent beside a call."""
+        """Process the answer to a keep-alive on a busy connection."""
         number = connection.number
-        proof = pool.busy_keep_alives.get(number)
-        if proof is None or proof.sequence != reply.sequence:
+        keep_alive = pool.busy_keep_alives.get(number)
+        if keep_alive is None or keep_alive.sequence != reply.sequence:
             self._pooling.count_dropped_reply("late-keep-alive")
             return
-        proof.answered = True
+        keep_alive.answered = True
         if connection.request or connection.transaction:
             pool.overdue.remove(number)
         else:
-            # Its call was given up, and is not waited for, however well it is.
+            # The request was given up. That the connection answers is no reason to
+            # wait for its statement.
             pool.internal_in_flight.remove(number)
 
     def discard(self, pool: EndpointPool, number: int) -> None:
-        """Let go of a call that was answered, or whose connection is gone."""
+        """Discard the state of a call that was answered or whose connection closed."""
         pool.busy_keep_alives.pop(number, None)
         pool.overdue.remove(number)
 
     # -- Borrowed connections --------------------------------------------------
 
     def extend_borrowed(self, pool: EndpointPool) -> None:
-        """Prolong the short life of borrowed connections with a long statement."""
-        if not self._is_able(pool):
+        """Extend the usable time of borrowed connections that run a slow statement."""
+        if not self._is_supported(pool):
             return
         for loan in pool.borrowed.values():
             for number in loan.numbers:
                 if number in pool.in_flight:
-                    self._keep(pool, self._connections[number])
+                    self._extend(pool, self._connections[number])
 
-    def _keep(self, pool: EndpointPool, connection: ConnectionRow) -> None:
-        life = self._pooling.loans.usable_time(connection.loan)
-        called_at = connection.expires_at - life
-        proof = self._proof(pool, connection.number)
-        due = called_at + life / CHECKS_PER_LIFE <= self.now
-        if due and not proof.is_outstanding:
-            self._ask(pool, connection, proof)
+    def _extend(self, pool: EndpointPool, connection: ConnectionRow) -> None:
+        usable_time = self._pooling.loans.usable_time(connection.loan)
+        last_call_at = connection.expires_at - usable_time
+        keep_alive = self._keep_alive_of(pool, connection.number)
+        is_due = last_call_at + usable_time / CHECKS_PER_LIFE <= self.now
+        if is_due and not keep_alive.is_outstanding:
+            self._send(pool, connection, keep_alive)
 
-    # -- Asking ----------------------------------------------------------------
+    # -- Keep-alives -----------------------------------------------------------
 
-    def _ask(
-        self, pool: EndpointPool, connection: ConnectionRow, proof: BusyKeepAlive
+    def _send(
+        self, pool: EndpointPool, connection: ConnectionRow, keep_alive: BusyKeepAlive
     ) -> None:
         now = self.now
-        # A host that was paused does not prolong what the endpoint may have closed.
+        # After a pause of this host, the endpoint may have closed the connection, so a
+        # connection that has expired is not extended.
         if connection.expires_at <= now:
             return
-        expires = self._pooling.expiry(pool, connection, now)
-        if expires <= now:
+        expires_at = self._pooling.expiry(pool, connection, now)
+        if expires_at <= now:
             return
-        connection.expires_at = expires
-        proof.sequence = FIRST_BUSY_SEQUENCE + self._node.next_number()
-        proof.asked_at = now
-        proof.answered = False
+        connection.expires_at = expires_at
+        keep_alive.sequence = FIRST_BUSY_SEQUENCE + self._node.next_number()
+        keep_alive.asked_at = now
+        keep_alive.answered = False
         self._node.emit(
-            SendEndpoint(connection.number, proof.sequence, KeepAliveCall())
+            SendEndpoint(connection.number, keep_alive.sequence, KeepAliveCall())
         )
 
-    def _proof(self, pool: EndpointPool, number: int) -> BusyKeepAlive:
-        proof = pool.busy_keep_alives.get(number)
-        if proof is None:
-            proof = pool.busy_keep_alives[number] = BusyKeepAlive()
-        return proof
+    def _keep_alive_of(self, pool: EndpointPool, number: int) -> BusyKeepAlive:
+        keep_alive = pool.busy_keep_alives.get(number)
+        if keep_alive is None:
+            keep_alive = pool.busy_keep_alives[number] = BusyKeepAlive()
+        return keep_alive
 
-    def _is_able(self, pool: EndpointPool) -> bool:
+    def _is_supported(self, pool: EndpointPool) -> bool:
         report = pool.endpoint.report
         return report is not None and report.keep_alive_while_busy
 
