--- a/mallowpass/core/node.py
+++ b/mallowpass/core/node.py
@@ -254,7 +254,7 @@
         """Add an effect to those that the event at hand causes."""
         self._effects.append(effect)
 
-    def number(self) -> int:
+    def next_number(self) -> int:
         """Return a number that this node has not used before."""
         return next(self._numbers)
 
@@ -278,7 +278,7 @@
         """Record a value of a histogram."""
         self._effects.append(Observe(name, value, tuple(attributes.items())))
 
-    def decide(self, kind: str, subject: str, text: str) -> None:
+    def record_decision(self, kind: str, subject: str, text: str) -> None:
         """Record a decision in the journal, for operators to ask about."""
         at = self.timers.now
         self._journal.append(Decision(at, self.identity.name, kind, subject, text))
--- a/mallowpass/core/proxy/connections.py
+++ b/mallowpass/core/proxy/connections.py
@@ -254,7 +254,7 @@
         customer: str | None,
         is_single_use: bool = False,
     ) -> None:
-        number = self._node.number()
+        number = self._node.next_number()
         entry = endpoint.entry
         address, holder = entry.address, ""
         if via is not None:
--- a/mallowpass/core/proxy/promotionorders.py
+++ b/mallowpass/core/proxy/promotionorders.py
@@ -105,7 +105,7 @@
     def _send_order(self, attempt: Replacement) -> None:
         self._resume_target(attempt)
         attempt.order_count += 1
-        attempt.order_call = self._node.number()
+        attempt.order_call = self._node.next_number()
         self._unanswered[attempt.order_call] = (attempt, attempt.target)
         attempt.log(
             self._node,
--- a/mallowpass/core/proxy/ratelimits/allowances.py
+++ b/mallowpass/core/proxy/ratelimits/allowances.py
@@ -192,7 +192,7 @@
             self._refuse(account.waiting.pop(), account, pause, why)
 
     def _send(self, question: _Question, host: HostRow, ahead: int) -> None:
-        number = self._node.number()
+        number = self._node.next_number()
         self._questions[number] = question
         account = question.account
         name = "" if account is None else account.name
--- a/mallowpass/core/proxy/store.py
+++ b/mallowpass/core/proxy/store.py
@@ -175,7 +175,7 @@
         self, request: StoreCall, handler: ReplyHandler, timeout: float = CALL_TIMEOUT
     ) -> None:
         """Call the store; the handler gets its reply, or that there was none."""
-        number = self._node.number()
+        number = self._node.next_number()
         self._calls[number] = (handler, self._era)
         self._node.emit(CallStore(number, request, timeout))
         self._node.count("store_calls", kind=type(request).__name__)
@@ -184,7 +184,7 @@
         self, relay: HostRow, request: WatchRows, handler: ReplyHandler, timeout: float
     ) -> None:
         """Ask another host for what it learns from the store."""
-        number = self._node.number()
+        number = self._node.next_number()
         self._calls[number] = (handler, self._era)
         self._relayed.add(number)
         self._node.emit(CallStore(number, request, timeout, relay.address))
--- a/mallowpass/core/signals.py
+++ b/mallowpass/core/signals.py
@@ -12,8 +12,8 @@
     "DrainBegan",
     "EndpointReported",
     "EndpointStateChanged",
-    "HeldAdvanced",
-    "HeldStalled",
+    "MajorityPositionAdvanced",
+    "MajorityPositionStalled",
     "HostStateChanged",
     "PrimaryChanged",
     "ServiceAccepted",
@@ -65,14 +65,14 @@
 
 
 @record
-class HeldAdvanced(Signal):
+class MajorityPositionAdvanced(Signal):
     """A majority of a group's members holds more of the log."""
 
     database: str
 
 
 @record
-class HeldStalled(Signal):
+class MajorityPositionStalled(Signal):
     """Writes wait for a majority, and none holds more for a while."""
 
     database: str
--- a/mallowpass/core/systems/admission.py
+++ b/mallowpass/core/systems/admission.py
@@ -45,7 +45,7 @@
 
     def refuse_at(self, pool: EndpointPool, request: RequestRow) -> Refusal | None:
         """Refuse a request that has to wait at an endpoint, and can't."""
-        if pool.endpoint.leaving:
+        if pool.endpoint.is_leaving:
             why = f"{pool.address} is leaving"
             return self._refusal(request, ErrorCode.ENDPOINT_REFUSED, why, 0.0)
         refusal = self._refuse_full(request)
@@ -102,7 +102,7 @@
     def _refuse_late(
         self, request: RequestRow, wait: float, where: str
     ) -> Refusal | None:
-        remaining = request.expires - self.now
+        remaining = request.expires_at - self.now
         if wait < remaining:
             return None
         why = f"{wait:.3f}s to wait at {where}, {remaining:.3f}s left"
@@ -116,5 +116,5 @@
         spread = 1.0 + RETRY_SPREAD * self._node.random.random()
         retry_after = max(RETRY_AFTER_MIN, wait) * spread
         self._node.count("turned_away", reason=code.name.lower())
-        self._node.decide("refusal", request.database, f"{code.code} {why}")
+        self._node.record_decision("refusal", request.database, f"{code.code} {why}")
         return Refusal(code.code, why, retry_after)
--- a/mallowpass/core/systems/answers.py
+++ b/mallowpass/core/systems/answers.py
@@ -111,7 +111,7 @@
         """Answer a request that got no row."""
         text = message or code.meaning
         self._node.count("refused", code=code.code)
-        self._node.decide("refuse", request.request_id, f"{code.code} {text}")
+        self._node.record_decision("refuse", request.request_id, f"{code.code} {text}")
         answer = CallerAnswer(
             request_id=request.request_id,
             outcome=outcome,
@@ -124,11 +124,11 @@
     def final(self, request: RequestRow, answer: CallerAnswer) -> None:
         """Send the final answer to a request's caller and to its copies'."""
         self._answer(request.stream, request.request.request_id, answer)
-        if request.followers is not None:
-            for stream, request_id in request.followers:
+        if request.duplicates is not None:
+            for stream, request_id in request.duplicates:
                 self._answer(stream, request_id, answer)
         emit = self._node.emit
-        seconds = self.now - request.arrived
+        seconds = self.now - request.arrived_at
         access, database = request.access, request.database
         emit(_statement_count(answer.outcome, access, database))
         attributes = _seconds_attributes(access, database)
--- a/mallowpass/core/systems/closing.py
+++ b/mallowpass/core/systems/closing.py
@@ -86,7 +86,7 @@
         pool.opening.remove(number)
         pool.internal.pop(number, None)
         if not connection.loan:
-            pool.settling.append((self.now, connection.expires + LIFE_MARGIN))
+            pool.settling.append((self.now, connection.expires_at + LIFE_MARGIN))
             return
         loan = pool.borrowed.get(connection.loan)
         if loan is not None:
--- a/mallowpass/core/systems/configuration.py
+++ b/mallowpass/core/systems/configuration.py
@@ -138,7 +138,7 @@
         self, request: ChangeServiceRequest, answer: ServiceChangedAnswer, began: float
     ) -> None:
         result = "accepted" if answer.accepted else answer.code
-        self._node.decide(
+        self._node.record_decision(
             "configuration",
             request.name,
             f"change {request.change_id} by {request.operator} from version "
@@ -193,7 +193,7 @@
             changed_by=version.changed_by,
             source=source or "platform",
         )
-        self._node.decide(
+        self._node.record_decision(
             "configuration",
             version.name,
             f"version {version.version} {state}: change {version.change_id} by "
--- a/mallowpass/core/systems/connections.py
+++ b/mallowpass/core/systems/connections.py
@@ -272,7 +272,7 @@
         if self.ghosts:
             self.ghosts = [until for until in self.ghosts if until > now]
         if self.settling:
-            heard = self.endpoint.heard_at - SETTLE
+            heard = self.endpoint.last_reply_at - SETTLE
             self.settling = [
                 place for place in self.settling if place[0] > heard and place[1] > now
             ]
--- a/mallowpass/core/systems/controlstreams.py
+++ b/mallowpass/core/systems/controlstreams.py
@@ -141,7 +141,7 @@
         link = self._links.get(address)
         if link is None:
             return 0.0
-        heard_at = link.endpoint.heard_at
+        heard_at = link.endpoint.last_reply_at
         since = max(heard_at, link.created_at, link.watched_at, self._heard_since())
         return self._node.timers.now - since
 
@@ -174,7 +174,7 @@
             # Not at once: the caller may still be setting up what it counts on.
             self._node.timers.after(0.0, callback, None)
             return
-        sequence = self._node.number()
+        sequence = self._node.next_number()
         timer = self._node.timers.after(timeout, self._give_up, link, sequence)
         link.pending[sequence] = _Pending(call, callback, timer)
         if link.is_open:
@@ -199,9 +199,9 @@
         self._node.emit(SendControl(address, link.current, sequence, call))
 
     def _send_watch(self, link: _Link) -> None:
-        link.endpoint.watch = self._node.number()
+        link.endpoint.watch_sequence = self._node.next_number()
         link.watch_sent_at = self._node.timers.now
-        self._send(link, link.endpoint.watch, link.watch)
+        self._send(link, link.endpoint.watch_sequence, link.watch)
 
     # -- Opening and closing -------------------------------------------------
 
@@ -209,7 +209,7 @@
         link.retry = None
         if link.candidate:
             return
-        link.candidate = self._node.number()
+        link.candidate = self._node.next_number()
         link.candidate_at = self._node.timers.now
         self.traffic.opened += 1
         address = link.endpoint.address
@@ -231,8 +231,8 @@
         link.current, link.candidate = link.candidate, 0
         link.is_open = True
         link.failures = 0
-        link.endpoint.control = link.current
-        link.endpoint.control_open = True
+        link.endpoint.control_stream = link.current
+        link.endpoint.is_control_open = True
         self._send_watch(link)
         for sequence, pending in list(link.pending.items()):
             self._send(link, sequence, pending.call)
@@ -246,8 +246,8 @@
         elif event.stream == link.current:
             link.current = 0
             link.is_open = False
-            link.endpoint.control = 0
-            link.endpoint.control_open = False
+            link.endpoint.control_stream = 0
+            link.endpoint.is_control_open = False
         else:
             return
         link.failures += 1
@@ -295,7 +295,7 @@
         return max(left, interval, min(silence * PROBE_SHARE, BACKOFF_MAX))
 
     def _probe_silent(self, link: _Link) -> None:
-        self._send(link, self._node.number(), ProbeCall())
+        self._send(link, self._node.next_number(), ProbeCall())
         if link.retry is None:
             self._open(link)
 
@@ -314,8 +314,8 @@
         if link is None or event.stream != link.current:
             return  # of a stream that was replaced: older than what is known
         self.traffic.replies += 1
-        link.endpoint.heard_at = self._node.timers.now
-        if event.reply.sequence == link.endpoint.watch:
+        link.endpoint.last_reply_at = self._node.timers.now
+        if event.reply.sequence == link.endpoint.watch_sequence:
             self._measure(link)
         self._on_reply(link.endpoint, event.reply)
         pending = link.pending.pop(event.reply.sequence, None)
--- a/mallowpass/core/systems/draining.py
+++ b/mallowpass/core/systems/draining.py
@@ -88,7 +88,9 @@
         self._began = self.now
         self._deadline = deadline
         self._node.log("info", "drain_began", limit=limit)
-        self._node.decide("drain", self._node.identity.name, f"began, limit {limit}s")
+        self._node.record_decision(
+            "drain", self._node.identity.name, f"began, limit {limit}s"
+        )
         self._node.publish(DrainBegan(deadline))
         self._timer = self.timers.every(CHECK_PERIOD, self._check)
         return DrainAnswer(accepted=True, message=f"drains for at most {limit:g}s")
@@ -123,7 +125,7 @@
         streams = {row.stream for row in self.tables.transactions.values()}
         for stream in sorted(streams):
             self._transactions.roll_back_all(stream)
-        self._node.decide(
+        self._node.record_decision(
             "drain",
             self._node.identity.name,
             f"limit reached: transactions of {len(streams)} sessions rolled back",
--- a/mallowpass/core/systems/explaining.py
+++ b/mallowpass/core/systems/explaining.py
@@ -58,7 +58,7 @@
             message = f"{code.meaning} subject {request.subject!r}: {SUBJECTS}"
             callback(ExplainedAnswer(code=code.code, message=message))
             return
-        name = f"{self._node.identity.name}/{self._node.number()}"
+        name = f"{self._node.identity.name}/{self._node.next_number()}"
         limit = _limit(request.limit)
         own = self._search(request.subject, request.name, limit)
         question = _Question(request, callback, set(), own)
--- a/mallowpass/core/systems/failover.py
+++ b/mallowpass/core/systems/failover.py
@@ -11,7 +11,7 @@
     DatabaseRemoved,
     EndpointReported,
     EndpointStateChanged,
-    HeldStalled,
+    MajorityPositionStalled,
     PrimaryChanged,
 )
 from mallowpass.core.systems.groupfailover import GroupFailover, PromoteCallback
@@ -45,7 +45,7 @@
         self._node.subscribe(PrimaryChanged, self._primary_changed)
         self._node.subscribe(EndpointReported, self._reported)
         self._node.subscribe(EndpointStateChanged, self._state_changed)
-        self._node.subscribe(HeldStalled, self._stalled)
+        self._node.subscribe(MajorityPositionStalled, self._stalled)
 
     def use_membership(self, membership: Peers) -> None:
         """Take this host's ranks from it, and announce promotions through it."""
@@ -61,7 +61,7 @@
         if self._liveness.silence(address) < self._node.tuning.probe_interval / 2:
             return
         name = group.row.primary_row.name
-        self._node.decide("hint", group.row.key, f"{name}: {why}")
+        self._node.record_decision("hint", group.row.key, f"{name}: {why}")
         self._liveness.try_fresh(address)
         timeout = self._node.tuning.promise_timeout
         self._liveness.control_call(address, ProbeCall(), _ignore, timeout)
@@ -73,7 +73,7 @@
         group = self._groups.get(database_key)
         problem = self._why_not(group, database_key, member_name)
         if problem:
-            self._node.decide("refusal", database_key, problem)
+            self._node.record_decision("refusal", database_key, problem)
             callback(False, 0, problem)
             return
         row = group.row
@@ -81,7 +81,7 @@
         if primary is not None and primary.name == member_name:
             callback(True, row.term, f"{member_name} leads already")
             return
-        self._node.decide("order", database_key, f"promote {member_name}")
+        self._node.record_decision("order", database_key, f"promote {member_name}")
         group.begin(member_name, callback)
 
     @staticmethod
@@ -127,7 +127,7 @@
         if group is not None and endpoint.report is not None:
             group.reported(endpoint, endpoint.report)
 
-    def _stalled(self, signal: HeldStalled) -> None:
+    def _stalled(self, signal: MajorityPositionStalled) -> None:
         group = self._groups.get(signal.database)
         if group is not None:
             group.doubt()
--- a/mallowpass/core/systems/followers.py
+++ b/mallowpass/core/systems/followers.py
@@ -94,7 +94,7 @@
         self._told_at[endpoint.address] = now
         term = self._row.term
         text = f"{endpoint.name} is to follow {primary.name} in term {term}"
-        self._node.decide("follow", self._row.key, text)
+        self._node.record_decision("follow", self._row.key, text)
         call = FollowCall(term, primary.name, primary.address)
         timeout = self._node.tuning.promise_timeout
         self._liveness.control_call(endpoint.address, call, _ignore, timeout)
@@ -113,7 +113,7 @@
             return
         self._stranded_at.clear()
         text = f"{endpoint.name} is stranded in term {report.term}"
-        self._node.decide("renewal", self._row.key, text)
+        self._node.record_decision("renewal", self._row.key, text)
         self._renew()
 
 
--- a/mallowpass/core/systems/granting.py
+++ b/mallowpass/core/systems/granting.py
@@ -64,7 +64,7 @@
         without = self._classes_to_pass(pool, bool(connection.loan))
         while (taken := pool.queue.pop(without)) is not None:
             request, since = taken
-            if request.expires > self.now:
+            if request.expires_at > self.now:
                 self._node.observe("queue_seconds", self.now - since)
                 return request
             self.refuse(request, ErrorCode.DEADLINE_PASSED, "expired in the queue")
@@ -89,7 +89,7 @@
         """Learn how long the connection's request kept it."""
         request = self.tables.requests.get(connection.request)
         if request is not None:
-            seconds = self.now - connection.last_used
+            seconds = self.now - connection.last_used_at
             pool.queue.learn_cost(request.request_class, seconds)
 
     def refuse(
@@ -97,7 +97,7 @@
     ) -> None:
         """Give a request back to the request path."""
         self._node.count("turned_away", reason=code.name.lower())
-        self._node.decide("refusal", request.database, f"{code.code} {why}")
+        self._node.record_decision("refusal", request.database, f"{code.code} {why}")
         self._pooling.requests.on_refused(request, code.code, why, retry_after)
 
     def give_back(
--- a/mallowpass/core/systems/groupfailover.py
+++ b/mallowpass/core/systems/groupfailover.py
@@ -244,13 +244,15 @@
         if row.primary:
             silence = self._liveness.silence(self._suspect)
             why = f"{row.primary_row.name} is silent for {silence:.3f}s"
-            self._node.decide("suspicion", row.key, why)
+            self._node.record_decision("suspicion", row.key, why)
             self._node.log("warning", "primary_suspected", database=row.key, why=why)
             self._liveness.lose_primary(row, why)
         elif row.state is GroupState.UNKNOWN:
             row.state = GroupState.SUSPECTED
             row.suspected_at = self._now
-            self._node.decide("suspicion", row.key, "no member reports as primary")
+            self._node.record_decision(
+                "suspicion", row.key, "no member reports as primary"
+            )
 
     def _confirm(self) -> None:
         self._confirmation = Confirmation(
@@ -303,7 +305,7 @@
             return
         self._noted = finding.verdict
         text = f"{finding.verdict.value}: {finding.evidence}"
-        self._node.decide("suspicion", self.row.key, text)
+        self._node.record_decision("suspicion", self.row.key, text)
 
     def _ask_again(self, delay: float) -> None:
         """Ask when enough members may be silent; rarely once they hear for long.
@@ -372,7 +374,9 @@
         if row.state is GroupState.PROMOTING:
             row.state = GroupState.SUSPECTED
         callback, self._callback = self._callback, None
-        self._node.decide("promoted" if result.ok else "refusal", row.key, result.why)
+        self._node.record_decision(
+            "promoted" if result.ok else "refusal", row.key, result.why
+        )
         if result.ok:
             self._announce(row, result)
         self._check_in(self._overdue_in() if row.primary else self._turn.fail())
--- a/mallowpass/core/systems/groupview.py
+++ b/mallowpass/core/systems/groupview.py
@@ -158,7 +158,7 @@
         A new term starts with `held` at its beginning, above all that is older:
         nothing of a term that is over becomes held by reports any more.
         """
-        while self._waiters and self._waiters[0][0] <= self.row.held:
+        while self._waiters and self._waiters[0][0] <= self.row.majority_position:
             waiter = heapq.heappop(self._waiters)[2]
             waiter.resolve(self.is_held(waiter.position))
 
@@ -170,7 +170,7 @@
 
     def is_held(self, position: LogPosition) -> bool:
         """Tell whether a majority is known to hold a position of its own term."""
-        held = self.row.held
+        held = self.row.majority_position
         return held.term == position.term and held.position >= position.position
 
     # -- Lag -----------------------------------------------------------------
--- a/mallowpass/core/systems/handover.py
+++ b/mallowpass/core/systems/handover.py
@@ -36,7 +36,7 @@
     def review(self) -> None:
         """Plan a hand-over if the primary leaves, at this host's turn."""
         primary = self._row.primary_row
-        if primary is None or not primary.leaving or self._timer is not None:
+        if primary is None or not primary.is_leaving or self._timer is not None:
             return
         turn = min(self._liveness.steward_turn(self._row), TURN_MAX)
         delay = 2 * turn * self._node.tuning.steward_stagger
@@ -50,17 +50,17 @@
     def _act(self) -> None:
         self._timer = None
         row, primary = self._row, self._row.primary_row
-        if primary is None or not primary.leaving:
+        if primary is None or not primary.is_leaving:
             return
         if row.definition.manual_promotion:
-            self._node.decide("refusal", row.key, "promotion is by order only")
+            self._node.record_decision("refusal", row.key, "promotion is by order only")
             return
         target = self._best_target(primary)
         delay = self._node.random.uniform(RETRY / 2, RETRY)
         self._timer = self._node.timers.after(delay, self._act)
         if target is not None:
             text = f"{primary.name} leaves: hand over to {target.name}"
-            self._node.decide("order", row.key, text)
+            self._node.record_decision("order", row.key, text)
             self._begin(target.name)
 
     def _best_target(self, primary: EndpointRow) -> EndpointRow | None:
@@ -70,7 +70,7 @@
             endpoint
             for endpoint in self._row.endpoints.values()
             if endpoint.report is not None
-            and not endpoint.leaving
+            and not endpoint.is_leaving
             and endpoint is not primary
             and endpoint.report.term == self._row.term
         ]
--- a/mallowpass/core/systems/heldwaits.py
+++ b/mallowpass/core/systems/heldwaits.py
@@ -4,7 +4,7 @@
 
 from mallowpass.core.calls import LogPosition
 from mallowpass.core.node import Node
-from mallowpass.core.signals import HeldStalled
+from mallowpass.core.signals import MajorityPositionStalled
 from mallowpass.core.systems.awaiting import PlaceAwaits
 from mallowpass.core.systems.controlstreams import ControlStreams
 from mallowpass.core.systems.groupview import GroupView, HeldWaiter
@@ -58,7 +58,7 @@
         view = self._view
         if view.stall is None:
             delay = self._node.tuning.probe_interval
-            held = view.row.held
+            held = view.row.majority_position
             view.stall = self._node.timers.after(delay, self._review, held)
 
     def _review(self, before: LogPosition) -> None:
@@ -67,7 +67,7 @@
         if not view.is_awaited:
             view.stalled = False
             return
-        if view.row.held == before and not view.stalled:
+        if view.row.majority_position == before and not view.stalled:
             view.stalled = True
-            self._node.publish(HeldStalled(view.row.key))
+            self._node.publish(MajorityPositionStalled(view.row.key))
         self._expect_progress()
--- a/mallowpass/core/systems/hostlist.py
+++ b/mallowpass/core/systems/hostlist.py
@@ -122,7 +122,7 @@
                 self._check_unheard(row, ABSENT_SILENCE)
 
     def _check_unheard(self, row: HostRow, silence: float) -> None:
-        if self._node.timers.now - row.heard_at >= silence:
+        if self._node.timers.now - row.last_contact_at >= silence:
             self._check(row)
 
 
--- a/mallowpass/core/systems/hostpause.py
+++ b/mallowpass/core/systems/hostpause.py
@@ -41,4 +41,4 @@
         if late > self._node.tuning.detection * LATE_SHARE:
             self._awake_since = now
             self._node.count("host_pauses")
-            self._node.decide("pause", "host", f"stood still for {late:.3f}s")
+            self._node.record_decision("pause", "host", f"stood still for {late:.3f}s")
--- a/mallowpass/core/systems/hosts.py
+++ b/mallowpass/core/systems/hosts.py
@@ -174,7 +174,7 @@
 
     def heard(self, row: HostRow, beat: int = 0) -> None:
         """Note a direct sign of life; suspicion of this incarnation ends."""
-        row.heard_at = self._node.timers.now
+        row.last_contact_at = self._node.timers.now
         row.beat = max(row.beat, beat)
         if row.state is HostState.SUSPECTED:
             self._set_state(row, HostState.ALIVE)
@@ -198,7 +198,7 @@
             news.seat,
             news.address,
             news.incarnation,
-            heard_at=self._node.timers.now,
+            last_contact_at=self._node.timers.now,
         )
         self._rows[news.host] = row
         self._set_state(row, state)
--- a/mallowpass/core/systems/isolation.py
+++ b/mallowpass/core/systems/isolation.py
@@ -94,7 +94,7 @@
         name = row.primary_row.name
         why = f"no majority can hold what {name} takes: {finding.evidence}"
         self._node.count("suspicions", database=row.key)
-        self._node.decide("suspicion", row.key, why)
+        self._node.record_decision("suspicion", row.key, why)
         self._node.log("warning", "primary_suspected", database=row.key, why=why)
         self._liveness.bar_primary(row, why)
 
--- a/mallowpass/core/systems/keepalive.py
+++ b/mallowpass/core/systems/keepalive.py
@@ -46,7 +46,7 @@
         pool.check_timer = None
         due = self.now - self._check_period() / 2
         for connection in list(pool.idle.values()):
-            if connection.last_used <= due:
+            if connection.last_used_at <= due:
                 del pool.idle[connection.number]
                 self._check(pool, connection)
         self.check_pinned(pool)
@@ -57,7 +57,7 @@
         """Prolong the life of connections whose transaction is between statements."""
         for connection in list(pool.pinned.values()):
             life = self._pooling.loans.life(connection.loan)
-            called_at = connection.expires - life
+            called_at = connection.expires_at - life
             due = called_at + life / CHECKS_PER_LIFE <= self.now
             if due and connection.number not in pool.checking:
                 self._check(pool, connection)
@@ -65,7 +65,7 @@
     def tend_borrowed(self, pool: EndpointPool) -> None:
         """Close borrowed connections that stood idle; keep the pinned ones alive."""
         for connection in list(pool.idle_borrowed.values()):
-            if connection.expires <= self.now:
+            if connection.expires_at <= self.now:
                 self._pooling.closing.close(pool, connection)
         self.check_pinned(pool)
 
@@ -119,10 +119,10 @@
         now = self.now
         # Marked first: a connection closed right here is not a request's any more.
         pool.internal[number] = purpose
-        if connection.expires <= now:
+        if connection.expires_at <= now:
             self._pooling.closing.expire(pool, connection)
             return
-        connection.expires = self._pooling.expiry(pool, connection, now)
+        connection.expires_at = self._pooling.expiry(pool, connection, now)
         connection.sequence += 1
         if not connection.transaction:
             connection.state = _BUSY
@@ -167,7 +167,7 @@
             self._pooling.closing.close(pool, connection)
             self._pooling.granting.pump(pool)
         else:
-            connection.last_used = self.now
+            connection.last_used_at = self.now
             self._pooling.make_idle(pool, connection)
             self._pooling.granting.pump(pool)
 
@@ -179,11 +179,13 @@
         if connection is None:
             return
         node = self._node
-        silent_since = max(connection.last_used, connection.called_at)
-        node.decide("silent", pool.address, f"connection {number} gave no answer")
+        silent_since = max(connection.last_used_at, connection.last_call_at)
+        node.record_decision(
+            "silent", pool.address, f"connection {number} gave no answer"
+        )
         node.log("warning", "connection_silent", address=pool.address, number=number)
         if not connection.loan:
-            pool.ghosts.append(connection.expires + LIFE_MARGIN)
+            pool.ghosts.append(connection.expires_at + LIFE_MARGIN)
         self._pooling.closing.lose(pool, connection, "silent")
         self.check_older(pool, silent_since)
         self._pooling.granting.pump(pool)
@@ -197,10 +199,10 @@
         connection = self._connections.get(number)
         if connection is None:
             return
-        heard_at = pool.endpoint.heard_at
+        heard_at = pool.endpoint.last_reply_at
         since = self.now - CHECK_TIMEOUT
         stalled = float("-inf") < heard_at < since
-        if stalled and self.now < connection.expires:
+        if stalled and self.now < connection.expires_at:
             pool.checking.add(number)
         else:
             self.went_silent(pool, number)
@@ -213,6 +215,6 @@
         """
         for idle in (pool.idle, pool.idle_borrowed):
             for connection in list(idle.values()):
-                if connection.last_used <= since:
+                if connection.last_used_at <= since:
                     del idle[connection.number]
                     self._check(pool, connection)
--- a/mallowpass/core/systems/leaving.py
+++ b/mallowpass/core/systems/leaving.py
@@ -33,7 +33,7 @@
 
 
 class EndpointNews:
-    """Keep EndpointRow.leaving true, and tell peers."""
+    """Keep EndpointRow.is_leaving true, and tell peers."""
 
     __slots__ = ("_membership", "_node", "_number", "_seen", "_telling", "_told")
 
@@ -80,7 +80,7 @@
     def _tell(self, address: str, leaving: bool) -> None:
         self._telling.discard(address)
         row = self._node.tables.endpoints.get(address)
-        if row is None or row.leaving is not leaving:
+        if row is None or row.is_leaving is not leaving:
             return
         if self._told.get(address, False) is not leaving:
             self._remember(address, leaving)
@@ -105,7 +105,7 @@
         row = self._node.tables.endpoints.get(notice.address)
         if row is None:
             return
-        age = self._node.timers.now - row.report_at
+        age = self._node.timers.now - row.last_report_at
         if row.report is None or age > FRESH_REPORT:
             self._mark(row, notice.leaving)
         elif row.report.leaving is not notice.leaving:
@@ -121,12 +121,12 @@
     # -- Helpers -------------------------------------------------------------
 
     def _mark(self, row: EndpointRow, leaving: bool) -> None:
-        if row.leaving is leaving:
+        if row.is_leaving is leaving:
             return
-        row.leaving = leaving
+        row.is_leaving = leaving
         word = "leaving" if leaving else "back"
         self._node.log("info", "endpoint_state", address=row.address, state=word)
-        self._node.decide("endpoint", row.address, f"is {word}")
+        self._node.record_decision("endpoint", row.address, f"is {word}")
         self._node.publish(EndpointStateChanged(row.address))
 
     def _notice(self, address: str, leaving: bool) -> EndpointNotice:
--- a/mallowpass/core/systems/liveness.py
+++ b/mallowpass/core/systems/liveness.py
@@ -278,7 +278,7 @@
         endpoint = self.tables.endpoints.get(connection.address)
         if endpoint is None:
             return
-        endpoint.heard_at = self.now
+        endpoint.last_reply_at = self.now
         if connection.sequence == event.reply.sequence:
             self._take_answer(endpoint, event.reply)
 
@@ -304,7 +304,7 @@
         self, view: GroupView, endpoint: EndpointRow, report: Report
     ) -> None:
         endpoint.report = report
-        endpoint.report_at = self.now
+        endpoint.last_report_at = self.now
         endpoint.misses = 0
         view.history.learn(report)
         view.mark(self.now, report.received)
--- a/mallowpass/core/systems/loans.py
+++ b/mallowpass/core/systems/loans.py
@@ -168,7 +168,7 @@
         host = self._choose_lender(asking)
         asking.next_at = self.now + ASK_INTERVAL * self._jitter()
         if host is not None:
-            number = self._node.number()
+            number = self._node.next_number()
             identity = self._node.identity
             loan = f"{identity.name}/{identity.incarnation}/{number}"
             wanted = min(ASKED_MAX, len(pool.queue))
@@ -279,7 +279,7 @@
         self._lenders[loan.loan] = host
         pool.borrowed[loan.loan] = loan
         self._node.count("loans", direction="borrowed")
-        self._node.decide(
+        self._node.record_decision(
             "loan", pool.address, f"{loan.connections} borrowed from {host}"
         )
         self.timers.after(TICK, self._tend, pool, loan)
@@ -322,7 +322,7 @@
 
     def _renew(self, pool: EndpointPool, loan: LoanPlaces) -> None:
         self._send_call(
-            self._node.number(),
+            self._node.next_number(),
             loan.loan,
             self._lenders[loan.loan],
             pool.address,
@@ -372,7 +372,7 @@
         pool.lent += places
         self._keep_until(lent, self.now + self._loan_seconds + MARGIN)
         self._node.count("loans", direction="lent")
-        self._node.decide("loan", pool.address, f"{places} lent to {host}")
+        self._node.record_decision("loan", pool.address, f"{places} lent to {host}")
         return places
 
     def _lend_on(self, pool: EndpointPool, lent: _Lent) -> int:
--- a/mallowpass/core/systems/membership.py
+++ b/mallowpass/core/systems/membership.py
@@ -289,13 +289,13 @@
             if self.now - since > grace:
                 row = self.tables.hosts[name]
                 self._hosts.bury(row)
-                self._node.decide(
+                self._node.record_decision(
                     "membership", name, f"silent, incarnation {row.incarnation}: dead"
                 )
                 self.broadcast(notice_of(row))
 
     def _on_unreachable(self, row: HostRow) -> None:
-        if self.now - row.heard_at > self._node.tuning.suspicion:
+        if self.now - row.last_contact_at > self._node.tuning.suspicion:
             self._doubt(row.name)
 
     def _doubt(self, name: str) -> None:
@@ -352,7 +352,7 @@
             return
         self._incarnation = news.incarnation + 1
         self._hosts.hash_self(self._incarnation, self._draining)
-        self._node.decide(
+        self._node.record_decision(
             "membership",
             self._node.identity.name,
             f"told {news.state}, refuted with incarnation {self._incarnation}",
--- a/mallowpass/core/systems/opening.py
+++ b/mallowpass/core/systems/opening.py
@@ -27,7 +27,7 @@
     def open_more(self, pool: EndpointPool) -> None:
         """Open what waiting requests need, or ask other hosts for places."""
         now = self.now
-        if pool.endpoint.leaving or now < pool.retry_at:
+        if pool.endpoint.is_leaving or now < pool.retry_at:
             return
         if pool.active >= pool.statement_limit:
             return
@@ -52,7 +52,7 @@
             return
         if pool.active >= pool.statement_limit:
             return
-        if pool.endpoint.leaving or self.now < pool.retry_at:
+        if pool.endpoint.is_leaving or self.now < pool.retry_at:
             return
         kept = min(pool.usable, pool.own - pool.lendable)
         if pool.own_count < kept and not pool.ghosts:
@@ -69,10 +69,10 @@
             return
         pool.backoff = 0
         now = self.now
-        connection.expires = self._pooling.expiry(
+        connection.expires_at = self._pooling.expiry(
             pool, connection, connection.opened_at
         )
-        connection.opened_at = connection.last_used = now
+        connection.opened_at = connection.last_used_at = now
         self._node.count("connections_opened")
         self._pooling.make_idle(pool, connection)
         self._pooling.granting.pump(pool)
@@ -99,7 +99,7 @@
     def room(self, pool: EndpointPool) -> int:
         """Return how many more connections could be opened now."""
         now = self.now
-        if pool.endpoint.leaving or now < pool.retry_at:
+        if pool.endpoint.is_leaving or now < pool.retry_at:
             return 0
         own = pool.usable - pool.own_count - self._ghosts_in_the_way(pool)
         borrowed = sum(
@@ -139,13 +139,13 @@
 
     def _open(self, pool: EndpointPool, loan: str) -> None:
         node = self._node
-        number = node.number()
+        number = node.next_number()
         now = self.now
         life, timeout = self._pooling.loans.times(loan)
         connection = ConnectionRow(
             number, pool.address, ConnectionState.OPENING, now, now, loan=loan
         )
-        connection.expires = now + self._pooling.lifetime
+        connection.expires_at = now + self._pooling.lifetime
         self._connections[number] = connection
         pool.connections[number] = connection
         if loan:
@@ -165,7 +165,7 @@
             delay = LIMIT_BACKOFF * (0.5 + self._node.random.random())
             self.timers.after(delay, self._raise_share, pool)
         pool.open_limit = pool.own_count
-        self._node.decide(
+        self._node.record_decision(
             "share", pool.address, f"endpoint is full, {pool.open_limit} kept"
         )
 
--- a/mallowpass/core/systems/operators.py
+++ b/mallowpass/core/systems/operators.py
@@ -144,7 +144,7 @@
         return result
 
     def _relay_drain(self, request: DrainRequest, call: int) -> None:
-        name = f"{self._node.identity.name}/{self._node.number()}"
+        name = f"{self._node.identity.name}/{self._node.next_number()}"
         message = DrainCall(name, request.host, request.operator, request.limit)
         if not self._node.system(Membership).reach(request.host, message):
             self._answer(call, _unknown_host(request.host, "is not known here"))
@@ -194,7 +194,7 @@
             result=outcome,
         )
         text = f"{action} by {request.operator}: {outcome} {result.message}"
-        self._node.decide("operator", subject, text)
+        self._node.record_decision("operator", subject, text)
 
     def _not_found(self, name: str) -> ServicesListedAnswer:
         code = ErrorCode.SERVICE_NOT_FOUND
--- a/mallowpass/core/systems/outcomes.py
+++ b/mallowpass/core/systems/outcomes.py
@@ -64,7 +64,9 @@
         request.state = RequestState.RESOLVING
         request.detail = why
         subject = request.request.request_id
-        self._node.decide("resolve", subject, f"attempt {request.attempt}: {why}")
+        self._node.record_decision(
+            "resolve", subject, f"attempt {request.attempt}: {why}"
+        )
         self.look_up(request)
 
     def look_up(self, request: RequestRow) -> None:
@@ -127,7 +129,7 @@
         request = look_up.request
         look_up.cancel()
         request.waiter = None
-        self._node.decide("resolve", request.request.request_id, "recorded")
+        self._node.record_decision("resolve", request.request.request_id, "recorded")
         request.sent_term = look_up.term
         self._requests.writes.await_majority(
             request, reply.outcome_position, reply.outcome_rows
@@ -156,7 +158,7 @@
         look_up.cancel()
         request.waiter = None
         subject = request.request.request_id
-        self._node.decide("resolve", subject, "not recorded, and fenced")
+        self._node.record_decision("resolve", subject, "not recorded, and fenced")
         why = f"proven not run: {request.detail}"
         if isinstance(request.request, CommitRequest):
             code = ErrorCode.TRANSACTION_ROLLED_BACK
@@ -164,8 +166,8 @@
             return
         request.attempt += 1
         database = self.tables.databases.get(request.database)
-        prepaid = request.prepaid
-        request.prepaid = False
+        prepaid = request.is_retry_prepaid
+        request.is_retry_prepaid = False
         if prepaid or database is None or database.term > request.sent_term:
             # Once for each promotion: no budget is needed to bound that.
             self._requests.route(request)
--- a/mallowpass/core/systems/peers.py
+++ b/mallowpass/core/systems/peers.py
@@ -258,7 +258,7 @@
         retry = self._retries.get(address)
         if retry is not None and self._now < retry.at:
             return
-        number = self._node.number()
+        number = self._node.next_number()
         until = self._now + temporary if temporary else 0.0
         link = Link(number, address, self._now, outgoing=True, temporary_until=until)
         self._links[number] = link
--- a/mallowpass/core/systems/platform.py
+++ b/mallowpass/core/systems/platform.py
@@ -208,7 +208,7 @@
         self._breaker.sent()
         timeout = self._node.tuning.platform_timeout
         pending.tries += 1
-        pending.number = self._node.number()
+        pending.number = self._node.next_number()
         self._in_flight[pending.number] = pending
         pending.timer = self.timers.after(
             timeout + ANSWER_MARGIN, self._on_silence, pending.number
--- a/mallowpass/core/systems/poolchanges.py
+++ b/mallowpass/core/systems/poolchanges.py
@@ -160,14 +160,14 @@
         pool = self._pooling.by_address.get(address)
         if pool is None:
             return
-        pool.endpoint.leaving = True
+        pool.endpoint.is_leaving = True
         self._leave(pool, f"{address} was removed")
 
     def _on_endpoint_state(self, signal: EndpointStateChanged) -> None:
         pool = self._pooling.by_address.get(signal.address)
         if pool is None:
             return
-        if pool.endpoint.leaving:
+        if pool.endpoint.is_leaving:
             self._leave(pool, f"{signal.address} is leaving")
         elif pool.endpoint.ejected_until > self.now:
             self._give_back_reads(pool, f"{signal.address} was ejected")
--- a/mallowpass/core/systems/pooling.py
+++ b/mallowpass/core/systems/pooling.py
@@ -116,7 +116,7 @@
             and not pool.queue.entries
             and pool.active < pool.statement_limit
             and request.request_class not in pool.patient
-            and not endpoint.leaving
+            and not endpoint.is_leaving
         ):
             connection = self.take(pool)
             if connection is not None:
@@ -174,7 +174,7 @@
         if reset:
             self.keepalive.reset(pool, connection)
             return
-        pool.learn_hold(self._node.timers.now - connection.last_used)
+        pool.learn_hold(self._node.timers.now - connection.last_used_at)
         self.make_idle(pool, connection)
         if pool.queue.entries:
             self.granting.pump(pool)
@@ -226,7 +226,7 @@
     def suspect(self, connection: ConnectionRow) -> None:
         """Have idle connections prove themselves that may be as silent as this one."""
         pool = self.by_address[connection.address]
-        self.keepalive.check_older(pool, connection.called_at)
+        self.keepalive.check_older(pool, connection.last_call_at)
         self.granting.pump(pool)
 
     def close_silent(self, connection: ConnectionRow) -> None:
@@ -310,7 +310,7 @@
                 connection = idle.popitem()[1]
                 # A host that was paused wakes with connections that the endpoint has
                 # closed, and given to others, meanwhile.
-                if connection.expires <= now:
+                if connection.expires_at <= now:
                     self.closing.expire(pool, connection)
                     continue
                 if len(pool.idle) < pool.idle_low:
@@ -324,7 +324,7 @@
         """Give a connection to a request."""
         connection.state = _BUSY
         connection.request = request.number
-        connection.last_used = self._node.timers.now
+        connection.last_used_at = self._node.timers.now
         request.connection = connection.number
         request.address = connection.address
         pool.active += 1
@@ -339,7 +339,7 @@
         """Keep a connection for the next request, unless it is one too many."""
         now = self._node.timers.now
         connection.state = _IDLE
-        if connection.expires <= now or self.is_surplus(pool, connection):
+        if connection.expires_at <= now or self.is_surplus(pool, connection):
             self.closing.close(pool, connection)
             return
         self.put_idle(pool, connection)
@@ -353,7 +353,7 @@
 
     def is_surplus(self, pool: EndpointPool, connection: ConnectionRow) -> bool:
         """Tell whether a connection is to be closed once it is free."""
-        if pool.endpoint.leaving or (self.draining and not pool.queue):
+        if pool.endpoint.is_leaving or (self.draining and not pool.queue):
             return True
         if connection.loan:
             loan = pool.borrowed.get(connection.loan)
@@ -374,15 +374,15 @@
         node = self._node
         now = node.timers.now
         known = number in self._connections
-        if connection.expires <= now or not known:
+        if connection.expires_at <= now or not known:
             # Told later: the caller of send still has to note that it sent.
             self.timers.at(now, self.closing.lose_unsent, pool, connection, known)
             return
         if connection.loan:
-            connection.expires = self.expiry(pool, connection, now)
+            connection.expires_at = self.expiry(pool, connection, now)
         else:
-            connection.expires = now + self.lifetime
-        connection.called_at = now
+            connection.expires_at = now + self.lifetime
+        connection.last_call_at = now
         pool.answering.add(number)
         node.emit(SendEndpoint(number, sequence, call))
 
@@ -433,7 +433,7 @@
         elif reply.code is EndpointCode.OK:
             # Refusals come quickly: taken for statements, they would make the first
             # real ones look like contention.
-            pool.concurrency.record(now, now - connection.called_at, pool.active)
+            pool.concurrency.record(now, now - connection.last_call_at, pool.active)
 
     def _hand_on(
         self, pool: EndpointPool, connection: ConnectionRow, reply: EndpointReply
--- a/mallowpass/core/systems/primaries.py
+++ b/mallowpass/core/systems/primaries.py
@@ -6,7 +6,7 @@
 
 from mallowpass.core.calls import LogPosition, Report, Role
 from mallowpass.core.node import Node
-from mallowpass.core.signals import HeldAdvanced, PrimaryChanged
+from mallowpass.core.signals import MajorityPositionAdvanced, PrimaryChanged
 from mallowpass.core.systems.groupview import GroupView
 from mallowpass.core.tables import DatabaseRow, EndpointRow, GroupState
 
@@ -37,12 +37,12 @@
     def advance_held(self, view: GroupView) -> None:
         """Move on the place that a majority holds, and tell who waits for it."""
         held = view.majority_held()
-        if held <= view.row.held:
+        if held <= view.row.majority_position:
             return
-        view.row.held = held
+        view.row.majority_position = held
         view.stalled = False
         view.resolve_waiters()
-        self._node.publish(HeldAdvanced(view.row.key))
+        self._node.publish(MajorityPositionAdvanced(view.row.key))
 
     # -- Losing and taking back ----------------------------------------------
 
@@ -100,7 +100,7 @@
         row.primary = view.last_primary = endpoint.address
         row.state = GroupState.SERVING
         row.suspected_at = None
-        row.held = LogPosition(report.term, 0)
+        row.majority_position = LogPosition(report.term, 0)
         now = self._node.timers.now
         if not is_first:
             row.last_promotion_at = now
@@ -114,7 +114,7 @@
         self.advance_held(view)
 
     def _publish(self, view: GroupView, why: str) -> None:
-        self._node.decide("primary", view.row.key, why)
+        self._node.record_decision("primary", view.row.key, why)
         self._node.publish(PrimaryChanged(view.row.key))
         self._changed(view)
 
--- a/mallowpass/core/systems/promotion.py
+++ b/mallowpass/core/systems/promotion.py
@@ -102,7 +102,7 @@
     ) -> None:
         identity = node.identity
         self.term = term
-        self.proposer = f"{identity.name}/{identity.incarnation}/{node.number()}"
+        self.proposer = f"{identity.name}/{identity.incarnation}/{node.next_number()}"
         self.chosen: EndpointRow | None = None
         self.old = row.primary
         self.refused_term = 0
@@ -184,14 +184,16 @@
         self._phase = _Phase.STOP
         self._cancel_timer()
         self._hold_writes()
-        self._node.decide("promise", self._row.key, f"{self._name}: stop {self.old}")
+        self._node.record_decision(
+            "promise", self._row.key, f"{self._name}: stop {self.old}"
+        )
         self._repeat(self.old, self._promise, self._stopped, PROMISE_TRIES)
 
     def _stopped(self, address: str, reply: ControlReply | None) -> None:
         if self._phase is not _Phase.STOP:
             return
         if reply is None:
-            self._node.decide(
+            self._node.record_decision(
                 "promise", self._row.key, f"{self._name}: {address} did not answer"
             )
             self._ask_promises()
@@ -229,7 +231,9 @@
         self._phase = _Phase.PROMISE
         self._cancel_timer()
         self._hold_writes()
-        self._node.decide("promise", self._row.key, f"{self._name}: ask all members")
+        self._node.record_decision(
+            "promise", self._row.key, f"{self._name}: ask all members"
+        )
         for address in self._among:
             if address not in self._grants:
                 self._repeat(address, self._promise, self._promised, PROMISE_TRIES)
@@ -256,7 +260,7 @@
         seen = reply.report.term if reply.report is not None else 0
         self.refused_term = max(self.refused_term, seen)
         text = f"{self._name}: {name} refused with {reply.code.name} in term {seen}"
-        self._node.decide("refusal", self._row.key, text)
+        self._node.record_decision("refusal", self._row.key, text)
         # Its proposer goes on to the other members: whoever is lower only adds a
         # round in which nobody leads. An equal term may still be ours.
         if seen > self.term or self._phase is _Phase.STOP:
@@ -304,7 +308,7 @@
             if address in self._row.endpoints
         )
         text = f"{self._name}: promote {self.chosen.name}; promises: {evidence}"
-        self._node.decide("promotion", self._row.key, text)
+        self._node.record_decision("promotion", self._row.key, text)
         self._promote(furthest)
 
     def _preference(self, endpoint: EndpointRow) -> tuple[bool, bool, bool, str]:
@@ -313,7 +317,7 @@
         region_of = self._node.identity.region_of
         return (
             endpoint.name != self._target,
-            endpoint.leaving,
+            endpoint.is_leaving,
             region_of(endpoint.member.failure_domain) != region_of(place),
             endpoint.name,
         )
--- a/mallowpass/core/systems/proving.py
+++ b/mallowpass/core/systems/proving.py
@@ -106,7 +106,7 @@
 
     def _keep(self, pool: EndpointPool, connection: ConnectionRow) -> None:
         life = self._pooling.loans.life(connection.loan)
-        called_at = connection.expires - life
+        called_at = connection.expires_at - life
         proof = self._proof(pool, connection.number)
         due = called_at + life / CHECKS_PER_LIFE <= self.now
         if due and not proof.outstanding:
@@ -117,13 +117,13 @@
     def _ask(self, pool: EndpointPool, connection: ConnectionRow, proof: Proof) -> None:
         now = self.now
         # A host that was paused does not prolong what the endpoint may have closed.
-        if connection.expires <= now:
+        if connection.expires_at <= now:
             return
         expires = self._pooling.expiry(pool, connection, now)
         if expires <= now:
             return
-        connection.expires = expires
-        proof.sequence = FIRST_PROOF + self._node.number()
+        connection.expires_at = expires
+        proof.sequence = FIRST_PROOF + self._node.next_number()
         proof.asked_at = now
         proof.answered = False
         self._node.emit(
--- a/mallowpass/core/systems/reads.py
+++ b/mallowpass/core/systems/reads.py
@@ -97,26 +97,26 @@
             self._waiting_of(request).pop(request.number, None)
             self._overdue.renew(request.number)
             self._requests.acquire(request, endpoint.address)
-        elif request.avoided and not request.behind:
+        elif request.avoided_addresses and not request.behind_count:
             why = f"no member served it: {request.detail}"
             self._requests.waiting.retry(request, ErrorCode.ENDPOINT_REFUSED, why)
         else:
             self._waiting_of(request)[request.number] = request
-            request.avoided = None
+            request.avoided_addresses = None
             self._requests.waiting.hold(
                 request, "no member has its floor, and no primary"
             )
 
     def _wait(self, request: RequestRow, pause: float) -> None:
-        request.state = RequestState.WAITING_FLOOR
+        request.state = RequestState.AWAITING_FLOOR
         request.detail = "a replica is about to reach the floor"
         self._waiting_of(request)[request.number] = request
         self.timers.after(pause, self._on_waited, request)
 
     def _on_waited(self, request: RequestRow) -> None:
         waiting = self._waiting_of(request)
-        if request.state is RequestState.WAITING_FLOOR and request.number in waiting:
-            request.avoided = None
+        if request.state is RequestState.AWAITING_FLOOR and request.number in waiting:
+            request.avoided_addresses = None
             self.route(request)
 
     def _waiting_of(self, request: RequestRow) -> dict[int, RequestRow]:
@@ -125,26 +125,29 @@
     def reported(self, endpoint: EndpointRow) -> None:
         """Route waiting reads whose floor a member's report proves."""
         waiting = self._waiting.get(endpoint.database)
-        if not waiting or endpoint.leaving:
+        if not waiting or endpoint.is_leaving:
             return
         for request in list(waiting.values()):
-            if request.state not in (RequestState.WAITING_FLOOR, RequestState.HELD):
+            if request.state not in (
+                RequestState.AWAITING_FLOOR,
+                RequestState.AWAITING_PRIMARY,
+            ):
                 waiting.pop(request.number, None)
             elif self._liveness.reached(endpoint, request.floor):
                 waiting.pop(request.number, None)
-                request.avoided = None
+                request.avoided_addresses = None
                 self.route(request)
 
     # -- Sending -------------------------------------------------------------
 
     def send(self, request: RequestRow, connection: ConnectionRow) -> None:
         """Send a read on the connection that it got."""
-        if self.now > request.arrived and not self._floors.renew(request):
+        if self.now > request.arrived_at and not self._floors.renew(request):
             self._requests.release(request, connection)
             self._floors.learn(request)
             return
         request.state = RequestState.SENT
-        if request.sent_at > request.arrived:
+        if request.sent_at > request.arrived_at:
             self._overdue.renew(request.number)
         statement = request.request
         if isinstance(statement, BeginRequest):
@@ -187,7 +190,7 @@
         session = self.tables.sessions.get(request.stream)
         if session is not None:
             self._sessions.raise_floor(session, request.database, reply.applied)
-        for stream, _ in request.followers or ():
+        for stream, _ in request.duplicates or ():
             follower = self.tables.sessions.get(stream)
             if follower is not None:
                 self._sessions.raise_floor(follower, request.database, reply.applied)
@@ -221,7 +224,7 @@
             self._requests.not_run(request, code_of_refusal(reply), why)
             return
         if code is EndpointCode.BEHIND:
-            request.behind += 1
+            request.behind_count += 1
         elif code not in _NOT_THIS_MEMBER:
             self._requests.record(connection.address, 0.0, ok=False)
         self.elsewhere(request, ErrorCode.ENDPOINT_REFUSED, why)
@@ -239,8 +242,8 @@
             self._requests.release(request, connection, reset=began)
         else:
             self._requests.discard(request, "its stale answer goes on")
-        request.behind += 1
-        self._node.decide("stale", request.request.request_id, why)
+        request.behind_count += 1
+        self._node.record_decision("stale", request.request.request_id, why)
         self.elsewhere(request, ErrorCode.FLOOR_NOT_REACHED, why)
 
     def _on_late(self, number: int) -> None:
@@ -281,10 +284,10 @@
             return
         self._requests.record(request.address, 0.0, ok=False)
         self._requests.suspect(request)
-        request.moved = True
+        request.was_moved = True
         why = f"{request.address}: no answer in {self.now - request.sent_at:.3f}s"
         self._node.emit(RETRIES_COUNT)
-        self._node.decide("retry", request.request.request_id, why)
+        self._node.record_decision("retry", request.request.request_id, why)
         self.elsewhere(request, ErrorCode.CONNECTION_LOST, why)
 
     def _is_overdue(self, request: RequestRow) -> bool:
@@ -299,14 +302,14 @@
         connection = self.tables.connections.get(request.connection)
         if connection is None or not self._pooling.answers(connection, LOOK):
             return False
-        return request.moved or self._pooling.is_patient(request)
+        return request.was_moved or self._pooling.is_patient(request)
 
     def turned_away(self, request: RequestRow, why: str, retry_after: float) -> None:
         """Read at another member than one with too long a line, or give up at once."""
         request.retry_after = min(request.retry_after, retry_after)
-        if request.avoided is None:
-            request.avoided = set()
-        request.avoided.add(request.address)
+        if request.avoided_addresses is None:
+            request.avoided_addresses = set()
+        request.avoided_addresses.add(request.address)
         endpoint = self._routing.choose_any_read(request)
         if endpoint is not None:
             self._requests.acquire(request, endpoint.address)
@@ -325,12 +328,14 @@
             self._requests.unknown(request, f"the answer broke off: {why}")
             return
         request.detail = why
-        if request.avoided is None:
-            request.avoided = set()
-        request.avoided.add(request.address)
+        if request.avoided_addresses is None:
+            request.avoided_addresses = set()
+        request.avoided_addresses.add(request.address)
         request.state = RequestState.BACKOFF
         database = self.tables.databases.get(request.database)
-        if database is None or len(request.avoided) >= len(database.endpoints):
+        if database is None or len(request.avoided_addresses) >= len(
+            database.endpoints
+        ):
             self._requests.waiting.retry(request, code, why)
         else:
             self.route(request)
--- a/mallowpass/core/systems/requests.py
+++ b/mallowpass/core/systems/requests.py
@@ -48,9 +48,9 @@
 
 _WAITING = frozenset(
     {
-        RequestState.WAITING_FLOOR,
+        RequestState.AWAITING_FLOOR,
         RequestState.QUEUED,
-        RequestState.HELD,
+        RequestState.AWAITING_PRIMARY,
         RequestState.BACKOFF,
     }
 )
@@ -158,18 +158,18 @@
             self.answers.refuse(session, request, ErrorCode.DEADLINE_PASSED)
             return None
         row = RequestRow(
-            number=self._node.number(),
+            number=self._node.next_number(),
             stream=session.stream,
             request=request,
             database=key,
             access=access,
-            arrived=self.now,
-            expires=self.now + deadline,
+            arrived_at=self.now,
+            expires_at=self.now + deadline,
             request_class=getattr(request, "request_class", "")
             or session.request_class
             or service.service.classes[0].name,
         )
-        row.timer = self.timers.at(row.expires, self._on_deadline, row)
+        row.timer = self.timers.at(row.expires_at, self._on_deadline, row)
         session.requests[request.request_id] = row.number
         self.tables.requests[row.number] = row
         self._active.setdefault(key, {})[row.number] = row
@@ -328,7 +328,7 @@
         """Drop what an ended session has waiting; what was sent runs on."""
         for number in list(session.requests.values()):
             request = self.tables.requests.get(number)
-            if request is None or request.transaction or request.followers:
+            if request is None or request.transaction or request.duplicates:
                 continue
             if request.state in _WAITING or request.access is Access.READ:
                 self._cancel(request)
@@ -367,7 +367,7 @@
         retry_after: float = 0.0,
     ) -> None:
         message = f"{code.meaning} {why}"
-        self._node.decide(
+        self._node.record_decision(
             "refuse", request.request.request_id, f"{code.code} {outcome.value}: {why}"
         )
         answer = CallerAnswer(
@@ -408,7 +408,7 @@
 
     def _raise_floors(self, request: RequestRow, position: LogPosition) -> None:
         streams = [request.stream]
-        streams += [stream for stream, _ in request.followers or ()]
+        streams += [stream for stream, _ in request.duplicates or ()]
         for stream in streams:
             session = self.tables.sessions.get(stream)
             if session is not None:
@@ -426,10 +426,10 @@
             return
         if request.transaction:
             self._transactions.on_deadline(request)
-        elif state is RequestState.HELD:
+        elif state is RequestState.AWAITING_PRIMARY:
             code = ErrorCode.FAILING_OVER
             self.not_run(request, code, request.detail, RETRY_AFTER)
-        elif state is RequestState.WAITING_FLOOR:
+        elif state is RequestState.AWAITING_FLOOR:
             code = ErrorCode.FLOOR_NOT_REACHED
             self.not_run(request, code, request.detail, RETRY_AFTER)
         elif state in _WAITING:
--- a/mallowpass/core/systems/retries.py
+++ b/mallowpass/core/systems/retries.py
@@ -54,7 +54,7 @@
         once, not when its time is up.
         """
         delay = self._delay(request.tries)
-        if self.now + delay >= request.expires or self.is_spent(request):
+        if self.now + delay >= request.expires_at or self.is_spent(request):
             return None
         self._budget(service_of(request.database)).left -= 1.0
         request.tries += 1
--- a/mallowpass/core/systems/routing.py
+++ b/mallowpass/core/systems/routing.py
@@ -99,7 +99,7 @@
 
         A member that said it is behind counts too: it is asked again after the wait.
         """
-        left = request.arrived + self._node.tuning.replica_wait - self.now
+        left = request.arrived_at + self._node.tuning.replica_wait - self.now
         if left <= 0:
             return 0.0
         shortest = float("inf")
@@ -133,7 +133,7 @@
     def choose_write(self, database: DatabaseRow) -> EndpointRow | None:
         """Return the primary, None while writes have to be held."""
         primary = database.primary_row
-        if primary is None or primary.leaving:
+        if primary is None or primary.is_leaving:
             return None
         if database.state is GroupState.PROMOTING:
             return None
@@ -148,16 +148,18 @@
         if ok:
             self._record_success(endpoint, health, latency)
         else:
-            endpoint.errors += 1
+            endpoint.consecutive_errors += 1
             if self._is_primary(endpoint):
                 return  # whether it still leads is for the members to say
-            if endpoint.errors >= ERRORS_MAX or health.ejections:
-                self._eject(endpoint, health, f"{endpoint.errors} errors in a row")
+            if endpoint.consecutive_errors >= ERRORS_MAX or health.ejections:
+                self._eject(
+                    endpoint, health, f"{endpoint.consecutive_errors} errors in a row"
+                )
 
     def _record_success(
         self, endpoint: EndpointRow, health: _Health, latency: float
     ) -> None:
-        endpoint.errors = 0
+        endpoint.consecutive_errors = 0
         if self.now - health.measured_at > MEASURED_FOR:
             endpoint.latency = latency
         else:
@@ -194,7 +196,7 @@
         health.ejections = min(health.ejections + 1, 10)
         endpoint.ejected_until = self.now + pause
         text = f"ejected for {pause:.3f}s: {why}"
-        self._node.decide("route", endpoint.address, text)
+        self._node.record_decision("route", endpoint.address, text)
         self._node.log(
             "warning",
             "endpoint_ejected",
@@ -224,18 +226,21 @@
         return database is not None and database.primary == endpoint.address
 
     def _open_to(self, endpoint: EndpointRow, request: RequestRow) -> bool:
-        if endpoint.leaving:
+        if endpoint.is_leaving:
             return False
-        return request.avoided is None or endpoint.address not in request.avoided
+        return (
+            request.avoided_addresses is None
+            or endpoint.address not in request.avoided_addresses
+        )
 
     def _is_failed(self, endpoint: EndpointRow, request: RequestRow) -> bool:
-        return not request.behind and not self._open_to(endpoint, request)
+        return not request.behind_count and not self._open_to(endpoint, request)
 
     def _usable(self, endpoint: EndpointRow, request: RequestRow) -> bool:
         return self._open_to(endpoint, request) and self._is_sound(endpoint)
 
     def _is_sound(self, endpoint: EndpointRow) -> bool:
-        if endpoint.leaving:
+        if endpoint.is_leaving:
             return False
         if endpoint.ejected_until > self.now:
             return False
@@ -255,7 +260,7 @@
         pool = self._pooling.known_pool(endpoint.address)
         if pool is None:
             return latency
-        if not endpoint.control_open:
+        if not endpoint.is_control_open:
             latency += UNHEARD_COST
         load = pool.active + len(pool.queue)
         # Without a share it takes a loan first, and loans may not come.
--- a/mallowpass/core/systems/sessionfloors.py
+++ b/mallowpass/core/systems/sessionfloors.py
@@ -36,7 +36,7 @@
     def begin(self, request: RequestRow) -> None:
         """Set a floor, learn it where it is unknown, and route the request."""
         self._set(request)
-        if request.fresh_floor:
+        if request.needs_fresh_floor:
             self.learn(request)
         else:
             self._requests.route(request)
@@ -44,18 +44,18 @@
     def _set(self, request: RequestRow) -> None:
         session = self.tables.sessions.get(request.stream)
         if session is not None:
-            request.seen = self._sessions.seen(session, request.database)
+            request.session_positions = self._sessions.seen(session, request.database)
         # A session that has no floor here may still have written, through another
         # host and under a token that it lost: it would not see its own record.
-        request.fresh_floor = not request.seen
-        request.floor = max(request.seen, default=ZERO_POSITION)
+        request.needs_fresh_floor = not request.session_positions
+        request.floor = max(request.session_positions, default=ZERO_POSITION)
         age = self._accepted_age(request)
         if age is None:
             return
         database = self.tables.databases[request.database]
         aged = self._liveness.age_floor(database, age)
         if aged is None:
-            request.fresh_floor = True
+            request.needs_fresh_floor = True
         elif aged > request.floor:
             request.floor = aged
 
@@ -75,15 +75,15 @@
 
     def learn(self, request: RequestRow) -> None:
         """Learn a floor from a majority, then route the request."""
-        request.state = RequestState.WAITING_FLOOR
+        request.state = RequestState.AWAITING_FLOOR
         request.detail = "the session's floor is being learnt"
-        request.floor_at = self.now
-        request.learnt += 1
+        request.floor_requested_at = self.now
+        request.floor_lookups += 1
         database = self.tables.databases[request.database]
         self._liveness.learn_floor(database, partial(self._on_learnt, request))
 
     def _on_learnt(self, request: RequestRow, position: LogPosition | None) -> None:
-        if request.state is not RequestState.WAITING_FLOOR:
+        if request.state is not RequestState.AWAITING_FLOOR:
             return
         if position is None:
             why = "no majority of members told its positions"
@@ -92,8 +92,8 @@
             return
         request.floor = max(request.floor, position)
         age = self._accepted_age(request)
-        if age is not None and self.now - request.floor_at > age:
-            request.learnt = LEARNT_MAX  # another one would be too old again
+        if age is not None and self.now - request.floor_requested_at > age:
+            request.floor_lookups = LEARNT_MAX  # another one would be too old again
         self._requests.route(request)
 
     def is_gone(self, request: RequestRow) -> bool:
@@ -101,7 +101,7 @@
         database = self.tables.databases[request.database]
         # Each by itself: the age's or a learnt floor may be of the newest term, and
         # says nothing of what the session saw before.
-        for seen in request.seen:
+        for seen in request.session_positions:
             if self._is_dropped(database, seen):
                 why = f"seen up to {seen.term}:{seen.position}"
                 self._requests.not_run(request, ErrorCode.FLOOR_LOST, why)
@@ -110,8 +110,8 @@
             return False
         # Only the age's or a learnt floor was in the part that a promotion dropped;
         # nobody was answered from there.
-        request.floor = max(request.seen, default=ZERO_POSITION)
-        request.fresh_floor = True
+        request.floor = max(request.session_positions, default=ZERO_POSITION)
+        request.needs_fresh_floor = True
         self.learn(request)
         return True
 
@@ -125,7 +125,7 @@
         age = self._accepted_age(request)
         if age is None:
             return True
-        if request.learnt and self.now - request.floor_at <= age:
+        if request.floor_lookups and self.now - request.floor_requested_at <= age:
             return True
         database = self.tables.databases[request.database]
         aged = self._liveness.age_floor(database, age)
@@ -135,8 +135,8 @@
         # Any floor that was learnt for a read holds all that was acknowledged before
         # it arrived. An age shorter than learning and queueing take is met by none:
         # the read would learn until its deadline.
-        request.fresh_floor = True
-        return request.learnt >= LEARNT_MAX
+        request.needs_fresh_floor = True
+        return request.floor_lookups >= LEARNT_MAX
 
     # -- Checking ------------------------------------------------------------
 
@@ -147,7 +147,7 @@
         # own writes from it.
         return all(
             self._contains(request, applied, place)
-            for place in (request.floor, *request.seen)
+            for place in (request.floor, *request.session_positions)
         )
 
     def _contains(
--- a/mallowpass/core/systems/sessions.py
+++ b/mallowpass/core/systems/sessions.py
@@ -161,7 +161,7 @@
         if not token or token == session.token:
             return
         floors = decode_token(self._node.identity.token_key, token)
-        session.token_seen = True
+        session.has_presented_token = True
         for database_key, position in floors.items():
             self.raise_floor(session, database_key, position)
 
--- a/mallowpass/core/systems/status.py
+++ b/mallowpass/core/systems/status.py
@@ -110,8 +110,8 @@
         connections_open=opened,
         connections_used=used,
         connections_share=node.system(Pooling).share(row),
-        report_age=node.timers.now - row.report_at if report else None,
-        leaving=row.leaving,
+        report_age=node.timers.now - row.last_report_at if report else None,
+        leaving=row.is_leaving,
     )
 
 
--- a/mallowpass/core/systems/transactioncalls.py
+++ b/mallowpass/core/systems/transactioncalls.py
@@ -56,15 +56,15 @@
 
     def run_next(self, transaction: TransactionRow) -> None:
         """Send the next call, unless one is in flight."""
-        while transaction.queue and not transaction.running:
+        while transaction.queue and not transaction.running_request:
             request = self.tables.requests.get(transaction.queue.popleft())
             if request is not None:
                 self._send(transaction, request)
 
     def _send(self, transaction: TransactionRow, request: RequestRow) -> None:
         connection = self.tables.connections[transaction.connection]
-        transaction.running = request.number
-        transaction.last_used = self.now
+        transaction.running_request = request.number
+        transaction.last_used_at = self.now
         request.state = RequestState.SENT
         request.connection = connection.number
         request.sent_at = self.now
@@ -112,8 +112,8 @@
         if reply.code is EndpointCode.OK and not reply.last:
             self._pass_part(request, reply)
             return
-        transaction.running = 0
-        transaction.last_used = self.now
+        transaction.running_request = 0
+        transaction.last_used_at = self.now
         request.connection = 0
         self._take_reply(request.request, request, transaction, reply)
 
--- a/mallowpass/core/systems/transactions.py
+++ b/mallowpass/core/systems/transactions.py
@@ -201,7 +201,7 @@
 
     def _make(self, request: RequestRow, connection: ConnectionRow) -> TransactionRow:
         identity = self._node.identity
-        name = f"{identity.name}.{identity.incarnation}.{self._node.number()}"
+        name = f"{identity.name}.{identity.incarnation}.{self._node.next_number()}"
         transaction = TransactionRow(
             name=name,
             stream=request.stream,
@@ -211,7 +211,7 @@
             connection=connection.number,
             term=request.sent_term,
             state=TransactionState.OPEN,
-            last_used=self.now,
+            last_used_at=self.now,
             request_id=request.record_id,
             attempt=request.attempt,
         )
@@ -224,13 +224,13 @@
         # A transaction that stands idle keeps a connection, and locks, from all
         # others: one sees their writes wait although nothing runs.
         idle = self._node.tuning.transaction_idle
-        due = transaction.last_used + idle
-        if transaction.running or due > self.now:
-            pause = idle if transaction.running else due - self.now
+        due = transaction.last_used_at + idle
+        if transaction.running_request or due > self.now:
+            pause = idle if transaction.running_request else due - self.now
             transaction.timer = self.timers.after(pause, self._on_idle, transaction)
             return
         self._node.log("warning", "transaction_idle", transaction=transaction.name)
-        self._node.decide("rollback", transaction.name, f"idle for {idle}s")
+        self._node.record_decision("rollback", transaction.name, f"idle for {idle}s")
         self.end(transaction, ErrorCode.TRANSACTION_IDLE, "it stood idle")
         self.release(transaction, reset=True)
 
@@ -243,7 +243,7 @@
             transaction = self.tables.transactions[name]
             if transaction.state is TransactionState.ENDING:
                 continue  # its commit or rollback is under way already
-            self._node.decide("rollback", name, "the caller left")
+            self._node.record_decision("rollback", name, "the caller left")
             self.end(transaction, _ROLLED_BACK, "the caller left")
             self.release(transaction, reset=True)
 
@@ -252,8 +252,8 @@
     ) -> None:
         """Forget a transaction, and answer what waited in it."""
         self._forget(transaction, code, why)
-        numbers = [transaction.running, *transaction.queue]
-        transaction.running = 0
+        numbers = [transaction.running_request, *transaction.queue]
+        transaction.running_request = 0
         transaction.queue.clear()
         for number in numbers:
             request = self.tables.requests.get(number)
@@ -306,7 +306,7 @@
     ) -> None:
         """Take in the reply to a call within a transaction."""
         transaction = self.tables.transactions.get(request.transaction)
-        if transaction is not None and transaction.running == request.number:
+        if transaction is not None and transaction.running_request == request.number:
             self._calls.on_reply(request, transaction, reply)
 
     # -- What goes wrong -----------------------------------------------------
@@ -327,20 +327,22 @@
         # The endpoint rolls back what was not committed. Only a commit that was
         # sent leaves a doubt, and is looked up.
         code = None if transaction.state is TransactionState.ENDING else _ROLLED_BACK
-        self._node.decide("rollback", transaction.name, f"connection lost: {why}")
+        self._node.record_decision(
+            "rollback", transaction.name, f"connection lost: {why}"
+        )
         self.end(transaction, code, f"connection lost: {why}")
 
     def on_deadline(self, request: RequestRow) -> None:
         """Give up a call whose deadline passed; one in flight ends its transaction."""
         transaction = self.tables.transactions.get(request.transaction)
-        if transaction is None or transaction.running != request.number:
+        if transaction is None or transaction.running_request != request.number:
             why = "it waited for its turn"
             self._requests.not_run(request, ErrorCode.DEADLINE_PASSED, why)
             return
         why = "the deadline of a statement passed"
-        self._node.decide("rollback", transaction.name, why)
+        self._node.record_decision("rollback", transaction.name, why)
         if isinstance(request.request, CommitRequest):
-            transaction.running = 0
+            transaction.running_request = 0
             self._requests.unknown(request, "the deadline passed while committing")
             self.end(transaction, None, why)
         else:
@@ -365,6 +367,6 @@
                 continue
             if transaction.access is Access.WRITE and transaction.term < database.term:
                 why = f"term {transaction.term} is over"
-                self._node.decide("rollback", transaction.name, why)
+                self._node.record_decision("rollback", transaction.name, why)
                 self.end(transaction, _ROLLED_BACK, why)
                 self._discard(transaction, why)
--- a/mallowpass/core/systems/waiting.py
+++ b/mallowpass/core/systems/waiting.py
@@ -37,8 +37,8 @@
     def hold(self, request: RequestRow, why: str) -> None:
         """Keep a request until a primary takes it, or its deadline passes."""
         if request.detail != why:
-            self._node.decide("hold", request.request.request_id, why)
-        request.state = RequestState.HELD
+            self._node.record_decision("hold", request.request.request_id, why)
+        request.state = RequestState.AWAITING_PRIMARY
         request.detail = why
         key = request.database
         self._held.setdefault(key, {})[request.number] = request
@@ -59,10 +59,12 @@
         if not held or row is None or self._routing.choose_write(row) is None:
             return
         self._held[database] = {}
-        self._node.decide("release", database, f"{len(held)} held, term {row.term}")
+        self._node.record_decision(
+            "release", database, f"{len(held)} held, term {row.term}"
+        )
         for number in sorted(held):
             request = held[number]
-            if request.state is RequestState.HELD:
+            if request.state is RequestState.AWAITING_PRIMARY:
                 self._requests.route(request)
 
     def _recheck(self, database: str) -> None:
@@ -86,7 +88,7 @@
             return
         self._node.emit(RETRIES_COUNT)
         text = f"{why}; again in {delay:.3f}s"
-        self._node.decide("retry", request.request.request_id, text)
+        self._node.record_decision("retry", request.request.request_id, text)
         request.state = RequestState.BACKOFF
         self.timers.after(delay, self._again, request, request.tries)
 
@@ -97,5 +99,5 @@
 
     def _again(self, request: RequestRow, tries: int) -> None:
         if request.state is RequestState.BACKOFF and request.tries == tries:
-            request.avoided = None
+            request.avoided_addresses = None
             self._requests.route(request)
--- a/mallowpass/core/systems/writes.py
+++ b/mallowpass/core/systems/writes.py
@@ -154,10 +154,12 @@
             self._requests.answers.refuse(session, request, ErrorCode.REQUEST_ID_REUSED)
             return
         session.requests[request.request_id] = running
-        if row.followers is None:
-            row.followers = []
-        row.followers.append((session.stream, request.request_id))
-        self._node.decide("join", request.request_id, "joined its copy in flight")
+        if row.duplicates is None:
+            row.duplicates = []
+        row.duplicates.append((session.stream, request.request_id))
+        self._node.record_decision(
+            "join", request.request_id, "joined its copy in flight"
+        )
 
     def _is_copy(
         self, row: RequestRow, session: SessionRow, request: ExecuteRequest
@@ -290,7 +292,7 @@
         else:
             # Paid now: a primary that pauses makes many writes overdue at once, and
             # those that the budget does not reach are better left waiting.
-            request.prepaid = True
+            request.is_retry_prepaid = True
             self._requests.suspect(request)
             self._requests.outcomes.resolve(request, self._lateness(request))
 
@@ -301,7 +303,7 @@
         # A fenced commit is not sent again: its whole transaction is lost. So only if
         # the primary is heard elsewhere, which it is not while it stands still.
         endpoint = self.tables.endpoints.get(request.address)
-        if endpoint is None or endpoint.heard_at <= self.now - LOOK:
+        if endpoint is None or endpoint.last_reply_at <= self.now - LOOK:
             self._overdue.add(request.number)
             return
         self._transactions.commit_overdue(request, self._lateness(request))
@@ -323,7 +325,7 @@
             return
         request.position = position
         request.answer_rows = rows
-        request.state = RequestState.HOLDING
+        request.state = RequestState.AWAITING_MAJORITY
         # Recorded in an earlier term, it stays once a majority holds anything of the
         # term in which it was found: that log contains it.
         term = max(position.term, request.sent_term)
@@ -331,11 +333,11 @@
         waiter = self._liveness.wait_held(
             database, awaited, partial(self._on_held, request)
         )
-        if request.state is RequestState.HOLDING:
+        if request.state is RequestState.AWAITING_MAJORITY:
             request.waiter = waiter
 
     def _on_held(self, request: RequestRow, held: bool) -> None:
-        if request.state is not RequestState.HOLDING:
+        if request.state is not RequestState.AWAITING_MAJORITY:
             return
         request.waiter = None
         if held:
--- a/mallowpass/core/tables.py
+++ b/mallowpass/core/tables.py
@@ -79,17 +79,17 @@
     member: Member
     database: str
     # Control stream, owned by liveness.
-    control: int = 0  # number of the stream in use; 0: none
-    control_open: bool = False
-    watch: int = 0  # sequence of the watch call
+    control_stream: int = 0  # number of the stream in use; 0: none
+    is_control_open: bool = False
+    watch_sequence: int = 0  # sequence of the watch call
     report: Report | None = None
-    report_at: float = float("-inf")  # when it came
-    heard_at: float = float("-inf")  # when anything was last heard, or probed well
+    last_report_at: float = float("-inf")  # when it came
+    last_reply_at: float = float("-inf")  # when anything was last heard, or probed well
     misses: int = 0
-    leaving: bool = False
+    is_leaving: bool = False
     # Work, owned by routing and pooling.
     latency: float = 0.0  # moving average of statements, seconds
-    errors: int = 0  # in a row
+    consecutive_errors: int = 0  # in a row
     ejected_until: float = float("-inf")
     in_flight: int = 0
 
@@ -116,7 +116,9 @@
     state: GroupState = GroupState.UNKNOWN
     term: int = 0  # of the primary that this host would send writes to
     primary: str = ""  # its address; empty: none known
-    held: LogPosition = ZERO_POSITION  # a majority holds the log up to here
+    majority_position: LogPosition = (
+        ZERO_POSITION  # a majority holds the log up to here
+    )
     floors: deque[FloorRecord] = field(default_factory=deque)  # oldest first
     suspected_at: float | None = None
     last_promotion_at: float = float("-inf")
@@ -147,13 +149,13 @@
     address: str
     state: ConnectionState
     opened_at: float
-    last_used: float
+    last_used_at: float
     sequence: int = 0  # of the last call sent; replies with another are dropped
     request: int = 0  # row number of the request in flight; 0: none
     transaction: str = ""
     loan: str = ""  # the loan that it is opened under; empty: this host's share
-    expires: float = float("inf")  # not used after this
-    called_at: float = 0.0  # when the last call of a request was sent
+    expires_at: float = float("inf")  # not used after this
+    last_call_at: float = 0.0  # when the last call of a request was sent
 
 
 # -- Sessions, requests, transactions ----------------------------------------
@@ -170,19 +172,19 @@
     floors: dict[str, LogPosition] = field(default_factory=dict)  # by database key
     requests: dict[str, int] = field(default_factory=dict)  # in flight: id -> row
     transactions: set[str] = field(default_factory=set)
-    token_seen: bool = False  # else its earlier writes are unknown here
+    has_presented_token: bool = False  # else its earlier writes are unknown here
     token: bytes = b""  # of these floors; empty: to be encoded
 
 
 class RequestState(Enum):
     """Say where a request stands."""
 
-    WAITING_FLOOR = "waiting-floor"  # a floor is being learnt, or reached
+    AWAITING_FLOOR = "waiting-floor"  # a floor is being learnt, or reached
     QUEUED = "queued"  # waits for a connection
     SENT = "sent"  # the endpoint has it
-    HOLDING = "holding"  # it ran; a majority is still to hold it
+    AWAITING_MAJORITY = "holding"  # it ran; a majority is still to hold it
     RESOLVING = "resolving"  # it may have run; the record is being looked up
-    HELD = "held"  # waits for a primary
+    AWAITING_PRIMARY = "held"  # waits for a primary
     BACKOFF = "backoff"  # waits before a retry
     FINISHED = "finished"
 
@@ -196,15 +198,17 @@
     request: CallerRequest
     database: str
     access: Access
-    arrived: float
-    expires: float
+    arrived_at: float
+    expires_at: float
     request_class: str = ""
     state: RequestState = RequestState.QUEUED
     floor: LogPosition = ZERO_POSITION
-    seen: tuple[LogPosition, ...] = ()  # by its session; the answer contains all
-    fresh_floor: bool = False  # the floor must be learnt from a majority first
-    floor_at: float = 0.0  # when it was last asked to be learnt
-    learnt: int = 0  # times that its floor was learnt
+    session_positions: tuple[
+        LogPosition, ...
+    ] = ()  # by its session; the answer contains all
+    needs_fresh_floor: bool = False  # the floor must be learnt from a majority first
+    floor_requested_at: float = 0.0  # when it was last asked to be learnt
+    floor_lookups: int = 0  # times that its floor was learnt
     idempotent: bool = False
     attempt: int = 0  # number that the endpoint records or fences
     tries: int = 0
@@ -222,13 +226,13 @@
     record_id: str = ""  # the id that the endpoint records with its write
     repeated: bool = False  # its write ran in an earlier copy of the request
     waiter: Any = None  # of the position that it holds for; has cancel()
-    avoided: set[str] | None = None  # addresses that could not serve it
-    followers: list[tuple[int, str]] | None = None  # (stream, id) of its copies
-    behind: int = 0  # times that a member had not reached its floor
-    prepaid: bool = False  # its next retry was taken from the budget already
+    avoided_addresses: set[str] | None = None  # addresses that could not serve it
+    duplicates: list[tuple[int, str]] | None = None  # (stream, id) of its copies
+    behind_count: int = 0  # times that a member had not reached its floor
+    is_retry_prepaid: bool = False  # its next retry was taken from the budget already
     queued_at: float = 0.0  # when it was queued at `address`
     retry_after: float = float("inf")  # least that a full queue gave, seconds
-    moved: bool = False  # from a member that was slow to another, once
+    was_moved: bool = False  # from a member that was slow to another, once
 
 
 class TransactionState(Enum):
@@ -251,12 +255,12 @@
     connection: int = 0
     term: int = 0
     state: TransactionState = TransactionState.OPENING
-    last_used: float = 0.0
+    last_used_at: float = 0.0
     request_id: str = ""  # recorded by the endpoint at commit
     timer: Timer | None = None
     wrote: bool = False
     queue: deque[int] = field(default_factory=deque)  # requests waiting their turn
-    running: int = 0  # request whose call is in flight
+    running_request: int = 0  # request whose call is in flight
     attempt: int = 0  # of its Begin
 
 
@@ -282,7 +286,7 @@
     address: str
     incarnation: int = 0
     state: HostState = HostState.ALIVE
-    heard_at: float = float("-inf")
+    last_contact_at: float = float("-inf")
     beat: int = 0
     link: int = 0  # 0: no link
 
--- a/mallowpass/core/timers.py
+++ b/mallowpass/core/timers.py
@@ -33,7 +33,7 @@
         return self._when
 
     @property
-    def cancelled(self) -> bool:
+    def is_cancelled(self) -> bool:
         """Tell whether it will not run any more."""
         return self._callback is None
 
@@ -98,7 +98,7 @@
         ran = False
         while self._queue and self._queue[0][0] <= self._now:
             timer = heapq.heappop(self._queue)[2]
-            if timer.cancelled:
+            if timer.is_cancelled:
                 continue
             self._run(timer)
             ran = True
@@ -123,5 +123,5 @@
         return timer
 
     def _drop_cancelled(self) -> None:
-        while self._queue and self._queue[0][2].cancelled:
+        while self._queue and self._queue[0][2].is_cancelled:
             heapq.heappop(self._queue)
--- a/tests/core/systems/test_admission.py
+++ b/tests/core/systems/test_admission.py
@@ -132,7 +132,7 @@
 
 def test_requests_at_a_leaving_endpoint_are_refused_before_the_database_is_full():
     host = PoolHost(limit=4)
-    host.endpoint.leaving = True
+    host.endpoint.is_leaving = True
     host.request()
     ((_, code, _),) = host.requests.refused
     assert code == ErrorCode.ENDPOINT_REFUSED.code
--- a/tests/core/systems/test_failover.py
+++ b/tests/core/systems/test_failover.py
@@ -310,10 +310,10 @@
     scene.group.silence("a", name)
     scene.world.run(0.06)
     host = scene.world.hosts[name]
-    heard_at = scene.row(name).primary_row.heard_at
+    heard_at = scene.row(name).primary_row.last_reply_at
     host.do(host.system(Failover).suspicion, "a:1", "connection lost")
     scene.world.run(0.01)
-    assert scene.row(name).primary_row.heard_at > heard_at
+    assert scene.row(name).primary_row.last_reply_at > heard_at
 
 
 def test_one_of_two_rounds_waits_for_no_silent_member():
@@ -663,7 +663,7 @@
     scene.group.members["a"].leaving = True
     for host in scene.world.hosts.values():
         endpoint = host.node.tables.endpoints["a:1"]
-        endpoint.leaving = True
+        endpoint.is_leaving = True
         host.do(host.node.publish, EndpointStateChanged("a:1"))
     run_till_primary(scene)
     assert scene.counted("promotions") == 1
@@ -691,7 +691,9 @@
     assert minority.primary == "" or minority.term == 1
     liveness = scene.host.system(Liveness)
     assert liveness.reached(minority.endpoints["a:1"], place)
-    assert minority.held == place  # nothing after the cut is acknowledged there
+    assert (
+        minority.majority_position == place
+    )  # nothing after the cut is acknowledged there
     scene.links.heal()
     scene.world.run_till(lambda: scene.row("h0").primary == f"{name}:1", 10.0)
 
--- a/tests/core/systems/test_liveness.py
+++ b/tests/core/systems/test_liveness.py
@@ -74,7 +74,7 @@
         )
     scene.world.run_till(lambda: len(order) == 3)
     assert order == [3, 4, 6]
-    assert scene.row().held == place
+    assert scene.row().majority_position == place
 
 
 def test_write_that_only_its_primary_has_is_not_held(scene):
@@ -124,7 +124,7 @@
     answers = wait_held(scene, LogPosition(2, 3))
     scene.world.run(3.0)
     assert answers == []
-    assert scene.row().held == LogPosition(2, 0)
+    assert scene.row().majority_position == LogPosition(2, 0)
 
 
 def test_waiters_of_a_term_that_is_over_are_told(scene):
@@ -352,7 +352,7 @@
     scene.world.run(0.15)
     address = scene.row().primary
     scene.world.run_till(
-        lambda: scene.world.now - scene.row().endpoints[address].heard_at < 0.05
+        lambda: scene.world.now - scene.row().endpoints[address].last_reply_at < 0.05
     )
     assert scene.row().primary == address
 
--- a/tests/core/systems/test_membership.py
+++ b/tests/core/systems/test_membership.py
@@ -53,7 +53,7 @@
     node = fleet.hosts[host].node
     row = node.tables.endpoints[address]
     row.report = Report(member=row.name, term=1, role=Role.REPLICA, leaving=leaving)
-    row.report_at = fleet.now
+    row.last_report_at = fleet.now
     node.publish(EndpointReported(address))
     fleet._carry_out(fleet.hosts[host], node._take_effects())
 
@@ -222,17 +222,17 @@
     address = next(iter(fleet.hosts[FIRST].node.tables.endpoints))
     rows = [h.node.tables.endpoints[address] for h in fleet.alive]
     report(fleet, FIRST, address, leaving=True)
-    fleet.run_until(lambda: all(row.leaving for row in rows), 3)
+    fleet.run_until(lambda: all(row.is_leaving for row in rows), 3)
     late = fleet.start("casa-ainsebaa-0b", DOMAINS[0], 0)
     fleet.run_until(
         lambda: (
             address in late.node.tables.endpoints
-            and late.node.tables.endpoints[address].leaving
+            and late.node.tables.endpoints[address].is_leaving
         ),
         5,
     )
     report(fleet, FIRST, address, leaving=False)
-    fleet.run_until(lambda: not any(row.leaving for row in rows), 3)
+    fleet.run_until(lambda: not any(row.is_leaving for row in rows), 3)
 
 
 def test_contradicting_notices_come_to_rest():
--- a/tests/core/systems/test_operators.py
+++ b/tests/core/systems/test_operators.py
@@ -73,7 +73,7 @@
     Cause: only the journal of the asked host was searched.
     """
     fleet = started()
-    fleet.hosts[LAST].node.decide("refusal", "caller-1/r17", "queue full")
+    fleet.hosts[LAST].node.record_decision("refusal", "caller-1/r17", "queue full")
     request = ExplainRequest(subject="request", name="r17")
     found = ask(fleet, FIRST, request).decisions
     assert [(d.host, d.text) for d in found] == [(LAST, "queue full")]
--- a/tests/core/systems/test_pooling.py
+++ b/tests/core/systems/test_pooling.py
@@ -563,7 +563,7 @@
     numbers = _warm(host, 2)
     running, _ = host.request(), host.request()
     waiting = host.request()
-    host.endpoint.leaving = True
+    host.endpoint.is_leaving = True
     host.publish(EndpointStateChanged(ADDRESS))
     ((refused, code, _),) = host.requests.refused
     assert (refused, code) == (waiting.number, ErrorCode.ENDPOINT_REFUSED.code)
--- a/tests/core/systems/test_proving.py
+++ b/tests/core/systems/test_proving.py
@@ -184,10 +184,10 @@
     host = _host()
     _start(host)
     (connection,) = host.pool.connections.values()
-    expires = connection.expires
+    expires = connection.expires_at
     host.pause(host.node.tuning.connection_time_to_live)
     host.wait(host.node.tuning.silence)
-    assert connection.expires == expires
+    assert connection.expires_at == expires
     assert not host.calls(KeepAliveCall)
 
 
@@ -251,7 +251,7 @@
     _start(host)
     host.reply_all()
     _give_up_unanswered(host)
-    host.endpoint.heard_at = host.now + 1.0
+    host.endpoint.last_reply_at = host.now + 1.0
     host.wait(0.6)
     assert not host.pool.connections
 
@@ -261,7 +261,7 @@
     _start(host)
     host.reply_all()
     _give_up_unanswered(host)
-    host.endpoint.heard_at = host.now + 1.0
+    host.endpoint.last_reply_at = host.now + 1.0
     host.reply(host.calls(KeepAliveCall)[-1])
     host.wait(0.6)
     assert host.pool.connections and not host.closed()
--- a/tests/core/systems/test_routing.py
+++ b/tests/core/systems/test_routing.py
@@ -80,11 +80,11 @@
 
 def test_leaving_members_get_no_work():
     path = _path()
-    path.endpoint("m2").leaving = True
+    path.endpoint("m2").is_leaving = True
     assert _choose(path) == "127.0.0.1:3"
-    path.endpoint("m1").leaving = True
+    path.endpoint("m1").is_leaving = True
     assert path.routing.choose_write(path.database) is None
-    path.endpoint("m3").leaving = True
+    path.endpoint("m3").is_leaving = True
     request = path.pooling.queue[0][0]
     assert path.routing.choose_other_read(request, path.database) is None
 
--- a/tests/core/systems/test_transactions.py
+++ b/tests/core/systems/test_transactions.py
@@ -98,7 +98,7 @@
     path.commit(1, "c", transaction)
     connection = path.sent.connection.number
     path.advance(0.4)
-    path.endpoint("m1").heard_at = path.now
+    path.endpoint("m1").last_reply_at = path.now
     path.advance(0.2)
     assert path.pooling.discarded == [connection]
     path.look_up(OutcomeState.RECORDED, position=(1, 7))
@@ -115,7 +115,7 @@
     transaction = path.begin(1, "t")
     path.commit(1, "c", transaction)
     path.pooling.answering = answering
-    path.endpoint("m1").heard_at = path.now + 100 * answering
+    path.endpoint("m1").last_reply_at = path.now + 100 * answering
     path.advance(2.0)
     assert path.liveness.controls == [] and path.pooling.discarded == []
     path.reply(applied=(1, 7))
--- a/tests/core/test_node.py
+++ b/tests/core/test_node.py
@@ -75,7 +75,7 @@
 def test_journal_is_bounded_and_keeps_the_newest():
     node = _node()
     for number in range(JOURNAL_LENGTH + 1):
-        node.decide("route", str(number), "text")
+        node.record_decision("route", str(number), "text")
     assert len(node.journal) == JOURNAL_LENGTH
     assert node.journal[-1].subject == str(JOURNAL_LENGTH)
 
--- a/tests/fakes/poolpath.py
+++ b/tests/fakes/poolpath.py
@@ -278,7 +278,7 @@
             connection_limit=limit,
             **abilities,
         )
-        self.endpoint.report_at = self.endpoint.heard_at = self.now
+        self.endpoint.last_report_at = self.endpoint.last_reply_at = self.now
 
     # -- The endpoint's side -------------------------------------------------
 
--- a/tests/fakes/requestpath.py
+++ b/tests/fakes/requestpath.py
@@ -131,7 +131,7 @@
     def grant(self) -> None:
         while self.queue:
             request, address = self.queue.pop(0)
-            number = self._node.number()
+            number = self._node.next_number()
             connection = ConnectionRow(
                 number, address, ConnectionState.BUSY, self.now, self.now
             )
@@ -228,7 +228,7 @@
         for waiter in list(self.waiters):
             if waiter.position.term < database.term:
                 waiter.resolve(False)
-            elif waiter.position <= database.held:
+            elif waiter.position <= database.majority_position:
                 waiter.resolve(True)
         self.waiters = [entry for entry in self.waiters if entry.callback is not None]
 
@@ -335,7 +335,7 @@
             tables.endpoints[member.address] = row
             self.database.endpoints[member.address] = row
         self.database.term = 1
-        self.database.held = LogPosition(1, 1)
+        self.database.majority_position = LogPosition(1, 1)
         self.database.primary = "127.0.0.1:1"
         self.database.state = GroupState.SERVING
         tables.databases[KEY] = self.database
@@ -456,13 +456,13 @@
             applied=place,
             **more,
         )
-        endpoint.report_at = self.now
+        endpoint.last_report_at = self.now
         self.node.publish(EndpointReported(endpoint.address))
         self._collect()
 
     def hold(self, term: int, position: int) -> None:
         """Have a majority hold the log up to a place."""
-        self.database.held = LogPosition(term, position)
+        self.database.majority_position = LogPosition(term, position)
         self.liveness.settle(self.database)
         self._collect()
 
@@ -476,7 +476,9 @@
         self.database.primary = self.endpoint(name).address
         self.database.term = term
         self.database.state = GroupState.SERVING
-        self.database.held = max(self.database.held, LogPosition(term, 0))
+        self.database.majority_position = max(
+            self.database.majority_position, LogPosition(term, 0)
+        )
         self.liveness.term_starts[term] = start
         self.report(name, (term, start), Role.PRIMARY)
         self.node.publish(PrimaryChanged(KEY))
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -353,7 +353,7 @@
 
 
 def set_no_floor(floors: sessionfloors.SessionFloors, request) -> None:
-    request.floor, request.fresh_floor = ZERO_POSITION, False
+    request.floor, request.needs_fresh_floor = ZERO_POSITION, False
 
 
 def take_zero_for_unknown(floors: sessionfloors.SessionFloors, request) -> None:
