--- a/mallowpass/core/__init__.py
+++ b/mallowpass/core/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of one host: no input or output, no clock, no global random numbers."""
+"""The decisions of a host, without input and output, clock or global random state."""
--- a/mallowpass/core/calls.py
+++ b/mallowpass/core/calls.py
@@ -1,7 +1,7 @@
-"""What callers ask for, what endpoints are asked, and the answers of both.
+"""Requests of callers, calls to endpoints, and the answers to both.
 
-Rows and parameters are opaque to the core: adapters pass them through as they
-came, so that a large answer is never translated twice.
+Rows and parameters are opaque to the core: adapters pass them through unchanged, so
+that a large answer is never converted twice.
 """
 
 from __future__ import annotations
@@ -48,23 +48,20 @@
     "ZERO_POSITION",
 ]
 
-# -- Positions ---------------------------------------------------------------
-
-
 # -- Callers -----------------------------------------------------------------
 
 
 class Outcome(Enum):
-    """Say what became of a request."""
+    """The outcome of a request."""
 
     DONE = "done"
-    NOT_RUN = "not-run"
-    UNKNOWN = "unknown"
+    NOT_RUN = "not-run"  # it had no effect, and will have none
+    UNKNOWN = "unknown"  # it may have taken effect
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerRequest:
-    """Carry what every request of a caller has; `deadline` in seconds from now."""
+    """Base class of the requests of callers; `deadline` is in seconds from now."""
 
     request_id: str
     token: bytes = b""
@@ -82,22 +79,22 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ExecuteRequest(CallerRequest):
-    """Run one statement, alone or in a transaction."""
+    """Run one statement, by itself or in a transaction."""
 
     database: str
     sql: str
     access: Access
     parameters: Any = ()
-    unrepeatable: bool = False
-    accepted_age: float | None = None
-    transaction: str = ""
-    chunk_rows: int = 0
+    unrepeatable: bool = False  # it must not run twice
+    accepted_age: float | None = None  # of the data that a read may see, seconds
+    transaction: str = ""  # name; empty: none
+    chunk_rows: int = 0  # rows in one part of the answer; 0: all in one
     request_class: str = ""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BeginRequest(CallerRequest):
-    """Open a transaction."""
+    """Begin a transaction."""
 
     database: str
     access: Access
@@ -113,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class RollbackRequest(CallerRequest):
-    """Roll a transaction back."""
+    """Roll back a transaction."""
 
     transaction: str
 
@@ -125,7 +122,11 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class CallerAnswer:
-    """Answer a caller; an answer without outcome is a part with more to come."""
+    """An answer to a caller, or a part of one: all parts but the last have no outcome.
+
+    Also names the member that served the request, and whether this host drains, so
+    that the caller opens its next session at another host (`go_elsewhere`).
+    """
 
     request_id: str
     outcome: Outcome | None
@@ -134,18 +135,18 @@
     token: bytes = b""
     rows: Any = None
     transaction: str = ""
-    retry_after: float = 0.0
+    retry_after: float = 0.0  # seconds; 0: no advice
     served_by: str = ""
     from_replica: bool = False
     go_elsewhere: bool = False
-    repeated: bool = False
+    repeated: bool = False  # the write had run already, for an earlier request
 
 
 # -- Endpoints: connections --------------------------------------------------
 
 
 class EndpointCode(IntEnum):
-    """Repeat the codes of schema/endpoint.proto."""
+    """The codes of replies, as in schema/endpoint.proto."""
 
     OK = 1
     WRONG_TERM = 2
@@ -162,11 +163,11 @@
 
     @property
     def proves_not_run(self) -> bool:
-        """Tell whether the call left no effect."""
-        return self in _PROOFS_OF_NOT_RUN
+        """Return whether the code proves that the call had no effect."""
+        return self in _CODES_OF_NOT_RUN
 
 
-_PROOFS_OF_NOT_RUN = frozenset(
+_CODES_OF_NOT_RUN = frozenset(
     {
         EndpointCode.WRONG_TERM,
         EndpointCode.BEHIND,
@@ -183,12 +184,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointCall:
-    """Stand on top of all calls on a connection."""
+    """Base class of the calls on a connection."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ExecuteCall(EndpointCall):
-    """Run a statement; see Execute in schema/endpoint.proto."""
+    """Run a statement, as Execute in schema/endpoint.proto describes."""
 
     sql: str
     parameters: Any = ()
@@ -202,7 +203,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class BeginCall(EndpointCall):
-    """Open a transaction; `term` 0 means read-only."""
+    """Begin a transaction, which is read-only if `term` is 0."""
 
     term: int = 0
     minimum: LogPosition = ZERO_POSITION
@@ -217,38 +218,41 @@
 
 @dataclass(frozen=True, slots=True)
 class RollbackCall(EndpointCall):
-    """Roll the connection's transaction back."""
+    """Roll back the connection's transaction."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResetCall(EndpointCall):
-    """Forget all state of the connection's last user."""
+    """Discard the session state that the last user of the connection has left."""
 
 
 @dataclass(frozen=True, slots=True)
 class KeepAliveCall(EndpointCall):
-    """Prolong the connection's time to live and prove that it still answers."""
+    """Check that the connection answers, and extend its time to live."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class EndpointReply:
-    """Answer a call on a connection, or a part of it."""
+    """A reply to a call on a connection, or a part of one.
 
-    sequence: int
+    `applied` is the position that a read saw, or the position of a write in the log.
+    """
+
+    sequence: int  # of the call
     code: EndpointCode
     message: str = ""
     rows: Any = None
-    last: bool = True
+    last: bool = True  # no further part follows
     applied: LogPosition = ZERO_POSITION
-    term: int = 0
-    attempt: int = 0
+    term: int = 0  # the endpoint's term
+    attempt: int = 0  # with FENCED: attempts up to this number are fenced
 
 
 # -- Endpoints: control ------------------------------------------------------
 
 
 class Role(IntEnum):
-    """Repeat the roles of schema/endpoint.proto."""
+    """The roles of a member, as in schema/endpoint.proto."""
 
     REPLICA = 1
     PRIMARY = 2
@@ -256,7 +260,7 @@
 
 
 class OutcomeState(IntEnum):
-    """Repeat the outcome states of schema/endpoint.proto."""
+    """What a member has recorded of a request, as in schema/endpoint.proto."""
 
     NOT_RECORDED = 1
     RECORDED = 2
@@ -265,42 +269,47 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Report:
-    """Carry what a member says of itself; `primary_silence` in seconds or None."""
+    """The state of a member, as the member reports it."""
 
     member: str
-    term: int
+    term: int  # the highest that it has promised or follows
     role: Role
-    primary: str = ""
-    received: LogPosition = ZERO_POSITION
-    applied: LogPosition = ZERO_POSITION
-    term_start: int = 0
+    primary: str = ""  # name of the member that it replicates from
+    received: LogPosition = ZERO_POSITION  # the end of its log
+    applied: LogPosition = ZERO_POSITION  # what its reads see
+    term_start: int = 0  # position of the first entry of received.term
+    # Seconds since it last received something from its primary; None: unknown.
     primary_silence: float | None = None
     connections: int = 0
     connection_limit: int = 0
     leaving: bool = False
+    # The optional features that it has.
     outcome_lookup: bool = True
     minimum_position: bool = True
     time_to_live: bool = True
     keep_alive_while_busy: bool = False
     await_position: bool = False
-    term_starts: tuple[LogPosition, ...] = ()  # of terms before received.term
+    # The first positions of the newest terms before received.term.
+    term_starts: tuple[LogPosition, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class ControlCall:
-    """Stand on top of all calls on a control stream."""
+    """Base class of the calls on a control stream."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeCall(ControlCall):
-    """Ask for a report now."""
+    """Request a report."""
 
 
 @dataclass(frozen=True, slots=True)
 class WatchCall(ControlCall):
-    """Ask for reports from now on; seconds.
+    """Request reports as the member's state changes; times in seconds.
 
-    With `silence`, also as soon as the primary was not heard for so long.
+    At least one report comes in each `interval`, at most one in each `minimum_gap`.
+    With `silence`, the member also reports when it has received nothing from its
+    primary for that time.
     """
 
     interval: float
@@ -310,14 +319,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AwaitPositionCall(ControlCall):
-    """Ask for a report once a place is in the log, and once reads see it."""
+    """Request a report when the log has reached a position, and when reads see it."""
 
     place: LogPosition
 
 
 @dataclass(frozen=True, slots=True)
 class PromiseCall(ControlCall):
-    """Ask a member to refuse all terms below `term`."""
+    """Have a member promise to refuse all terms below `term`."""
 
     term: int
     proposer: str
@@ -329,7 +338,7 @@
 
     term: int
     proposer: str
-    expected: LogPosition
+    expected: LogPosition  # the end of its log when it was chosen
 
 
 @dataclass(frozen=True, slots=True)
@@ -343,7 +352,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeCall(ControlCall):
-    """Look a request up, and fence its attempts when it is not recorded."""
+    """Look up the outcome of a request.
+
+    With `fence`, and if none is recorded, fence the attempts up to `fence_attempt`.
+    """
 
     request_id: str
     term: int
@@ -353,7 +365,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ControlReply:
-    """Answer a control call; a watch's reports repeat its sequence."""
+    """A reply to a control call; each report of a WatchCall has its sequence."""
 
     sequence: int
     code: EndpointCode
--- a/mallowpass/core/codec.py
+++ b/mallowpass/core/codec.py
@@ -1,10 +1,11 @@
-"""Turn frozen services and peer messages into CBOR and back.
-
-A data class becomes an array of its fields in the order of their declaration, a
-message an array headed by the format and the class's name. Fields are only ever
-added at the end and with a default: an older host ignores what it does not know,
-a newer one takes the default for what an older one did not send. Anything else
-that does not fit the types is refused with a code, before it reaches a table.
+"""Encode services and peer messages as CBOR, and decode them.
+
+A data class is encoded as an array of its fields in the order of declaration. A
+message has the format and the name of its class before the fields. New fields are
+only added at the end and with a default: an older host ignores fields that it does
+not know, and a newer host uses the default of a field that an older one did not send.
+Values that do not have the declared types raise BadRequestError, so that they never
+reach a table.
 """
 
 from __future__ import annotations
@@ -32,15 +33,15 @@
 ]
 
 FORMAT = 1
-HEAD_LENGTH = 2  # format and kind
+HEADER_LENGTH = 2  # a message's format and kind; a service row's format and version
 
-_PLAIN = frozenset({str, int, float, bool, bytes, type(None)})
+_SCALARS = frozenset({str, int, float, bool, bytes, type(None)})
 
 _D = TypeVar("_D")
-_Decoder = Callable[[Any, str], Any]
+_Decoder = Callable[[Any, str], Any]  # takes a value and its path, for errors
 
 
-# -- Public ------------------------------------------------------------------
+# -- Messages and services ---------------------------------------------------
 
 
 def encode_message(message: PeerMessage) -> bytes:
@@ -50,29 +51,32 @@
 
 
 def decode_message(data: bytes) -> PeerMessage | None:
-    """Return the message, None when its kind or format is unknown here.
+    """Return a peer message, None if its kind or format is unknown.
 
-    A newer host may send kinds that this version lacks: the adapter counts and
-    drops them. Raises BadRequestError for a message that does not fit its kind.
+    A newer host may send messages that this version does not know. Raises
+    BadRequestError if the fields do not fit the kind of message.
     """
     parts = _load(data)
-    if not isinstance(parts, list) or len(parts) < HEAD_LENGTH:
+    if not isinstance(parts, list) or len(parts) < HEADER_LENGTH:
         raise _malformed("message", parts)
     kind = _message_kinds().get(parts[1]) if isinstance(parts[1], str) else None
     if parts[0] != FORMAT or kind is None:
         return None
-    return _decode_fields(kind, parts[HEAD_LENGTH:], kind.__name__)
+    return _decode_fields(kind, parts[HEADER_LENGTH:], kind.__name__)
 
 
 def encode_service(version: ServiceVersion) -> bytes:
-    """Return a service's version as it stands in the platform's table."""
+    """Return the CBOR value of a row in the platform's table of services."""
     return cbor2.dumps([FORMAT, _encode_fields(version)])
 
 
 def decode_service(data: bytes) -> ServiceVersion:
-    """Return the version in a row's value; raises BadRequestError."""
+    """Return the version of a service in a row's value.
+
+    Raises BadRequestError if the value is malformed or has an unknown format.
+    """
     parts = _load(data)
-    if not isinstance(parts, list) or len(parts) < HEAD_LENGTH or parts[0] != FORMAT:
+    if not isinstance(parts, list) or len(parts) < HEADER_LENGTH or parts[0] != FORMAT:
         raise _malformed("service row", parts)
     return _decoder(ServiceVersion)(parts[1], "ServiceVersion")
 
@@ -85,22 +89,22 @@
 
 
 def _encode(value: Any) -> Any:
-    return value if type(value) in _PLAIN else _encode_composed(value)
+    return value if type(value) in _SCALARS else _encode_composite(value)
 
 
 @functools.singledispatch
-def _encode_composed(value: Any) -> Any:
+def _encode_composite(value: Any) -> Any:
     if dataclasses.is_dataclass(value):
         return _encode_fields(value)
     return value
 
 
-@_encode_composed.register
+@_encode_composite.register
 def _(value: tuple) -> Any:
     return [_encode(item) for item in value]
 
 
-@_encode_composed.register
+@_encode_composite.register
 def _(value: Enum) -> Any:
     return value.value
 
@@ -122,29 +126,29 @@
         ) from None
 
 
-def _malformed(place: str, value: object) -> BadRequestError:
+def _malformed(path: str, value: object) -> BadRequestError:
     return BadRequestError(
         ErrorCode.MALFORMED_MESSAGE,
-        f"{place} does not fit its type.",
-        place=place,
+        f"{path} does not have its declared type or form.",
+        place=path,
         value=repr(value),
     )
 
 
 @functools.cache
 def _message_kinds() -> dict[str, type[PeerMessage]]:
-    # By the module's names: PeerMessage.__subclasses__() also lists the classes that
+    # From `__all__`, as PeerMessage.__subclasses__() also lists the classes that
     # `slots=True` replaced.
     kinds = (getattr(peering, name) for name in peering.__all__)
     return {kind.__name__: kind for kind in kinds if kind is not PeerMessage}
 
 
-def _decode_fields(kind: type[_D], values: list[Any], place: str) -> _D:
+def _decode_fields(kind: type[_D], values: list[Any], path: str) -> _D:
     decoders, required = _field_decoders(kind)
     if len(values) < required:
-        raise _malformed(place, values)
+        raise _malformed(path, values)
     decoded = [
-        decode(value, f"{place}.{name}")
+        decode(value, f"{path}.{name}")
         for (name, decode), value in zip(decoders, values, strict=False)
     ]
     return kind(*decoded)
@@ -166,63 +170,61 @@
 def _decoder(hint: Any) -> _Decoder:
     origin = typing.get_origin(hint)
     if origin in (types.UnionType, typing.Union):
-        return _optional(_decoder(_only_type(hint)))
+        return _optional_decoder(_decoder(_non_none_type(hint)))
     if origin is tuple:
-        return _tuple(typing.get_args(hint))
+        return _tuple_decoder(typing.get_args(hint))
     if dataclasses.is_dataclass(hint):
-        return functools.partial(_dataclass, hint)
+        return functools.partial(_decode_dataclass, hint)
     if isinstance(hint, type) and issubclass(hint, Enum):
-        return functools.partial(_enum, hint)
-    return functools.partial(_scalar, hint)
+        return functools.partial(_decode_enum, hint)
+    return functools.partial(_decode_scalar, hint)
 
 
-def _only_type(hint: Any) -> Any:
+def _non_none_type(hint: Any) -> Any:
     (only,) = (arg for arg in typing.get_args(hint) if arg is not type(None))
     return only
 
 
-def _optional(decode: _Decoder) -> _Decoder:
-    return lambda value, place: None if value is None else decode(value, place)
+def _optional_decoder(decode: _Decoder) -> _Decoder:
+    return lambda value, path: None if value is None else decode(value, path)
 
 
-def _tuple(arguments: tuple[Any, ...]) -> _Decoder:
+def _tuple_decoder(arguments: tuple[Any, ...]) -> _Decoder:
     if len(arguments) == 2 and arguments[1] is Ellipsis:
-        return functools.partial(_sequence, _decoder(arguments[0]))
-    return functools.partial(_fixed, tuple(map(_decoder, arguments)))
+        return functools.partial(_decode_sequence, _decoder(arguments[0]))
+    return functools.partial(_decode_fixed_tuple, tuple(map(_decoder, arguments)))
 
 
-def _sequence(decode: _Decoder, value: Any, place: str) -> Any:
+def _decode_sequence(decode: _Decoder, value: Any, path: str) -> Any:
     if not isinstance(value, list):
-        raise _malformed(place, value)
-    return tuple(decode(item, f"{place}[{n}]") for n, item in enumerate(value))
+        raise _malformed(path, value)
+    return tuple(decode(item, f"{path}[{n}]") for n, item in enumerate(value))
 
 
-def _fixed(decoders: tuple[_Decoder, ...], value: Any, place: str) -> Any:
+def _decode_fixed_tuple(decoders: tuple[_Decoder, ...], value: Any, path: str) -> Any:
     if not isinstance(value, list) or len(value) < len(decoders):
-        raise _malformed(place, value)
+        raise _malformed(path, value)
     pairs = zip(decoders, value, strict=False)
-    return tuple(
-        decode(item, f"{place}[{n}]") for n, (decode, item) in enumerate(pairs)
-    )
+    return tuple(decode(item, f"{path}[{n}]") for n, (decode, item) in enumerate(pairs))
 
 
-def _dataclass(kind: type, value: Any, place: str) -> Any:
+def _decode_dataclass(kind: type, value: Any, path: str) -> Any:
     if not isinstance(value, list):
-        raise _malformed(place, value)
-    return _decode_fields(kind, value, place)
+        raise _malformed(path, value)
+    return _decode_fields(kind, value, path)
 
 
-def _enum(kind: type[Enum], value: Any, place: str) -> Any:
+def _decode_enum(kind: type[Enum], value: Any, path: str) -> Any:
     try:
         return kind(value)
     except ValueError:
-        raise _malformed(place, value) from None
+        raise _malformed(path, value) from None
 
 
-def _scalar(kind: type, value: Any, place: str) -> Any:
+def _decode_scalar(kind: type, value: Any, path: str) -> Any:
     if kind is float and type(value) is int:
         return float(value)
-    # Exactly: a bool is an int to isinstance, and True is no term.
+    # Not isinstance, which takes True for an int.
     if type(value) is not kind:
-        raise _malformed(place, value)
+        raise _malformed(path, value)
     return value
--- a/mallowpass/core/effects.py
+++ b/mallowpass/core/effects.py
@@ -1,4 +1,4 @@
-"""What a host does: the outputs of the core, carried out by adapters in order."""
+"""The effects that the core of a host returns; adapters carry them out in order."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 @record
 class CloseCaller(Effect):
-    """End a caller's stream after the answers sent on it."""
+    """End a caller's stream once the answers sent before have gone out."""
 
     stream: int
 
@@ -61,7 +61,7 @@
 
 @record
 class OpenConnection(Effect):
-    """Open a connection; the core numbers connections and never reuses one."""
+    """Open a connection; the core never uses a connection's number twice."""
 
     connection: int
     address: str
@@ -81,7 +81,7 @@
 
 @record
 class OpenControl(Effect):
-    """Open a control stream of an endpoint, beside any that is open."""
+    """Open a control stream to an endpoint; those that are open stay open."""
 
     address: str
     stream: int
@@ -100,7 +100,7 @@
 
 @record
 class CloseControl(Effect):
-    """Close a control stream; no event of it may follow."""
+    """Close a control stream; no event of the stream may follow."""
 
     address: str
     stream: int
@@ -111,9 +111,9 @@
 
 @record
 class ConnectPeer(Effect):
-    """Make a link to a peer; PeerConnected or PeerLost with this link follows.
+    """Open a link to a peer; PeerConnected or PeerLost with this number follows.
 
-    Links that peers make have negative numbers, given by the adapter.
+    Links that peers open have negative numbers, which the adapter assigns.
     """
 
     link: int
@@ -122,7 +122,7 @@
 
 @record
 class SendPeer(Effect):
-    """Send a message on a link; dropped when the link is gone."""
+    """Send a message on a link; if the link has ended, the message is dropped."""
 
     link: int
     message: PeerMessage
@@ -140,7 +140,7 @@
 
 @record
 class CallPlatform(Effect):
-    """Call the platform; PlatformReplied with this number follows always."""
+    """Call the platform; PlatformReplied with this number always follows."""
 
     call: int
     request: PlatformCall
--- a/mallowpass/core/events.py
+++ b/mallowpass/core/events.py
@@ -1,4 +1,4 @@
-"""What can happen to a host: the inputs of the core."""
+"""The events that adapters pass to the core of a host."""
 
 from __future__ import annotations
 
@@ -41,14 +41,14 @@
 
 @record
 class CallerConnected(Event):
-    """A caller opened a stream; the adapter numbers streams and never reuses one."""
+    """A caller opened a stream; the adapter never uses a stream's number twice."""
 
     stream: int
 
 
 @record
 class CallerRequested(Event):
-    """A caller sent a request that the adapter has checked for form."""
+    """A caller sent a request; the adapter has checked its form."""
 
     stream: int
     request: CallerRequest
@@ -56,7 +56,7 @@
 
 @record
 class CallerDisconnected(Event):
-    """A caller's stream ended, in whatever way."""
+    """A caller's stream ended, for any reason."""
 
     stream: int
 
@@ -90,7 +90,7 @@
 
 @record
 class ControlOpened(Event):
-    """The control stream opened; `stream` is the number that OpenControl gave it."""
+    """A control stream opened; `stream` is the number in its OpenControl."""
 
     address: str
     stream: int
@@ -98,7 +98,7 @@
 
 @record
 class ControlLost(Event):
-    """The control stream broke, or could not be opened."""
+    """A control stream broke, or could not be opened."""
 
     address: str
     stream: int
@@ -107,7 +107,7 @@
 
 @record
 class ControlReplied(Event):
-    """A reply or a watch's report came on the control stream."""
+    """A reply, or a report of a WatchCall, came on a control stream."""
 
     address: str
     stream: int
@@ -119,7 +119,7 @@
 
 @record
 class PeerConnected(Event):
-    """A link to or from a peer is up; both sides send Greeting first."""
+    """A link to or from a peer opened; both sides send a Greeting first."""
 
     link: int
     address: str
@@ -127,7 +127,7 @@
 
 @record
 class PeerMessageReceived(Event):
-    """A peer's message came, proven by the fleet's key."""
+    """A peer's message came; the adapter has authenticated it with the fleet's key."""
 
     link: int
     message: PeerMessage
@@ -135,7 +135,7 @@
 
 @record
 class PeerLost(Event):
-    """A link ended, or could not be made."""
+    """A link ended, or could not be opened."""
 
     link: int
     address: str
@@ -146,7 +146,7 @@
 
 @record
 class PlatformReplied(Event):
-    """The platform answered a call, or it failed."""
+    """The platform answered a call, or the call failed."""
 
     call: int
     reply: PlatformReply
@@ -154,7 +154,7 @@
 
 @record
 class OperatorRequested(Event):
-    """An authenticated operator asks for something."""
+    """An authenticated operator sent a request."""
 
     call: int
     request: OperatorRequest
--- a/mallowpass/core/messages.py
+++ b/mallowpass/core/messages.py
@@ -1,7 +1,7 @@
-"""What the inputs and outputs of every kind of node stand on.
+"""Events, effects and signals that all kinds of nodes have in common.
 
-Kept apart from the messages of one kind of host: a process imports only what it uses,
-and each data class takes memory, and time at the start.
+They are in a module of their own so that a process imports only the data classes that
+its kind of host uses: each one takes memory, and time at the start.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 @record
 class Event:
-    """Stand on top of all inputs."""
+    """Base class of events, the inputs of a node."""
 
 
 @record
@@ -49,9 +49,9 @@
 
 @record
 class ShutdownRequested(Event):
-    """The process was told to stop; seconds for what is in flight."""
+    """The process was asked to stop."""
 
-    limit: float
+    limit: float  # time for the work in flight, seconds
 
 
 # -- Outputs -----------------------------------------------------------------
@@ -59,19 +59,19 @@
 
 @record
 class Effect:
-    """Stand on top of all outputs."""
+    """Base class of effects, the outputs of a node."""
 
 
 @record
 class CloseConnection(Effect):
-    """Close a connection; no event of it may follow."""
+    """Close a connection; no event of the connection may follow."""
 
     connection: int
 
 
 @record
 class Log(Effect):
-    """Log one event; `level` is a name of the logging module."""
+    """Log an event; `level` is the name of a level of the logging module."""
 
     level: str
     event: str
@@ -89,7 +89,7 @@
 
 @record
 class Observe(Effect):
-    """Record a value of a histogram; times in seconds."""
+    """Add a value to a histogram; times are in seconds."""
 
     name: str
     value: float
@@ -98,7 +98,7 @@
 
 @record
 class Exit(Effect):
-    """End the process: all that was in flight is finished."""
+    """End the process; no work is in flight."""
 
 
 # -- Within a node -----------------------------------------------------------
@@ -106,12 +106,12 @@
 
 @record
 class Signal:
-    """Stand on top of what systems tell each other."""
+    """Base class of signals, which systems of a node publish to each other."""
 
 
 @record
 class Decision:
-    """Record one decision: `at` on the host's monotonic clock."""
+    """A decision of a host; `at` is a time of the host's monotonic clock."""
 
     at: float
     host: str
--- a/mallowpass/core/node.py
+++ b/mallowpass/core/node.py
@@ -1,8 +1,8 @@
-"""One host's core: events in, effects out.
+"""The core of one host: takes events, returns effects.
 
-A node is driven by its adapters: `handle` for each event, `wake` when
-`next_wake` has come. Both return the effects to carry out, in order. The same
-class runs under real sockets, under tests with virtual time and under replay.
+Adapters drive a node: they call `handle` for each event, and `wake` at the time
+`next_wake`. Both return the effects to carry out, in order. The same class runs
+with real sockets, in tests with virtual time, and in the replay of a trace.
 """
 
 from __future__ import annotations
@@ -30,15 +30,18 @@
 
 __all__ = ["FailureDomain", "HostIdentity", "Node", "System", "Tuning"]
 
-JOURNAL_LENGTH = 4096
-_DOUBLINGS_MAX = 16  # of a pause; any bound in use is reached before
+JOURNAL_LENGTH = 4096  # decisions
+_DOUBLINGS_MAX = 16  # of a backoff delay: each maximum in use is reached earlier
 
 _S = TypeVar("_S", bound="System")
 
 
 @record
 class FailureDomain:
-    """Describe a failure domain; `hosts` is the number of seats in it."""
+    """Describe a failure domain (zone); `hosts` is the number of seats in it.
+
+    A seat is the number of a host's place within its failure domain.
+    """
 
     name: str
     region: str
@@ -47,7 +50,10 @@
 
 @record
 class HostIdentity:
-    """Describe this host; a replacement takes over its predecessor's seat."""
+    """Describe this host.
+
+    A host that replaces another one has the seat of its predecessor.
+    """
 
     name: str
     failure_domain: str
@@ -57,7 +63,7 @@
     domains: tuple[FailureDomain, ...]
     seeds: tuple[str, ...] = ()
     token_key: bytes = b""
-    capacity: float = 1.0  # cores, for shares of work
+    capacity: float = 1.0  # processor cores
 
     @property
     def region(self) -> str:
@@ -65,7 +71,7 @@
         return self.region_of(self.failure_domain)
 
     def region_of(self, failure_domain: str) -> str:
-        """Return the region of a failure domain, empty when unknown."""
+        """Return the region of a failure domain, empty if the domain is unknown."""
         for domain in self.domains:
             if domain.name == failure_domain:
                 return domain.region
@@ -74,38 +80,41 @@
 
 @record
 class Tuning:
-    """Hold the core's times (seconds) and limits."""
+    """Describe the time-outs, intervals and limits of the core; times in seconds."""
 
-    # Health of endpoints and failover.
+    # Health checks of endpoints, and failover.
     probe_interval: float = 0.1
-    report_gap: float = 0.01
-    detection: float = 0.4
-    promise_timeout: float = 0.3
+    report_gap: float = 0.01  # least time between two reports of a member
+    detection: float = 0.4  # a primary that is silent for this long is suspected
+    promise_timeout: float = 0.3  # of the control calls of a promotion
+    # The steward of a group is the host that promotes first. The others follow in
+    # turn, each this much later than the one before it.
     steward_stagger: float = 0.15
+    # Until a promotion is this old, a silent primary is suspected only later.
     promotion_hold_down: float = 5.0
     # Connections.
     connect_timeout: float = 2.0
     connection_time_to_live: float = 10.0
     connection_idle: float = 60.0
-    silence: float = 3.0  # a connection without an answer for so long is closed
-    loan: float = 5.0
+    silence: float = 3.0  # without an answer for this long, a connection is closed
+    loan: float = 5.0  # how long connections are lent to another host
     # Requests.
     default_deadline: float = 10.0
     retry_backoff_min: float = 0.01
     retry_backoff_max: float = 0.5
-    retry_share: float = 0.2
-    replica_wait: float = 0.05
+    retry_share: float = 0.2  # retries that one success adds to the retry budget
+    replica_wait: float = 0.05  # longest wait of a read until a replica has its floor
     transaction_idle: float = 10.0
     sessions: int = 20_000
     requests_in_flight: int = 10_000
     # Membership, configuration, platform.
-    heartbeat: float = 0.5
-    suspicion: float = 1.5
-    death: float = 5.0
-    peers_in_domain: int = 4
-    peers_elsewhere: int = 2
-    configuration_poll: float = 1.0
-    host_list_poll: float = 2.0
+    heartbeat: float = 0.5  # interval
+    suspicion: float = 1.5  # a host that is silent for this long is suspected
+    death: float = 5.0  # a host that is silent for this long is taken for dead
+    peers_in_domain: int = 4  # links to hosts of the same failure domain
+    peers_elsewhere: int = 2  # links to hosts of other failure domains
+    configuration_poll: float = 1.0  # interval
+    host_list_poll: float = 2.0  # interval
     platform_timeout: float = 1.0
     platform_reads_per_second: float = 20.0
     platform_writes_per_second: float = 5.0
@@ -113,9 +122,10 @@
 
 
 class System:
-    """Stand on top of all systems: a part that owns some decisions of a node.
+    """Base class of systems: each makes some of the decisions of a node.
 
-    `replaces` names the system that others find this one in place of.
+    A subclass that sets `replaces` is started in place of that class, and
+    `Node.system` returns it for that class.
     """
 
     __slots__ = ("_node",)
@@ -141,14 +151,17 @@
         return self._node.timers.now
 
     def start(self) -> None:
-        """Subscribe to events and timers; called once, with all systems made."""
+        """Subscribe to events and timers.
+
+        Called once, after all systems of the node have been created.
+        """
 
     def stop(self) -> None:
-        """Give up whatever is held; called when the host leaves."""
+        """Release all resources; called when the host shuts down."""
 
 
 class Node:
-    """Own the tables, timers and systems of one host."""
+    """A host's tables, timers and systems."""
 
     __slots__ = (
         "_effects",
@@ -179,7 +192,7 @@
         self.random = random.Random(seed)
         self._numbers = itertools.count(1)
         self._effects: list[Any] = []
-        # Called with an exception that escapes a handler; None: it is raised.
+        # Called with an exception that a handler raised; None: the node re-raises it.
         self.on_error: Callable[[Exception], None] | None = None
         self._handlers: dict[type, list[Callable[[Any], None]]] = {}
         self._journal: deque[Decision] = deque(maxlen=JOURNAL_LENGTH)
@@ -187,23 +200,23 @@
 
     @property
     def next_wake(self) -> float | None:
-        """Return when `wake` is to be called, None for not at all."""
+        """Return the time at which to call `wake`, None if no timer is set."""
         return self.timers.next_due
 
     @property
     def journal(self) -> deque[Decision]:
-        """Return the newest decisions, oldest first."""
+        """Return the most recent decisions, oldest first."""
         return self._journal
 
     @property
     def systems(self) -> tuple[System, ...]:
-        """Return all systems in the order in which they started."""
+        """Return all systems, in the order in which they were started."""
         return tuple(self._systems.values())
 
     # -- Driving -------------------------------------------------------------
 
     def start(self, systems: Iterable[type[System]]) -> list[Effect]:
-        """Make the systems and start them."""
+        """Create the systems, then start them; return the effects."""
         for kind in systems:
             self._systems[kind.replaces or kind] = kind(self)
         for system in self._systems.values():
@@ -211,60 +224,61 @@
         return self._take_effects()
 
     def handle(self, now: float, event: Any) -> list[Any]:
-        """Decide what to do about an event that came at `now`; return effects."""
+        """Run due timers, then the handlers of an event; return the effects."""
         self.timers.advance(now)
-        self._guard(self.timers.run_due)
+        self._call_guarded(self.timers.run_due)
         for handler in self._handlers.get(type(event), ()):
-            self._guard(handler, event)
+            self._call_guarded(handler, event)
         return self._take_effects()
 
-    def _guard(self, handler: Callable[..., Any], *arguments: Any) -> None:
-        """Call a handler; an exception ends what it does, and nothing beside it.
+    def _call_guarded(self, callback: Callable[..., Any], *arguments: Any) -> None:
+        """Call a handler, or run the due timers; pass an exception to `on_error`.
 
-        Raised through the event loop, an exception would close the connection at hand
-        and drop the effects of all other handlers. Timers that are due run next time.
+        An exception raised into the event loop would close the connection that the
+        event came from, and the effects of the other handlers would be lost. If a
+        timer raises, the timers due after it run at the next event.
         """
         try:
-            handler(*arguments)
+            callback(*arguments)
         except Exception as error:
             if self.on_error is None:
                 raise
             self.on_error(error)
 
     def wake(self, now: float) -> list[Effect]:
-        """Run what is due."""
+        """Run due timers; return the effects."""
         return self.handle(now, _WOKEN)
 
     # -- For systems ---------------------------------------------------------
 
     def system(self, kind: type[_S]) -> _S:
-        """Return the node's system of a kind."""
+        """Return the node's system of a class, or the system that replaces it."""
         return self._systems[kind]  # type: ignore[return-value]
 
     def subscribe(self, kind: type, handler: Callable[[Any], None]) -> None:
-        """Have a handler called with every event or signal of one type."""
+        """Have a handler called with each event or signal of exactly this type."""
         self._handlers.setdefault(kind, []).append(handler)
 
     def publish(self, signal: Signal) -> None:
-        """Tell the systems that subscribed to the signal's type, at once."""
+        """Call the handlers of a signal's type before returning."""
         for handler in self._handlers.get(type(signal), ()):
             handler(signal)
 
     def emit(self, effect: Any) -> None:
-        """Add an effect to those that the event at hand causes."""
+        """Add an effect to those of the event being handled."""
         self._effects.append(effect)
 
     def next_number(self) -> int:
-        """Return a number that this node has not used before."""
+        """Return a number that this node has not returned before."""
         return next(self._numbers)
 
-    def backoff(self, failures: int, least: float, most: float) -> float:
-        """Return a pause in seconds: doubled by each failure, jittered, bounded.
+    def backoff(self, failures: int, minimum: float, maximum: float) -> float:
+        """Return a delay in seconds: exponential backoff with jitter.
 
-        Without the jitter all who failed together would come back together.
+        Without the jitter, attempts that failed together would be repeated together.
         """
-        longest = min(most, least * 2.0 ** min(failures, _DOUBLINGS_MAX))
-        return self.random.uniform(longest / 2, longest)
+        delay = min(maximum, minimum * 2.0 ** min(failures, _DOUBLINGS_MAX))
+        return self.random.uniform(delay / 2, delay)
 
     def log(self, level: str, event: str, **fields: Any) -> None:
         """Log one event."""
@@ -279,7 +293,7 @@
         self._effects.append(Observe(name, value, tuple(attributes.items())))
 
     def record_decision(self, kind: str, subject: str, text: str) -> None:
-        """Record a decision in the journal, for operators to ask about."""
+        """Record a decision in the journal, which `explain` reads."""
         at = self.timers.now
         self._journal.append(Decision(at, self.identity.name, kind, subject, text))
 
@@ -290,7 +304,7 @@
 
 
 def _default_tables() -> Tables:
-    # Imported here: a host with tables of its own has no use for these.
+    # Imported here, as a host with other tables does not need this module.
     from mallowpass.core.tables import Tables
 
     return Tables()
--- a/mallowpass/core/operations.py
+++ b/mallowpass/core/operations.py
@@ -1,4 +1,4 @@
-"""What operators ask for, and the answers."""
+"""Requests of operators, and the answers."""
 
 from __future__ import annotations
 
@@ -31,39 +31,42 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OperatorRequest:
-    """Stand on top of all requests of operators; `operator` is authenticated."""
+    """Base class of the requests of operators.
+
+    `operator` is the name of the operator, whom the adapter has authenticated.
+    """
 
     operator: str = ""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ChangeServiceRequest(OperatorRequest):
-    """Create (version 0), change or delete (no service) a service."""
+    """Create, change or delete a service."""
 
     name: str
-    service: Service | None
-    from_version: int
+    service: Service | None  # None: delete it
+    from_version: int  # the version to be replaced; 0: create it
     change_id: str
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ListServicesRequest(OperatorRequest):
-    """List services, or the one named."""
+    """List all services, or the service of a name."""
 
     name: str = ""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DrainRequest(OperatorRequest):
-    """Drain a host; `limit` in seconds for what is in flight."""
+    """Drain a host."""
 
     host: str
-    limit: float = 0.0
+    limit: float = 0.0  # time for the work in flight, seconds; 0: the default
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PromoteRequest(OperatorRequest):
-    """Hand a database over to a member."""
+    """Switch a database over to a member."""
 
     service: str
     database: str
@@ -72,12 +75,12 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StatusRequest(OperatorRequest):
-    """Ask for the state of this host and what it sees."""
+    """Request the state of this host, and of what it knows."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ExplainRequest(OperatorRequest):
-    """Ask why; `subject` is request, database or config."""
+    """Request the decisions about a subject: "request", "database" or "config"."""
 
     subject: str
     name: str
@@ -86,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class OperatorAnswer:
-    """Stand on top of all answers to operators; an empty code means success."""
+    """Base class of the answers to operators; an empty code means success."""
 
     code: str = ""
     message: str = ""
@@ -94,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceChangedAnswer(OperatorAnswer):
-    """Tell whether a change was accepted, and the row as it stands."""
+    """Whether a change was accepted, and the present version of the service."""
 
     accepted: bool
     current: ServiceVersion | None = None
@@ -102,21 +105,21 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServicesListedAnswer(OperatorAnswer):
-    """List services."""
+    """The services that were requested."""
 
     services: tuple[ServiceVersion, ...] = ()
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DrainAnswer(OperatorAnswer):
-    """Tell whether a drain began."""
+    """Whether a drain began."""
 
     accepted: bool
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PromoteAnswer(OperatorAnswer):
-    """Tell whether a hand-over succeeded, and its term."""
+    """Whether a switchover succeeded, and the term of the new primary."""
 
     accepted: bool
     term: int = 0
@@ -124,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class MemberStatus:
-    """Describe a member as this host sees it."""
+    """The state of a member, as far as this host knows."""
 
     name: str
     failure_domain: str
@@ -135,13 +138,16 @@
     connections_open: int
     connections_used: int
     connections_share: int
-    report_age: float | None
+    report_age: float | None  # seconds; None: no report came
     leaving: bool
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DatabaseStatus:
-    """Describe a database as this host sees it."""
+    """The state of a database, as far as this host knows.
+
+    `steward` is the host that is the first to promote a member of the database.
+    """
 
     service: str
     database: str
@@ -155,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PeerStatus:
-    """Describe another host as this host sees it."""
+    """The state of another host, as far as this host knows."""
 
     host: str
     failure_domain: str
@@ -164,7 +170,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StatusAnswer(OperatorAnswer):
-    """Describe this host and what it sees."""
+    """The state of this host, and of what it knows."""
 
     host: str
     failure_domain: str
@@ -179,6 +185,6 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ExplainedAnswer(OperatorAnswer):
-    """Answer ExplainRequest; times are seconds ago."""
+    """The decisions about a subject; their times are ages in seconds."""
 
     decisions: tuple[Decision, ...] = ()
--- a/mallowpass/core/peering.py
+++ b/mallowpass/core/peering.py
@@ -1,4 +1,4 @@
-"""Messages between hosts; adapters carry them as CBOR over websockets."""
+"""Messages between hosts; adapters send them as CBOR over WebSocket links."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 @record
 class PeerMessage:
-    """Stand on top of all messages between hosts."""
+    """Base class of the messages between hosts."""
 
 
 @record
 class Greeting(PeerMessage):
-    """Name the sender; first on each link."""
+    """Identify the sender; the first message on each link, in both directions."""
 
     host: str
     failure_domain: str
@@ -45,19 +45,19 @@
 
 @record
 class Heartbeat(PeerMessage):
-    """Prove that the sender lives; `digest` is over its service versions."""
+    """Show that the sender is alive."""
 
     host: str
     incarnation: int
-    beat: int
-    digest: bytes
+    beat: int  # sequence number
+    digest: bytes  # of the sender's service versions
     draining: bool = False
-    hosts: bytes = b""  # over the hosts that the sender believes alive
+    hosts: bytes = b""  # digest of the hosts that the sender takes for alive
 
 
 @record
 class Goodbye(PeerMessage):
-    """Say that the sender leaves and takes no new work."""
+    """Announce that the sender is leaving and takes no new work."""
 
     host: str
     incarnation: int
@@ -65,7 +65,7 @@
 
 @record
 class HostNotice(PeerMessage):
-    """Pass on what the sender knows of a third host."""
+    """Pass on what the sender knows of another host."""
 
     host: str
     failure_domain: str
@@ -77,12 +77,16 @@
 
 @record
 class EndpointNotice(PeerMessage):
-    """Pass on that an endpoint is leaving, or is back."""
+    """Pass on that an endpoint is leaving, or is back.
+
+    `origin`, `incarnation` and `number` identify a notice, so that each host relays it
+    once only.
+    """
 
     address: str
     leaving: bool
-    origin: str = ""  # with the two numbers: each host relays a notice once
-    incarnation: int = 0
+    origin: str = ""  # the host that sent it first
+    incarnation: int = 0  # of that host
     number: int = 0
 
 
@@ -93,26 +97,26 @@
     database: str
     term: int
     primary: str
-    by: str
+    by: str  # the host that promoted it
 
 
 @record
 class Digest(PeerMessage):
-    """List the service versions that the sender has in force."""
+    """List the names and versions of the services that the sender has in force."""
 
     versions: tuple[tuple[str, int], ...]
 
 
 @record
 class ServicesCall(PeerMessage):
-    """Ask for services by name; none named: all."""
+    """Request services by name; without names, request all."""
 
     names: tuple[str, ...] = ()
 
 
 @record
 class ServiceNotice(PeerMessage):
-    """Pass on a service's newest version."""
+    """Pass on the newest version of a service."""
 
     service: ServiceVersion
 
@@ -121,11 +125,12 @@
 class LoanCall(PeerMessage):
     """Ask the receiver to lend connections of its share at an endpoint.
 
-    The same loan again asks to prolong it; `call` tells the calls apart, as an
-    answer to an earlier one must not count from when a later one was sent.
+    A call with the id of a loan that exists asks to extend it. `call` numbers the
+    calls: the time of an answer counts from when its own call was sent, and an answer
+    to an earlier call must not count from when a later one was sent.
     """
 
-    loan: str
+    loan: str  # id
     address: str
     connections: int
     call: int = 0
@@ -144,7 +149,7 @@
 
 @record
 class LoanReturn(PeerMessage):
-    """Give a loan back early; its connections are closed."""
+    """End a loan early; the sender has closed its connections."""
 
     loan: str
     address: str
@@ -152,7 +157,7 @@
 
 @record
 class ExplainCall(PeerMessage):
-    """Ask a host's journal on an operator's behalf."""
+    """Request decisions from a host's journal on behalf of an operator."""
 
     call: str
     subject: str
@@ -162,7 +167,7 @@
 
 @record
 class ExplainAnswer(PeerMessage):
-    """Answer with journal entries as (age in seconds, kind, subject, text)."""
+    """Answer ExplainCall; a decision is (age in seconds, kind, subject, text)."""
 
     call: str
     host: str
@@ -171,7 +176,11 @@
 
 @record
 class HostsDigest(PeerMessage):
-    """Hash the sender's hosts by bucket; an `answer` is not answered again."""
+    """Send hashes over the hosts that the sender knows, one for each bucket.
+
+    The receiver sends what it knows of the hosts in buckets that differ, and answers
+    with its own hashes unless the message is an answer itself.
+    """
 
     buckets: tuple[int, ...]
     answer: bool = False
@@ -179,7 +188,7 @@
 
 @record
 class DrainCall(PeerMessage):
-    """Ask the receiver to drain on an operator's behalf; `limit` in seconds."""
+    """Ask the receiver to drain on behalf of an operator; `limit` is in seconds."""
 
     call: str
     host: str
--- a/mallowpass/core/platformcalls.py
+++ b/mallowpass/core/platformcalls.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's table service, object store and host list."""
+"""Calls to the platform's table service and host list, and the replies."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @record
 class TableRow:
-    """Hold one row; its version grows by one with each write."""
+    """A row of a table; its version increases by one with each write."""
 
     table: str
     key: str
@@ -36,7 +36,7 @@
 
 @record
 class PlatformCall:
-    """Stand on top of all calls to the platform."""
+    """Base class of the calls to the platform."""
 
 
 @record
@@ -49,7 +49,7 @@
 
 @record
 class ScanRows(PlatformCall):
-    """Read the rows changed after a change number."""
+    """Read the rows that changed after a change number."""
 
     table: str
     after_change: int
@@ -57,7 +57,7 @@
 
 @record
 class WriteRow(PlatformCall):
-    """Write a row if its version is still the expected one."""
+    """Write a row if its version is the expected one (compare-and-set)."""
 
     table: str
     key: str
@@ -68,7 +68,7 @@
 
 @record
 class ListedHost:
-    """Describe a host of the platform's list."""
+    """A host in the platform's list."""
 
     name: str
     failure_domain: str
@@ -78,24 +78,24 @@
 
 @record
 class ListHosts(PlatformCall):
-    """Read the platform's lagging list of hosts."""
+    """Read the platform's list of hosts, which lags behind the registrations."""
 
 
 @record
 class RegisterHost(PlatformCall):
-    """Tell the platform that this host is there."""
+    """Register this host in the platform's list of hosts."""
 
     host: ListedHost
 
 
 @record
 class PlatformReply:
-    """Stand on top of all answers of the platform."""
+    """Base class of the replies of the platform."""
 
 
 @record
 class RowRead(PlatformReply):
-    """Answer ReadRow; None when there is no such row."""
+    """Answer ReadRow; `row` is None if the row does not exist."""
 
     row: TableRow | None
 
@@ -105,13 +105,13 @@
     """Answer ScanRows."""
 
     rows: tuple[TableRow, ...]
-    change: int
-    more: bool = False
+    change: int  # change number to scan after next
+    more: bool = False  # more rows have changed after `change`
 
 
 @record
 class RowWritten(PlatformReply):
-    """Answer WriteRow with the row as it stands now."""
+    """Answer WriteRow; `current` is the row after the call, written or not."""
 
     written: bool
     current: TableRow | None
@@ -131,8 +131,8 @@
 
 @record
 class PlatformFailed(PlatformReply):
-    """Answer any call that failed; `ambiguous`: a write may have taken effect."""
+    """Answer any call that failed."""
 
     message: str
-    ambiguous: bool = True
-    code: str = ""  # a name of mallowpass/errors.py; empty: the platform is at fault
+    ambiguous: bool = True  # a write may have taken effect
+    code: str = ""  # name of an ErrorCode; empty: the platform is at fault
--- a/mallowpass/core/positions.py
+++ b/mallowpass/core/positions.py
@@ -1,4 +1,4 @@
-"""Places in replication logs, and how statements use the data."""
+"""Positions in replication logs, and the access modes of statements."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class LogPosition(NamedTuple):
-    """Name a place in a group's replication log; compares by term first."""
+    """A position in the replication log of a group; ordered by term first."""
 
     term: int
     position: int
 
     @property
     def text(self) -> str:
-        """Return it as log lines have it."""
+        """Return the position as text, as in log events: "term.position"."""
         return f"{self.term}.{self.position}"
 
     @classmethod
     def parse(cls, text: str) -> LogPosition:
-        """Read what `text` returned; ValueError if it is no position."""
+        """Return the position that `text` has; raise ValueError for other text."""
         term, _, position = text.partition(".")
         return cls(int(term), int(position))
 
@@ -30,7 +30,7 @@
 
 
 class Access(Enum):
-    """Say whether a statement reads or writes."""
+    """Whether a statement reads or writes."""
 
     READ = "read"
     WRITE = "write"
--- a/mallowpass/core/records.py
+++ b/mallowpass/core/records.py
@@ -1,8 +1,8 @@
-"""Frozen data classes that are quick to define.
+"""Frozen data classes that take little time to define.
 
-A process defines about a hundred of them at its start, and callers wait for that when
-hosts start again. `dataclass` writes and compiles six methods for each. Here all but
-one are shared.
+A process defines about a hundred of them at its start, and callers wait for a host that
+restarts. `dataclass` generates and compiles six methods for each class. Here all
+classes share these methods, except `__init__`.
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
     made.__init__ = _make_init(made)
     made.__setattr__ = _refuse_assignment
     made.__delattr__ = _refuse_deletion
-    made.__getstate__ = _values
-    made.__setstate__ = _restore
+    made.__getstate__ = _field_values
+    made.__setstate__ = _set_field_values
     made.__eq__ = _is_equal
     made.__hash__ = _hash
-    made.__repr__ = _text
+    made.__repr__ = _repr
     return made
 
 
 def _make_init(cls: type) -> Callable[..., None]:
-    """Return the method that sets the fields of a new instance."""
+    """Generate the `__init__` method of a class from its fields."""
     scope: dict[str, Any] = {"_set": object.__setattr__, "_missing": MISSING}
     parameters = ["self"]
-    steps = []
+    statements = []
     for field in fields(cls):
         name = value = field.name
         if field.default is not MISSING:
@@ -48,20 +48,21 @@
             value = f"_make_{name}() if {name} is _missing else {name}"
         else:
             parameters.append(name)
-        steps.append(f"  _set(self, {name!r}, {value})")
+        statements.append(f"  _set(self, {name!r}, {value})")
     if hasattr(cls, "__post_init__"):
-        steps.append("  self.__post_init__()")
-    # Inside a function, so that the names it uses are of the class's own module.
+        statements.append("  self.__post_init__()")
+    # The names in `scope` are parameters of an outer function, so that the globals of
+    # the method are those of the class's module.
     lines = [
         f"def _make({', '.join(scope)}):",
         f" def __init__({', '.join(parameters)}):",
-        *steps,
+        *statements,
         "  return None",
         " return __init__",
     ]
-    made: dict[str, Any] = {}
-    exec("\n".join(lines), sys.modules[cls.__module__].__dict__, made)
-    init = made["_make"](**scope)
+    defined: dict[str, Any] = {}
+    exec("\n".join(lines), sys.modules[cls.__module__].__dict__, defined)
+    init = defined["_make"](**scope)
     init.__qualname__ = f"{cls.__qualname__}.__init__"
     init.__annotations__ = {field.name: field.type for field in fields(cls)}
     return init
@@ -75,11 +76,11 @@
     raise FrozenInstanceError(f"cannot delete field {name!r}")
 
 
-def _values(instance: Any) -> tuple[Any, ...]:
-    return tuple(getattr(instance, name) for name in instance.__match_args__)
+def _field_values(self: Any) -> tuple[Any, ...]:
+    return tuple(getattr(self, name) for name in self.__match_args__)
 
 
-def _restore(self: Any, state: tuple[Any, ...]) -> None:
+def _set_field_values(self: Any, state: tuple[Any, ...]) -> None:
     for name, value in zip(self.__match_args__, state, strict=True):
         object.__setattr__(self, name, value)
 
@@ -87,14 +88,14 @@
 def _is_equal(self: Any, other: object) -> Any:
     if type(other) is not type(self):
         return NotImplemented
-    return _values(self) == _values(other)
+    return _field_values(self) == _field_values(other)
 
 
 def _hash(self: Any) -> int:
-    return hash(_values(self))
+    return hash(_field_values(self))
 
 
-def _text(self: Any) -> str:
+def _repr(self: Any) -> str:
     names = self.__match_args__
     values = ", ".join(f"{name}={getattr(self, name)!r}" for name in names)
     return f"{type(self).__qualname__}({values})"
--- a/mallowpass/core/services.py
+++ b/mallowpass/core/services.py
@@ -1,4 +1,4 @@
-"""Services as operators declare them: frozen, versioned, comparable."""
+"""Services as operators declare them, and their versions."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
     "service_of",
 ]
 
-DEFAULT_QUEUE_LENGTH = 512
-DEFAULT_DEADLINE = 10.0
+DEFAULT_QUEUE_LENGTH = 512  # requests
+DEFAULT_DEADLINE = 10.0  # seconds
 DEFAULT_CLASS = "interactive"
 
 
 def database_key(service: str, database: str) -> str:
-    """Name a database over all services."""
+    """Return the key of a database, which is unique over all services."""
     return f"{service}/{database}"
 
 
 def service_of(key: str) -> str:
-    """Return the service's name in a database's key."""
+    """Return the name of the service in a database's key."""
     return key.partition("/")[0]
 
 
 @record
 class Member:
-    """Describe one endpoint of a database group."""
+    """A member of a database group: one endpoint."""
 
     name: str
     address: str
@@ -43,24 +43,27 @@
 
 @record
 class Database:
-    """Describe a database group; `setup_time` in seconds."""
+    """A database group: the members that replicate one database."""
 
     name: str
     members: tuple[Member, ...]
-    connections: int
-    concurrent_statements: int = 0
-    setup_time: float = 0.0
-    manual_promotion: bool = False
+    connections: int  # that all hosts together may open to one member
+    concurrent_statements: int = 0  # that one member may run; 0: no limit
+    setup_time: float = 0.0  # that a new connection takes, seconds
+    manual_promotion: bool = False  # only operators promote a member
 
     @property
     def majority(self) -> int:
-        """Return how many members are more than half."""
+        """Return the number of members that make a majority (quorum)."""
         return len(self.members) // 2 + 1
 
 
 @record
 class ReadAge:
-    """Accept reads of data that is at most `accepted_age` seconds old."""
+    """The accepted age of reads, in seconds (bounded staleness).
+
+    It applies to one database and class of requests; an empty name stands for all.
+    """
 
     accepted_age: float
     database: str = ""
@@ -69,16 +72,16 @@
 
 @record
 class RequestClass:
-    """Describe a class of requests; a patient one takes what is left."""
+    """A class of requests; waiting classes share an endpoint by their weights."""
 
     name: str
     weight: int = 1
-    patient: bool = False
+    patient: bool = False  # leaves the last free connection to the other classes
 
 
 @record
 class Objectives:
-    """State the service levels that the burn report measures against; seconds."""
+    """The service-level objectives that reports compare with; times in seconds."""
 
     write_availability: float = 0.999
     latency_p99: float = 0.5
@@ -88,7 +91,7 @@
 
 @record
 class Service:
-    """Describe a service in full."""
+    """A service: databases, and the rules for the requests to them."""
 
     name: str
     databases: tuple[Database, ...]
@@ -96,14 +99,15 @@
     classes: tuple[RequestClass, ...] = (RequestClass(DEFAULT_CLASS),)
     queue_length: int = DEFAULT_QUEUE_LENGTH
     default_deadline: float = DEFAULT_DEADLINE
-    minority_reads: bool = True
+    minority_reads: bool = True  # serve reads with an accepted age without a primary
     objectives: Objectives = Objectives()
 
     def accepted_age(self, database: str, request_class: str) -> float | None:
-        """Return the age declared for a read, the most specific declaration first.
+        """Return the age declared for a read, in seconds.
 
-        The order is database and class, class, database, whole service; None when
-        nothing is declared: the read then shows what its session has seen.
+        The most specific declaration counts: of database and class, else of the
+        class, else of the database, else of the service. None if none is declared:
+        the read then sees at least what its session has seen.
         """
         ages = {
             (entry.database, entry.request_class): entry.accepted_age
@@ -122,7 +126,11 @@
 
 @record
 class AcceptedChange:
-    """Name one accepted change; `content` tells another change of the same id."""
+    """An accepted change of a service.
+
+    `content` is a digest, which shows whether a change with the same id is another
+    change.
+    """
 
     change_id: str
     version: int
@@ -131,11 +139,11 @@
 
 @record
 class ServiceVersion:
-    """Carry one accepted state of a service; `service` is None once deleted."""
+    """An accepted version of a service."""
 
     name: str
     version: int
-    service: Service | None
+    service: Service | None  # None: deleted
     change_id: str = ""
     changed_by: str = ""
-    history: tuple[AcceptedChange, ...] = ()  # the newest changes, oldest first
+    history: tuple[AcceptedChange, ...] = ()  # latest changes, oldest first
--- a/mallowpass/core/signals.py
+++ b/mallowpass/core/signals.py
@@ -1,4 +1,7 @@
-"""What systems tell each other within a node; handled at once, in order."""
+"""Signals between the systems of a node.
+
+`Node.publish` calls the handlers of a signal at once, in the order of subscription.
+"""
 
 from __future__ import annotations
 
@@ -30,70 +33,73 @@
 
 @record
 class DatabaseAdded(Signal):
-    """A database's rows exist from now on."""
+    """A database was added; its rows exist."""
 
     database: str
 
 
 @record
 class DatabaseChanged(Signal):
-    """A database's definition changed; rows of its members came or went."""
+    """A database's definition changed; its rows have been updated.
+
+    `removed` holds the addresses of the members that the database no longer has.
+    """
 
     database: str
-    removed: tuple[str, ...] = ()  # addresses
+    removed: tuple[str, ...] = ()
 
 
 @record
 class DatabaseRemoved(Signal):
-    """A database is not served any more; its rows are still there."""
+    """A database is no longer served; its rows still exist."""
 
     database: str
 
 
 @record
 class EndpointReported(Signal):
-    """A member's report came and stands in its row."""
+    """A member sent a report; its row holds the report."""
 
     address: str
 
 
 @record
 class EndpointStateChanged(Signal):
-    """An endpoint is leaving, is back, was ejected or broke off."""
+    """An endpoint began to leave, or is back."""
 
     address: str
 
 
 @record
 class MajorityPositionAdvanced(Signal):
-    """A majority of a group's members holds more of the log."""
+    """The log position that a majority of a group's members holds has advanced."""
 
     database: str
 
 
 @record
 class MajorityPositionStalled(Signal):
-    """Writes wait for a majority, and none holds more for a while."""
+    """Writes wait for a majority, whose position has not advanced for an interval."""
 
     database: str
 
 
 @record
 class PrimaryChanged(Signal):
-    """A database has another primary, a newer term, or none."""
+    """A database has another primary, a newer term, or no primary."""
 
     database: str
 
 
 @record
 class HostStateChanged(Signal):
-    """Another host came, is suspected, leaves or is gone."""
+    """Another host joined, is suspected, is leaving, or is dead."""
 
     host: str
 
 
 @record
 class DrainBegan(Signal):
-    """This host takes no new sessions; `deadline` is when it stops anyway."""
+    """This host accepts no new sessions; it stops at `deadline` at the latest."""
 
     deadline: float
--- a/mallowpass/core/tables.py
+++ b/mallowpass/core/tables.py
@@ -1,4 +1,9 @@
-"""The entities of a host, in tables; rows are changed by systems only."""
+"""The tables of a host: what it knows, one row for each object.
+
+Only systems change rows. A group is the set of endpoints (members) that replicate one
+database; one of them is the primary, the others are replicas. A floor is the least log
+position that a read may see.
+"""
 
 from __future__ import annotations
 
@@ -42,13 +47,17 @@
 
 @dataclass(slots=True)
 class ServiceRow:
-    """Hold the newest known version of a service; deleted ones stay, as markers."""
+    """The newest known version of a service.
+
+    The row of a deleted service stays, so that an older version of the service that
+    another host sends is not accepted again.
+    """
 
     accepted: ServiceVersion
 
     @property
     def service(self) -> Service | None:
-        """Return the service in force, None once deleted."""
+        """Return the service, None if it was deleted."""
         return self.accepted.service
 
 
@@ -56,17 +65,17 @@
 
 
 class GroupState(Enum):
-    """Say what this host believes of a database group."""
+    """The state of a database group, as far as this host knows."""
 
-    UNKNOWN = "unknown"  # no primary was seen yet
+    UNKNOWN = "unknown"  # no primary is known yet
     SERVING = "serving"
-    SUSPECTED = "suspected"  # the primary is silent, or is fenced
-    PROMOTING = "promoting"  # this host is promoting right now
+    SUSPECTED = "suspected"  # the primary does not answer, or is fenced
+    PROMOTING = "promoting"  # this host is promoting a member
 
 
 @record
 class FloorRecord:
-    """Record that every write acknowledged before `at` is at or below `position`."""
+    """A floor: `position` covers every write that was acknowledged before `at`."""
 
     at: float
     position: LogPosition
@@ -74,28 +83,28 @@
 
 @dataclass(slots=True)
 class EndpointRow:
-    """Hold what this host knows of one member of a database group."""
+    """What this host knows of one endpoint, a member of a database group."""
 
     member: Member
     database: str
-    # Control stream, owned by liveness.
-    control_stream: int = 0  # number of the stream in use; 0: none
+    # Changed by liveness.
+    control_stream: int = 0  # number of the control stream in use; 0: none
     is_control_open: bool = False
-    watch_sequence: int = 0  # sequence of the watch call
-    report: Report | None = None
-    last_report_at: float = float("-inf")  # when it came
-    last_reply_at: float = float("-inf")  # when anything was last heard, or probed well
+    watch_sequence: int = 0  # sequence number of the WatchCall
+    report: Report | None = None  # newest
+    last_report_at: float = float("-inf")
+    last_reply_at: float = float("-inf")  # of any kind, on any connection or stream
     misses: int = 0
-    is_leaving: bool = False
-    # Work, owned by routing and pooling.
-    latency: float = 0.0  # moving average of statements, seconds
-    consecutive_errors: int = 0  # in a row
-    ejected_until: float = float("-inf")
-    in_flight: int = 0
+    is_leaving: bool = False  # it finishes the work in flight, and gets no new work
+    # Changed by routing and pooling.
+    latency: float = 0.0  # moving average over statements, seconds
+    consecutive_errors: int = 0
+    ejected_until: float = float("-inf")  # reads are routed to other members until then
+    in_flight: int = 0  # statements
 
     @property
     def address(self) -> str:
-        """Return the address, which is the key."""
+        """Return the member's address, the key of the row in `Tables.endpoints`."""
         return self.member.address
 
     @property
@@ -106,26 +115,25 @@
 
 @dataclass(slots=True)
 class DatabaseRow:
-    """Hold what this host knows of one database group."""
+    """What this host knows of one database group."""
 
     key: str
     service: str
     definition: Database
     endpoints: dict[str, EndpointRow] = field(default_factory=dict)  # by address
-    # Owned by liveness and failover.
+    # Changed by liveness and failover.
     state: GroupState = GroupState.UNKNOWN
-    term: int = 0  # of the primary that this host would send writes to
-    primary: str = ""  # its address; empty: none known
-    majority_position: LogPosition = (
-        ZERO_POSITION  # a majority holds the log up to here
-    )
+    term: int = 0  # of the primary
+    primary: str = ""  # address of the member that gets the writes; empty: none
+    # A majority of the members holds the log up to this position.
+    majority_position: LogPosition = ZERO_POSITION
     floors: deque[FloorRecord] = field(default_factory=deque)  # oldest first
     suspected_at: float | None = None
     last_promotion_at: float = float("-inf")
 
     @property
     def primary_row(self) -> EndpointRow | None:
-        """Return the primary's row, None when no primary is known."""
+        """Return the row of the primary, None if no primary is known."""
         return self.endpoints.get(self.primary)
 
 
@@ -133,28 +141,32 @@
 
 
 class ConnectionState(Enum):
-    """Say what a connection is doing."""
+    """The state of a connection to an endpoint."""
 
     OPENING = "opening"
     IDLE = "idle"
-    BUSY = "busy"  # a statement is in flight
-    PINNED = "pinned"  # inside a transaction, no statement in flight
+    BUSY = "busy"  # a call is in flight
+    PINNED = "pinned"  # in a transaction, with no call in flight
 
 
 @dataclass(slots=True)
 class ConnectionRow:
-    """Hold one connection to an endpoint."""
+    """A connection to an endpoint.
+
+    Each host has a share of the connections that an endpoint accepts. With a loan, it
+    uses connections of another host's share for a limited time.
+    """
 
     number: int
     address: str
     state: ConnectionState
     opened_at: float
     last_used_at: float
-    sequence: int = 0  # of the last call sent; replies with another are dropped
-    request: int = 0  # row number of the request in flight; 0: none
-    transaction: str = ""
-    loan: str = ""  # the loan that it is opened under; empty: this host's share
-    expires_at: float = float("inf")  # not used after this
+    sequence: int = 0  # of the last call sent; replies with another number are dropped
+    request: int = 0  # number of the request that uses the connection; 0: none
+    transaction: str = ""  # name of the transaction that it is pinned to; empty: none
+    loan: str = ""  # id of the loan that it counts against; empty: this host's share
+    expires_at: float = float("inf")  # no call is sent on it later
     last_call_at: float = 0.0  # when the last call of a request was sent
 
 
@@ -163,38 +175,41 @@
 
 @dataclass(slots=True)
 class SessionRow:
-    """Hold one caller's session; its floors travel in the token."""
+    """A caller's session.
+
+    The session's token holds its floors, so that it can go on at another host.
+    """
 
-    stream: int
+    stream: int  # number of the caller's stream
     service: str = ""
     caller: str = ""
     request_class: str = ""
     floors: dict[str, LogPosition] = field(default_factory=dict)  # by database key
-    requests: dict[str, int] = field(default_factory=dict)  # in flight: id -> row
-    transactions: set[str] = field(default_factory=set)
-    has_presented_token: bool = False  # else its earlier writes are unknown here
-    token: bytes = b""  # of these floors; empty: to be encoded
+    requests: dict[str, int] = field(default_factory=dict)  # in flight: id -> number
+    transactions: set[str] = field(default_factory=set)  # names
+    has_presented_token: bool = False  # if not, its earlier writes are unknown here
+    token: bytes = b""  # encodes `floors`; empty: not encoded since they changed
 
 
 class RequestState(Enum):
-    """Say where a request stands."""
-
-    AWAITING_FLOOR = "waiting-floor"  # a floor is being learnt, or reached
-    QUEUED = "queued"  # waits for a connection
-    SENT = "sent"  # the endpoint has it
-    AWAITING_MAJORITY = "holding"  # it ran; a majority is still to hold it
-    RESOLVING = "resolving"  # it may have run; the record is being looked up
-    AWAITING_PRIMARY = "held"  # waits for a primary
+    """The state of a request."""
+
+    AWAITING_FLOOR = "waiting-floor"  # for its floor, or a replica that has reached it
+    QUEUED = "queued"  # for a connection
+    SENT = "sent"  # to the endpoint, which has not answered
+    AWAITING_MAJORITY = "holding"  # the write ran; a majority does not hold it yet
+    RESOLVING = "resolving"  # the write may have run; its outcome is being looked up
+    AWAITING_PRIMARY = "held"
     BACKOFF = "backoff"  # waits before a retry
     FINISHED = "finished"
 
 
 @dataclass(slots=True)
 class RequestRow:
-    """Hold one request of a caller until its answer leaves."""
+    """A caller's request, until it is answered."""
 
     number: int
-    stream: int
+    stream: int  # number of the caller's stream
     request: CallerRequest
     database: str
     access: Access
@@ -203,40 +218,39 @@
     request_class: str = ""
     state: RequestState = RequestState.QUEUED
     floor: LogPosition = ZERO_POSITION
-    session_positions: tuple[
-        LogPosition, ...
-    ] = ()  # by its session; the answer contains all
-    needs_fresh_floor: bool = False  # the floor must be learnt from a majority first
-    floor_requested_at: float = 0.0  # when it was last asked to be learnt
-    floor_lookups: int = 0  # times that its floor was learnt
+    # Positions that its session has seen. A read must see all of them.
+    session_positions: tuple[LogPosition, ...] = ()
+    needs_fresh_floor: bool = False  # a majority is to be asked for the floor first
+    floor_requested_at: float = 0.0  # when a majority was last asked for the floor
+    floor_lookups: int = 0  # times that a majority was asked for the floor
     idempotent: bool = False
-    attempt: int = 0  # number that the endpoint records or fences
+    attempt: int = 0  # attempt number, which the endpoint records or fences
     tries: int = 0
-    address: str = ""  # where it is queued or was sent
+    address: str = ""  # of the endpoint that it is queued for or was sent to
     connection: int = 0
     sent_at: float = 0.0
     sent_term: int = 0
-    position: LogPosition = ZERO_POSITION  # of its write
+    position: LogPosition = ZERO_POSITION  # of its write in the log
     answer_rows: Any = None
-    parts_sent: int = 0
+    parts_sent: int = 0  # parts of the answer that were sent to the caller
     transaction: str = ""
     timer: Timer | None = None
-    detail: str = ""  # the newest reason for waiting or failing, for the journal
-    extra: dict[str, Any] | None = None  # for the one system that owns its state
-    record_id: str = ""  # the id that the endpoint records with its write
-    repeated: bool = False  # its write ran in an earlier copy of the request
-    waiter: Any = None  # of the position that it holds for; has cancel()
-    avoided_addresses: set[str] | None = None  # addresses that could not serve it
-    duplicates: list[tuple[int, str]] | None = None  # (stream, id) of its copies
+    detail: str = ""  # latest reason why it waits or failed; for journal and answer
+    extra: dict[str, Any] | None = None  # of the system that owns the present state
+    record_id: str = ""  # id under which the endpoint records the write
+    repeated: bool = False  # the write had run already, for an earlier request
+    waiter: Any = None  # wait for a majority or for an outcome; has a cancel() method
+    avoided_addresses: set[str] | None = None  # of endpoints that could not serve it
+    duplicates: list[tuple[int, str]] | None = None  # (stream, id) of equal requests
     behind_count: int = 0  # times that a member had not reached its floor
-    is_retry_prepaid: bool = False  # its next retry was taken from the budget already
-    queued_at: float = 0.0  # when it was queued at `address`
-    retry_after: float = float("inf")  # least that a full queue gave, seconds
-    was_moved: bool = False  # from a member that was slow to another, once
+    is_retry_prepaid: bool = False  # the budget has been charged for its next retry
+    queued_at: float = 0.0  # when it was queued for the endpoint at `address`
+    retry_after: float = float("inf")  # least value that a full queue gave, seconds
+    was_moved: bool = False  # sent again, from a slow member to another one
 
 
 class TransactionState(Enum):
-    """Say where a transaction stands."""
+    """The state of a transaction."""
 
     OPENING = "opening"
     OPEN = "open"
@@ -245,30 +259,30 @@
 
 @dataclass(slots=True)
 class TransactionRow:
-    """Hold one transaction; it keeps one connection from begin to end."""
+    """A transaction; it is pinned to one connection from begin to end."""
 
     name: str
-    stream: int
+    stream: int  # number of the caller's stream
     database: str
     access: Access
     address: str = ""
     connection: int = 0
-    term: int = 0
+    term: int = 0  # of the primary that it runs on
     state: TransactionState = TransactionState.OPENING
     last_used_at: float = 0.0
-    request_id: str = ""  # recorded by the endpoint at commit
+    request_id: str = ""  # id under which the endpoint records the commit
     timer: Timer | None = None
     wrote: bool = False
-    queue: deque[int] = field(default_factory=deque)  # requests waiting their turn
-    running_request: int = 0  # request whose call is in flight
-    attempt: int = 0  # of its Begin
+    queue: deque[int] = field(default_factory=deque)  # numbers of waiting requests
+    running_request: int = 0  # number of the request whose call is in flight; 0: none
+    attempt: int = 0  # attempt number of its BeginCall
 
 
 # -- Hosts -------------------------------------------------------------------
 
 
 class HostState(Enum):
-    """Say what this host believes of another."""
+    """The state of another host, as far as this host knows."""
 
     ALIVE = "alive"
     SUSPECTED = "suspected"
@@ -278,7 +292,7 @@
 
 @dataclass(slots=True)
 class HostRow:
-    """Hold what this host knows of another."""
+    """What this host knows of another host."""
 
     name: str
     failure_domain: str
@@ -286,9 +300,9 @@
     address: str
     incarnation: int = 0
     state: HostState = HostState.ALIVE
-    last_contact_at: float = float("-inf")
-    beat: int = 0
-    link: int = 0  # 0: no link
+    last_contact_at: float = float("-inf")  # when its last message came
+    beat: int = 0  # number of its latest heartbeat
+    link: int = 0  # 0: none
 
 
 # -- All tables --------------------------------------------------------------
@@ -296,7 +310,7 @@
 
 @dataclass(slots=True)
 class Tables:
-    """Hold every table of a host."""
+    """All tables of a host."""
 
     services: dict[str, ServiceRow] = field(default_factory=dict)
     databases: dict[str, DatabaseRow] = field(default_factory=dict)
@@ -305,5 +319,5 @@
     sessions: dict[int, SessionRow] = field(default_factory=dict)  # by stream
     requests: dict[int, RequestRow] = field(default_factory=dict)
     transactions: dict[str, TransactionRow] = field(default_factory=dict)
-    hosts: dict[str, HostRow] = field(default_factory=dict)  # others, by name
+    hosts: dict[str, HostRow] = field(default_factory=dict)  # other hosts, by name
     recent_outcomes: OrderedDict[str, Any] = field(default_factory=OrderedDict)
--- a/mallowpass/core/timers.py
+++ b/mallowpass/core/timers.py
@@ -1,4 +1,4 @@
-"""A timer service that systems subscribe to; time comes from outside."""
+"""Timers that systems set; the caller of the service advances the time."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Timer:
-    """One subscription; cancelling it is cheap and may be done twice."""
+    """A callback that is due at a time; cancelling it twice is allowed."""
 
     __slots__ = ("_arguments", "_callback", "_period", "_when")
 
@@ -29,22 +29,25 @@
 
     @property
     def when(self) -> float:
-        """Return when it is due, in seconds."""
+        """Return the time at which the timer is due, in seconds."""
         return self._when
 
     @property
     def is_cancelled(self) -> bool:
-        """Tell whether it will not run any more."""
+        """Return whether the timer was cancelled, or has run for the last time."""
         return self._callback is None
 
     def cancel(self) -> None:
-        """Keep it from running; its place in the queue is dropped lazily."""
+        """Cancel the timer; the service drops its queue entry later."""
         self._callback = None
         self._arguments = ()
 
 
 class TimerService:
-    """Run callbacks when their time has come, in order of time and subscription."""
+    """Run callbacks at their times.
+
+    Timers that are due at the same time run in the order in which they were set.
+    """
 
     __slots__ = ("_counter", "_now", "_queue")
 
@@ -60,26 +63,26 @@
 
     @property
     def next_due(self) -> float | None:
-        """Return when the next timer is due, None when there is none."""
+        """Return the time at which the next timer is due, None if there is none."""
         self._drop_cancelled()
         return self._queue[0][0] if self._queue else None
 
     def advance(self, now: float) -> None:
-        """Move the time on; a clock that steps back is held still.
+        """Advance the time; an earlier time than the present one is ignored.
 
-        A host's clock is monotonic, but a replayed or paused one may repeat a
-        time: going back would let an expired lease look valid again.
+        A host's clock is monotonic, but in a replay or after a pause an event may
+        have an earlier time. An expired lease would then look valid again.
         """
         self._now = max(self._now, now)
 
     def at(self, when: float, callback: Callable[..., None], *arguments: Any) -> Timer:
-        """Subscribe to one moment."""
+        """Set a timer that runs once, at a time in seconds."""
         return self._push(Timer(when, callback, arguments, 0.0))
 
     def after(
         self, delay: float, callback: Callable[..., None], *arguments: Any
     ) -> Timer:
-        """Subscribe to a moment `delay` seconds from now."""
+        """Set a timer that runs once, after `delay` seconds."""
         return self.at(self._now + delay, callback, *arguments)
 
     def every(
@@ -89,12 +92,15 @@
         *arguments: Any,
         first: float | None = None,
     ) -> Timer:
-        """Subscribe to every `period` seconds; `first` seconds until the first."""
+        """Set a timer that runs every `period` seconds.
+
+        It first runs after `first` seconds if given, else after one period.
+        """
         delay = period if first is None else first
         return self._push(Timer(self._now + delay, callback, arguments, period))
 
     def run_due(self) -> bool:
-        """Run what is due; tell whether anything ran."""
+        """Run all due timers; return whether any ran."""
         ran = False
         while self._queue and self._queue[0][0] <= self._now:
             timer = heapq.heappop(self._queue)[2]
@@ -108,8 +114,8 @@
         callback = timer._callback
         arguments = timer._arguments
         if timer._period:
-            # A host that was paused does not run all missed rounds at once:
-            # that burst would come just when it should catch up.
+            # A host that was paused runs a periodic timer once, not once for each
+            # period missed: the burst would delay the host while it catches up.
             timer._when = max(timer._when + timer._period, self._now)
             if timer._when <= self._now:
                 timer._when = self._now + timer._period
--- a/tests/core/test_codec.py
+++ b/tests/core/test_codec.py
@@ -1,3 +1,5 @@
+"""Tests of the CBOR encoding of services and peer messages."""
+
 from __future__ import annotations
 
 import dataclasses
@@ -19,18 +21,18 @@
 from mallowpass.errors import ErrorCode, MallowpassError
 from tests.fakes.controlpath import make_service
 
-BEAT = Heartbeat("casa-0", 7, 12, b"12345678", True, b"87654321")
+HEARTBEAT = Heartbeat("casa-0", 7, 12, b"12345678", True, b"87654321")
 VERSION = ServiceVersion("claims-core", 3, make_service(), "c3", "amina")
 
 
-def test_services_come_back_as_they_were():
+def test_decoded_service_equals_the_encoded_one():
     assert decode_service(encode_service(VERSION)) == VERSION
     deleted = dataclasses.replace(VERSION, service=None)
     assert decode_service(encode_service(deleted)) == deleted
 
 
 @given(st.data())
-def test_every_message_comes_back_as_it_was(data):
+def test_every_decoded_message_equals_the_encoded_one(data):
     names = [name for name in peering.__all__ if name != "PeerMessage"]
     name = data.draw(st.sampled_from(names))
     message = data.draw(st.from_type(getattr(peering, name)))
@@ -38,19 +40,19 @@
 
 
 def test_fields_of_a_newer_version_are_ignored():
+    """An older host drops the heartbeats of newer hosts during an upgrade.
+
+    A newer host adds a field to Heartbeat, and the older host's decoder takes the
+    unknown field for an error.
     """
-    Symptom: during an upgrade, hosts of the old version drop all heartbeats.
-    Sequence: a newer host adds a field to Heartbeat; an older one decodes it.
-    Cause: a field that the decoder doesn't know was taken for a fault.
-    """
-    parts = cbor2.loads(encode_message(BEAT))
-    assert decode_message(cbor2.dumps([*parts, "new", {"more": 1}])) == BEAT
+    parts = cbor2.loads(encode_message(HEARTBEAT))
+    assert decode_message(cbor2.dumps([*parts, "new", {"more": 1}])) == HEARTBEAT
 
 
-def test_fields_of_an_older_version_get_their_defaults():
-    parts = cbor2.loads(encode_message(BEAT))
+def test_fields_that_an_older_version_lacks_get_their_defaults():
+    parts = cbor2.loads(encode_message(HEARTBEAT))
     older = decode_message(cbor2.dumps(parts[:-2]))
-    assert older == dataclasses.replace(BEAT, draining=False, hosts=b"")
+    assert older == dataclasses.replace(HEARTBEAT, draining=False, hosts=b"")
 
 
 @pytest.mark.parametrize("head", [[1, "Invented", 3], [2, "Heartbeat", "x"]])
@@ -58,15 +60,15 @@
     assert decode_message(cbor2.dumps(head)) is None
 
 
-def test_false_types_are_refused_with_a_code():
-    """
-    Symptom: a host crashes, or believes that True is an incarnation.
-    Sequence: a message comes whose fields don't have their types.
-    Cause: decoded values went into the tables unchecked.
+def test_values_of_wrong_types_raise_malformed_message():
+    """A host crashes, or takes True for an incarnation number.
+
+    The fields of a message do not have their declared types, and the decoded values
+    are stored in the tables unchecked.
     """
-    parts = cbor2.loads(encode_message(BEAT))
+    parts = cbor2.loads(encode_message(HEARTBEAT))
     notice = cbor2.loads(encode_message(ServiceNotice(VERSION)))
-    faulty: list[object] = [
+    malformed: list[object] = [
         [*parts[:3], True, *parts[4:]],
         [*parts[:3], "7", *parts[4:]],
         parts[:4],
@@ -75,14 +77,14 @@
         {},
         [],
     ]
-    for value in faulty:
+    for value in malformed:
         with pytest.raises(MallowpassError) as caught:
             decode_message(cbor2.dumps(value))
         assert caught.value.error_code is ErrorCode.MALFORMED_MESSAGE
 
 
 @given(st.binary(max_size=200))
-def test_no_bytes_escape_the_code(data):
+def test_bytes_that_are_no_message_raise_malformed_message(data):
     for decode in (decode_message, decode_service):
         try:
             decode(data)
--- a/tests/core/test_node.py
+++ b/tests/core/test_node.py
@@ -1,4 +1,4 @@
-"""Tests of the node: dispatch, signals, journal."""
+"""Tests of the node: handling of events, signals, timers and the journal."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class _Closer(System):
-    """Close every caller at once, and a second later once more."""
+    """Close a caller's stream on connection, and emit once more a second later."""
 
     def start(self) -> None:
         self._node.subscribe(CallerConnected, self._on_connected)
@@ -44,13 +44,13 @@
     return node
 
 
-def test_event_reaches_its_subscribers_only():
+def test_event_is_handled_by_its_subscribers_only():
     node = _node()
     assert node.handle(1.0, CallerConnected(7)) == [CloseCaller(7)]
     assert node.handle(1.0, CallerDisconnected(7)) == []
 
 
-def test_wake_runs_what_is_due():
+def test_wake_runs_due_timers():
     node = _node()
     node.handle(1.0, CallerConnected(7))
     assert node.next_wake == 2.0
@@ -65,14 +65,14 @@
     assert node.handle(3.0, CallerConnected(8)) == [CloseCaller(-7), CloseCaller(8)]
 
 
-def test_signal_is_handled_at_once():
+def test_signal_is_handled_when_it_is_published():
     node = _node()
     node.publish(PrimaryChanged("claims/tariffs"))
     effects = node.wake(1.0)
     assert effects == [Log("info", "primary", (("database", "claims/tariffs"),))]
 
 
-def test_journal_is_bounded_and_keeps_the_newest():
+def test_full_journal_drops_the_oldest_decision():
     node = _node()
     for number in range(JOURNAL_LENGTH + 1):
         node.record_decision("route", str(number), "text")
@@ -80,17 +80,17 @@
     assert node.journal[-1].subject == str(JOURNAL_LENGTH)
 
 
-def test_identity_knows_its_region():
+def test_identity_returns_the_region_of_its_failure_domain():
     node = _node()
     assert node.identity.region == "casa"
     assert node.identity.region_of("elsewhere") == ""
 
 
-class _OtherCloser(_Closer):
+class _ReplacingCloser(_Closer):
     replaces = _Closer
 
 
-def test_system_is_found_in_place_of_what_it_replaces():
+def test_system_is_returned_for_the_class_that_it_replaces():
     node = _node()
-    node.start([_OtherCloser])
-    assert isinstance(node.system(_Closer), _OtherCloser)
+    node.start([_ReplacingCloser])
+    assert isinstance(node.system(_Closer), _ReplacingCloser)
--- a/tests/core/test_records.py
+++ b/tests/core/test_records.py
@@ -1,4 +1,4 @@
-"""Records behave as frozen data classes do."""
+"""Tests that records behave like frozen data classes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @record
 class Point:
-    """Hold a point."""
+    """A point."""
 
     x: int
     y: int = 0
@@ -21,14 +21,14 @@
 
 @record
 class Named(Point):
-    """Hold a point that has a name."""
+    """A point with a name."""
 
     name: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Plain:
-    """Hold what Point holds, as the library makes it."""
+    """The fields of Point in a data class of the standard library."""
 
     x: int
     y: int = 0
@@ -36,12 +36,12 @@
 
 @record
 class Empty:
-    """Hold nothing."""
+    """A record without fields."""
 
 
 @record
 class Listing:
-    """Hold something that has no hash."""
+    """A record with a field that is not hashable."""
 
     items: list[int] = field(default_factory=list)
 
@@ -53,13 +53,13 @@
     assert Empty() == Empty()
 
 
-def test_records_of_other_classes_are_never_equal():
+def test_records_of_different_classes_are_never_equal():
     assert Point(1, 2) != Named(1, 2)
     assert Point(1, 2) != Plain(1, 2)
     assert Point(1, 2) != (1, 2)
 
 
-def test_a_record_can_not_be_changed():
+def test_a_record_is_immutable():
     point = Point(1)
     with pytest.raises(FrozenInstanceError):
         point.x = 2
@@ -68,17 +68,17 @@
     assert not hasattr(point, "__dict__")
 
 
-def test_a_record_is_printed_as_a_data_class_is():
+def test_repr_of_a_record_is_that_of_a_data_class():
     assert repr(Point(1, 2)) == repr(Plain(1, 2)).replace("Plain", "Point")
     assert repr(Named(1, 2, "a")) == "Named(x=1, y=2, name='a')"
 
 
-def test_the_library_treats_a_record_as_a_data_class():
+def test_replace_and_asdict_accept_a_record():
     assert replace(Named(1, 2, "a"), x=5) == Named(5, 2, "a")
     assert asdict(Point(1, 2)) == {"x": 1, "y": 2}
 
 
-def test_a_record_that_holds_a_list_has_no_hash():
+def test_a_record_that_contains_a_list_is_not_hashable():
     with pytest.raises(TypeError, match="unhashable"):
         hash(Listing())
 
@@ -88,11 +88,11 @@
     assert copy.deepcopy(Listing([1])) == Listing([1])
 
 
-def test_each_record_has_a_list_of_its_own():
+def test_default_factory_is_called_for_each_record():
     assert Listing().items is not Listing().items
 
 
-def test_a_field_that_is_missing_or_unknown_is_an_error():
+def test_a_missing_or_unknown_field_raises_type_error():
     with pytest.raises(TypeError, match="'x'"):
         Point()
     with pytest.raises(TypeError, match="z"):
--- a/tests/core/test_timers.py
+++ b/tests/core/test_timers.py
@@ -5,7 +5,7 @@
 from mallowpass.core.timers import TimerService
 
 
-def test_runs_in_order_of_time_and_subscription():
+def test_timers_run_in_order_of_time_then_of_setting():
     timers = TimerService()
     ran = []
     timers.at(2.0, ran.append, "second")
@@ -16,7 +16,7 @@
     assert ran == ["first", "second", "third"]
 
 
-def test_cancelled_timer_neither_runs_nor_counts_as_due():
+def test_cancelled_timer_neither_runs_nor_is_next_due():
     timers = TimerService()
     ran = []
     timer = timers.at(1.0, ran.append, "no")
@@ -28,12 +28,11 @@
     assert ran == []
 
 
-def test_clock_that_steps_back_is_held_still():
-    """Keep an expired lease expired.
+def test_time_does_not_go_back():
+    """An expired lease looks valid again.
 
-    Symptom: a lease that had lapsed looked valid again.
-    Sequence: time 10 is seen, then an event stamped 9 comes.
-    Cause: the timer service took the older time as now.
+    After an event at time 10, an event with time 9 comes, and the timer service takes
+    the earlier time for the present one.
     """
     timers = TimerService()
     timers.advance(10.0)
@@ -41,12 +40,11 @@
     assert timers.now == 10.0
 
 
-def test_paused_host_runs_a_missed_period_once():
-    """Run one round after a pause, not all that were missed.
+def test_periodic_timer_runs_once_after_a_pause():
+    """A host sends a burst of heartbeats after a pause.
 
-    Symptom: a host that woke sent a burst of hundreds of heartbeats.
-    Sequence: a period of 1 s, then nothing for 100 s.
-    Cause: each missed round was made up for.
+    A timer with a period of 1 s does not run for 100 s, and then runs once for each
+    period missed.
     """
     timers = TimerService()
     ran = []
@@ -57,7 +55,7 @@
     assert timers.next_due == 101.0
 
 
-def test_callback_may_subscribe_to_the_same_moment():
+def test_timer_that_a_callback_sets_for_the_same_time_runs():
     timers = TimerService()
     ran = []
     timers.at(1.0, lambda: timers.at(1.0, ran.append, "inner"))
