--- a/mallowpass/core/calls.py
+++ b/mallowpass/core/calls.py
@@ -124,8 +124,8 @@
 class CallerAnswer:
     """An answer to a caller, or a part of one: all parts but the last have no outcome.
 
-    Also names the member that served the request, and whether this host drains, so
-    that the caller opens its next session at another host (`go_elsewhere`).
+    `served_by` names the member that served the request. `go_elsewhere`: this host is
+    draining, and the caller should open its next session at another host.
     """
 
     request_id: str
@@ -305,7 +305,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchCall(ControlCall):
-    """Request reports as the member's state changes; times in seconds.
+    """Request reports whenever the member's state changes; times in seconds.
 
     At least one report comes in each `interval`, at most one in each `minimum_gap`.
     With `silence`, the member also reports when it has received nothing from its
@@ -354,7 +354,8 @@
 class OutcomeCall(ControlCall):
     """Look up the outcome of a request.
 
-    With `fence`, and if none is recorded, fence the attempts up to `fence_attempt`.
+    With `fence`, if no outcome is recorded, the attempts up to `fence_attempt` are
+    fenced.
     """
 
     request_id: str
--- a/mallowpass/core/node.py
+++ b/mallowpass/core/node.py
@@ -38,9 +38,9 @@
 
 @record
 class FailureDomain:
-    """Describe a failure domain (zone); `hosts` is the number of seats in it.
+    """A failure domain (zone), with seats for `hosts` hosts.
 
-    A seat is the number of a host's place within its failure domain.
+    A host's seat is its number within its failure domain.
     """
 
     name: str
@@ -50,9 +50,9 @@
 
 @record
 class HostIdentity:
-    """Describe this host.
+    """The identity of this host.
 
-    A host that replaces another one has the seat of its predecessor.
+    A host that replaces another one takes over its seat.
     """
 
     name: str
@@ -63,7 +63,7 @@
     domains: tuple[FailureDomain, ...]
     seeds: tuple[str, ...] = ()
     token_key: bytes = b""
-    capacity: float = 1.0  # processor cores
+    capacity: float = 1.0  # processor cores, for shares of the work
 
     @property
     def region(self) -> str:
@@ -80,7 +80,7 @@
 
 @record
 class Tuning:
-    """Describe the time-outs, intervals and limits of the core; times in seconds."""
+    """The time-outs, intervals and limits of the core; times in seconds."""
 
     # Health checks of endpoints, and failover.
     probe_interval: float = 0.1
@@ -90,7 +90,9 @@
     # The steward of a group is the host that promotes first. The others follow in
     # turn, each this much later than the one before it.
     steward_stagger: float = 0.15
-    # Until a promotion is this old, a silent primary is suspected only later.
+    # If the last promotion is more recent than this, a primary must be silent for
+    # longer until it is suspected: a group that is slow after each promotion would
+    # else be promoted again and again.
     promotion_hold_down: float = 5.0
     # Connections.
     connect_timeout: float = 2.0
--- a/mallowpass/core/signals.py
+++ b/mallowpass/core/signals.py
@@ -79,7 +79,7 @@
 
 @record
 class MajorityPositionStalled(Signal):
-    """Writes wait for a majority, whose position has not advanced for an interval."""
+    """Writes wait for a majority, whose position has stopped advancing."""
 
     database: str
 
--- a/mallowpass/core/tables.py
+++ b/mallowpass/core/tables.py
@@ -194,7 +194,7 @@
 class RequestState(Enum):
     """The state of a request."""
 
-    AWAITING_FLOOR = "waiting-floor"  # for its floor, or a replica that has reached it
+    AWAITING_FLOOR = "waiting-floor"  # floor not known, or not reached by a replica
     QUEUED = "queued"  # for a connection
     SENT = "sent"  # to the endpoint, which has not answered
     AWAITING_MAJORITY = "holding"  # the write ran; a majority does not hold it yet
@@ -235,13 +235,13 @@
     parts_sent: int = 0  # parts of the answer that were sent to the caller
     transaction: str = ""
     timer: Timer | None = None
-    detail: str = ""  # latest reason why it waits or failed; for journal and answer
+    detail: str = ""  # latest reason for waiting or failing; for journal and answer
     extra: dict[str, Any] | None = None  # of the system that owns the present state
     record_id: str = ""  # id under which the endpoint records the write
     repeated: bool = False  # the write had run already, for an earlier request
     waiter: Any = None  # wait for a majority or for an outcome; has a cancel() method
     avoided_addresses: set[str] | None = None  # of endpoints that could not serve it
-    duplicates: list[tuple[int, str]] | None = None  # (stream, id) of equal requests
+    duplicates: list[tuple[int, str]] | None = None  # (stream, id) of its copies
     behind_count: int = 0  # times that a member had not reached its floor
     is_retry_prepaid: bool = False  # the budget has been charged for its next retry
     queued_at: float = 0.0  # when it was queued for the endpoint at `address`
