--- a/mallowpass/core/systems/draining.py
+++ b/mallowpass/core/systems/draining.py
@@ -43,12 +43,12 @@
         self._timer: Timer | None = None
 
     @property
-    def draining(self) -> bool:
+    def is_draining(self) -> bool:
         """Tell whether this host takes no new sessions; answers say go elsewhere."""
         return self._deadline is not None
 
     @property
-    def closing(self) -> bool:
+    def is_closing(self) -> bool:
         """Tell whether open sessions' new requests are refused too, as not run."""
         return self._closing_since is not None
 
@@ -124,7 +124,7 @@
             return
         streams = {row.stream for row in self.tables.transactions.values()}
         for stream in sorted(streams):
-            self._transactions.roll_back_all(stream)
+            self._transactions.roll_back_session(stream)
         self._node.record_decision(
             "drain",
             self._node.identity.name,
--- a/mallowpass/core/systems/reads.py
+++ b/mallowpass/core/systems/reads.py
@@ -23,7 +23,7 @@
     code_of_refusal,
     read_count,
 )
-from mallowpass.core.systems.connections import Watchdog
+from mallowpass.core.systems.connections import TimeoutTracker
 from mallowpass.core.tables import (
     ConnectionRow,
     EndpointRow,
@@ -77,14 +77,14 @@
         self._routing = node.system(routing_module.Routing)
         self._sessions = node.system(sessions_module.Sessions)
         self._transactions = node.system(Transactions)
-        self._overdue = Watchdog(self.timers, LOOK, self._on_late)
+        self._overdue = TimeoutTracker(self.timers, LOOK, self._on_late)
 
     # -- Routing -------------------------------------------------------------
 
     def route(self, request: RequestRow) -> None:
         """Send a read to the best member, or have it wait for one."""
         database = self.tables.databases[request.database]
-        if self._floors.is_gone(request):
+        if self._floors.handle_lost_floor(request):
             return
         endpoint = self._routing.choose_read(request, database)
         if endpoint is None:
@@ -92,10 +92,10 @@
             if pause > 0:
                 self._wait(request, pause)
                 return
-            endpoint = self._routing.choose_other_read(request, database)
+            endpoint = self._routing.choose_fallback_read(request, database)
         if endpoint is not None:
             self._waiting_of(request).pop(request.number, None)
-            self._overdue.renew(request.number)
+            self._overdue.restart(request.number)
             self._requests.acquire(request, endpoint.address)
         elif request.avoided_addresses and not request.behind_count:
             why = f"no member served it: {request.detail}"
@@ -133,7 +133,7 @@
                 RequestState.AWAITING_PRIMARY,
             ):
                 waiting.pop(request.number, None)
-            elif self._liveness.reached(endpoint, request.floor):
+            elif self._liveness.has_reached(endpoint, request.floor):
                 waiting.pop(request.number, None)
                 request.avoided_addresses = None
                 self.route(request)
@@ -142,13 +142,13 @@
 
     def send(self, request: RequestRow, connection: ConnectionRow) -> None:
         """Send a read on the connection that it got."""
-        if self.now > request.arrived_at and not self._floors.renew(request):
+        if self.now > request.arrived_at and not self._floors.refresh(request):
             self._requests.release(request, connection)
             self._floors.learn(request)
             return
         request.state = RequestState.SENT
         if request.sent_at > request.arrived_at:
-            self._overdue.renew(request.number)
+            self._overdue.restart(request.number)
         statement = request.request
         if isinstance(statement, BeginRequest):
             call = BeginCall(minimum=request.floor)
@@ -169,13 +169,13 @@
         """Pass an answer on that proves the floor; find another one otherwise."""
         if reply.code is not EndpointCode.OK:
             self._on_refusal(request, connection, reply)
-        elif not self._floors.proves(request, reply.applied):
+        elif not self._floors.is_satisfied(request, reply.applied):
             self._on_stale(request, connection, reply)
         elif not reply.last:
-            self._requests.part(request, self._part(request, reply))
+            self._requests.send_part(request, self._part(request, reply))
         elif isinstance(request.request, BeginRequest):
             self._record(request, connection)
-            self._transactions.opened(request, connection, reply)
+            self._transactions.on_opened(request, connection, reply)
         else:
             self._record(request, connection)
             self._requests.release(request, connection)
@@ -194,7 +194,7 @@
             follower = self.tables.sessions.get(stream)
             if follower is not None:
                 self._sessions.raise_floor(follower, request.database, reply.applied)
-        self._retries.succeeded(service_of(request.database))
+        self._retries.record_success(service_of(request.database))
         database = self.tables.databases.get(request.database)
         replica = database is not None and request.address != database.primary
         self._node.emit(read_count(replica, request.database))
@@ -221,13 +221,13 @@
         why = f"{connection.address}: {code.name} {reply.message}".rstrip()
         if code in _FINAL_CODES:
             self._record(request, connection)
-            self._requests.not_run(request, code_of_refusal(reply), why)
+            self._requests.answer_not_run(request, code_of_refusal(reply), why)
             return
         if code is EndpointCode.BEHIND:
             request.behind_count += 1
         elif code not in _NOT_THIS_MEMBER:
             self._requests.record(connection.address, 0.0, ok=False)
-        self.elsewhere(request, ErrorCode.ENDPOINT_REFUSED, why)
+        self.try_elsewhere(request, ErrorCode.ENDPOINT_REFUSED, why)
 
     def _on_stale(
         self, request: RequestRow, connection: ConnectionRow, reply: EndpointReply
@@ -244,7 +244,7 @@
             self._requests.discard(request, "its stale answer goes on")
         request.behind_count += 1
         self._node.record_decision("stale", request.request.request_id, why)
-        self.elsewhere(request, ErrorCode.FLOOR_NOT_REACHED, why)
+        self.try_elsewhere(request, ErrorCode.FLOOR_NOT_REACHED, why)
 
     def _on_late(self, number: int) -> None:
         """Read elsewhere when a member takes far longer than it usually does.
@@ -261,7 +261,7 @@
             self._on_sent_long(request)
 
     def _on_queued_long(self, request: RequestRow) -> None:
-        pool = self._pooling.known_pool(request.address)
+        pool = self._pooling.find_pool(request.address)
         if pool is None or pool.connections:
             return
         if self.now - request.queued_at < OVERDUE:
@@ -271,7 +271,7 @@
         self._pooling.cancel(request)
         why = f"{request.address}: no connection opened in {OVERDUE}s"
         self._requests.record(request.address, 0.0, ok=False)
-        self.elsewhere(request, ErrorCode.CONNECTION_LOST, why)
+        self.try_elsewhere(request, ErrorCode.CONNECTION_LOST, why)
 
     def _on_sent_long(self, request: RequestRow) -> None:
         # Looked at first: it asks the connection, which has answered by the next look.
@@ -279,16 +279,16 @@
         if stays or not self._is_overdue(request):
             self._overdue.add(request.number)
             return
-        if self._retries.may_retry(request) is None:
+        if self._retries.take_retry(request) is None:
             self._overdue.add(request.number)
             return
         self._requests.record(request.address, 0.0, ok=False)
-        self._requests.suspect(request)
+        self._requests.abandon_silent(request)
         request.was_moved = True
         why = f"{request.address}: no answer in {self.now - request.sent_at:.3f}s"
         self._node.emit(RETRIES_COUNT)
         self._node.record_decision("retry", request.request.request_id, why)
-        self.elsewhere(request, ErrorCode.CONNECTION_LOST, why)
+        self.try_elsewhere(request, ErrorCode.CONNECTION_LOST, why)
 
     def _is_overdue(self, request: RequestRow) -> bool:
         return self._routing.takes_long(request, OVERDUE, OVERDUE_FACTOR)
@@ -300,7 +300,7 @@
         end at none. One move is allowed: the member may be slow, not the statement.
         """
         connection = self.tables.connections.get(request.connection)
-        if connection is None or not self._pooling.answers(connection, LOOK):
+        if connection is None or not self._pooling.is_responsive(connection, LOOK):
             return False
         return request.was_moved or self._pooling.is_patient(request)
 
@@ -315,17 +315,17 @@
             self._requests.acquire(request, endpoint.address)
             return
         code = ErrorCode.QUEUE_FULL
-        self._requests.not_run(request, code, why, request.retry_after)
+        self._requests.answer_not_run(request, code, why, request.retry_after)
 
     def lost(self, request: RequestRow, why: str) -> None:
         """Read again elsewhere after a connection was lost."""
-        self.elsewhere(request, ErrorCode.CONNECTION_LOST, why)
+        self.try_elsewhere(request, ErrorCode.CONNECTION_LOST, why)
 
-    def elsewhere(self, request: RequestRow, code: ErrorCode, why: str) -> None:
+    def try_elsewhere(self, request: RequestRow, code: ErrorCode, why: str) -> None:
         """Try the next member; after all members, pause."""
         if request.parts_sent:
             # The caller has parts of one answer: those of another would not fit.
-            self._requests.unknown(request, f"the answer broke off: {why}")
+            self._requests.answer_unknown(request, f"the answer broke off: {why}")
             return
         request.detail = why
         if request.avoided_addresses is None:
--- a/mallowpass/core/systems/sessions.py
+++ b/mallowpass/core/systems/sessions.py
@@ -105,9 +105,11 @@
         database = self.tables.databases.get(database_key)
         if database is None or not older.term < newer.term:
             return False
-        return self._liveness.floor_lost(database, older)
+        return self._liveness.is_floor_lost(database, older)
 
-    def seen(self, session: SessionRow, database_key: str) -> tuple[LogPosition, ...]:
+    def seen_positions(
+        self, session: SessionRow, database_key: str
+    ) -> tuple[LogPosition, ...]:
         """Return the places that the session's reads must contain, newest first."""
         keys = (database_key, lost_key(database_key))
         return tuple(session.floors[key] for key in keys if key in session.floors)
@@ -149,7 +151,7 @@
             return ErrorCode.INVALID_FIELD
         if not session.service and not isinstance(request, OpenRequest | CloseRequest):
             return ErrorCode.UNKNOWN_SESSION
-        if self._draining.closing and not isinstance(request, CloseRequest):
+        if self._draining.is_closing and not isinstance(request, CloseRequest):
             return ErrorCode.DRAINING
         if len(session.requests) >= REQUESTS_MAX:
             return ErrorCode.SESSION_LIMIT
@@ -213,7 +215,7 @@
         if session.service or not request.caller:
             # Without a caller's name, request ids of two callers could meet.
             return ErrorCode.INVALID_FIELD
-        if self._draining.draining:
+        if self._draining.is_draining:
             return ErrorCode.DRAINING
         if len(self.tables.sessions) > self._node.tuning.sessions:
             return ErrorCode.SESSION_LIMIT
@@ -223,9 +225,9 @@
         return None
 
     def _end(self, session: SessionRow) -> None:
-        self._transactions.roll_back_all(session.stream)
+        self._transactions.roll_back_session(session.stream)
         del self.tables.sessions[session.stream]
-        self._requests.leave(session)
+        self._requests.abandon_session(session)
 
     # -- Answers of its own --------------------------------------------------
 
--- a/mallowpass/core/systems/suspicion.py
+++ b/mallowpass/core/systems/suspicion.py
@@ -9,7 +9,7 @@
 from mallowpass.core.node import Node
 from mallowpass.core.records import record
 from mallowpass.core.systems.liveness import Liveness
-from mallowpass.core.systems.watching import silence_margin
+from mallowpass.core.systems.watchintervals import detection_margin
 from mallowpass.core.tables import DatabaseRow
 from mallowpass.core.timers import Timer
 
@@ -160,7 +160,7 @@
             return False
         return all(
             address in self._reports
-            or self._liveness.silence(address) >= self._node.tuning.detection
+            or self._liveness.time_since_reply(address) >= self._node.tuning.detection
             for address in self._row.endpoints
         )
 
@@ -185,7 +185,7 @@
             verdict = Verdict.HEARD
         unheard = self._unheard()
         members = len(self._row.endpoints)
-        nearly_deaf = self._deaf(silence_margin(self._node.tuning))
+        nearly_deaf = self._deaf(detection_margin(self._node.tuning))
         return Finding(
             verdict,
             self._evidence(),
@@ -228,7 +228,7 @@
         """Count who neither answers nor was heard for the detection time."""
         return sum(
             address not in self._reports
-            and self._liveness.silence(address) >= self._node.tuning.detection
+            and self._liveness.time_since_reply(address) >= self._node.tuning.detection
             for address in self._row.endpoints
         )
 
@@ -247,7 +247,7 @@
         report = self._reports.get(address)
         if report is not None:
             return report.role is not Role.PRIMARY
-        own = self._liveness.silence(address)
+        own = self._liveness.time_since_reply(address)
         return own >= self._threshold * UNCONFIRMED_FACTOR
 
     def _followed(self, report: Report) -> str:
@@ -297,7 +297,7 @@
         for address, endpoint in self._row.endpoints.items():
             report = self._reports.get(address)
             parts.append(f"{endpoint.name}: {_describe(report)}")
-        own = self._liveness.silence(self._suspect) if self._suspect else 0.0
+        own = self._liveness.time_since_reply(self._suspect) if self._suspect else 0.0
         return f"own silence {own:.3f}s; " + ", ".join(parts)
 
 
--- a/mallowpass/measure/controlrest.py
+++ b/mallowpass/measure/controlrest.py
@@ -52,7 +52,7 @@
     for hosts in steps(options.hosts, RESTED):
         fleet = settled(hosts, 0, options)
         window = run_window(fleet)
-        links = [len(h.node.system(Membership).linked) for h in fleet.alive]
+        links = [len(h.node.system(Membership).linked_hosts) for h in fleet.alive]
         values = {
             "links, mean": sum(links) / hosts,
             "links, most": max(links),
@@ -124,7 +124,7 @@
 def _read_all(host: VirtualHost) -> None:
     liveness = host.node.system(Liveness)
     for endpoint in list(host.node.tables.endpoints.values()):
-        liveness.reached(endpoint, endpoint.report.applied)
+        liveness.has_reached(endpoint, endpoint.report.applied)
 
 
 def _keep_writing(
--- a/tests/fakes/poolpath.py
+++ b/tests/fakes/poolpath.py
@@ -72,7 +72,9 @@
         self.refused: list[tuple[int, str, float]] = []
         self.hold = False
 
-    def on_connection(self, request: RequestRow, connection: ConnectionRow) -> None:
+    def on_connection_granted(
+        self, request: RequestRow, connection: ConnectionRow
+    ) -> None:
         self.granted.append((request.number, connection.number))
         if not self.hold:
             self._node.system(Pooling).send(connection, CALL)
@@ -118,7 +120,7 @@
         hosts = self.tables.hosts.values()
         return [h for h in hosts if failure_domain in (None, h.failure_domain)]
 
-    def reach(self, host_name: str, message: PeerMessage) -> bool:
+    def send_or_dial(self, host_name: str, message: PeerMessage) -> bool:
         self.sent.append((host_name, message))
         return True
 
@@ -179,7 +181,7 @@
 
     @property
     def pool(self) -> Any:
-        return self.pooling.pool(ADDRESS)
+        return self.pooling.get_or_create_pool(ADDRESS)
 
     def _add_service(self, limit: int, concurrent: int, queue_length: int) -> None:
         member = Member("a", ADDRESS, "casa-ainsebaa")
--- a/tests/fakes/requestpath.py
+++ b/tests/fakes/requestpath.py
@@ -138,7 +138,7 @@
             connection.request = request.number
             self.tables.connections[number] = connection
             request.connection = number
-            self._node.system(Requests).on_connection(request, connection)
+            self._node.system(Requests).on_connection_granted(request, connection)
 
     def cancel(self, request: RequestRow) -> None:
         self.queue = [entry for entry in self.queue if entry[0] is not request]
@@ -168,10 +168,10 @@
         self.discarded.append(connection.number)
         self.tables.connections.pop(connection.number, None)
 
-    def answers(self, connection: ConnectionRow, within: float) -> bool:
+    def is_responsive(self, connection: ConnectionRow, within: float) -> bool:
         return self.answering
 
-    def suspect(self, connection: ConnectionRow) -> None:
+    def check_older_idle(self, connection: ConnectionRow) -> None:
         self.suspected.append(connection.number)
 
     def close_silent(self, connection: ConnectionRow) -> None:
@@ -180,8 +180,10 @@
     def is_patient(self, request: RequestRow) -> bool:
         return self.patient
 
-    def known_pool(self, address: str) -> SimpleNamespace:
-        return SimpleNamespace(active=0, queue=(), share=8, connections=self.connected)
+    def find_pool(self, address: str) -> SimpleNamespace:
+        return SimpleNamespace(
+            active_count=0, queue=(), share=8, connections=self.connected
+        )
 
 
 class FakeLiveness(System):
@@ -205,7 +207,7 @@
     ) -> None:
         self.controls.append(Control(address, call, callback))
 
-    def learn_floor(
+    def look_up_floor(
         self, database: DatabaseRow, callback: Callable[[LogPosition | None], None]
     ) -> None:
         self.learning.append(callback)
@@ -213,7 +215,7 @@
     def age_floor(self, database: DatabaseRow, age: float) -> LogPosition | None:
         return self.aged
 
-    def wait_held(
+    def wait_for_majority(
         self,
         database: DatabaseRow,
         position: LogPosition,
@@ -232,17 +234,17 @@
                 waiter.resolve(True)
         self.waiters = [entry for entry in self.waiters if entry.callback is not None]
 
-    def reached(self, endpoint: EndpointRow, position: LogPosition) -> bool:
+    def has_reached(self, endpoint: EndpointRow, position: LogPosition) -> bool:
         return endpoint.report is not None and endpoint.report.applied >= position
 
-    def predicted_reach(
+    def predicted_replica_wait(
         self, endpoint: EndpointRow, position: LogPosition
     ) -> float | None:
-        if self.reached(endpoint, position):
+        if self.has_reached(endpoint, position):
             return 0.0
         return self.reach.get(endpoint.name)
 
-    def floor_lost(self, database: DatabaseRow, position: LogPosition) -> bool:
+    def is_floor_lost(self, database: DatabaseRow, position: LogPosition) -> bool:
         return self._is_dropped(database.term, position)
 
     def contains(
@@ -265,7 +267,7 @@
         super().__init__(node)
         self.suspected: list[str] = []
 
-    def suspicion(self, address: str, why: str) -> None:
+    def probe_primary(self, address: str, why: str) -> None:
         self.suspected.append(address)
 
 
@@ -274,8 +276,8 @@
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
-        self.draining = False
-        self.closing = False
+        self.is_draining = False
+        self.is_closing = False
 
 
 @dataclass
