--- a/mallowpass/core/systems/configuration.py
+++ b/mallowpass/core/systems/configuration.py
@@ -150,7 +150,7 @@
         self._node.record_decision(
             "configuration",
             request.name,
-            f"change {request.change_id} by {request.operator} of version "
+            f"change {request.change_id} by {request.operator} from version "
             f"{request.from_version}: {result} {answer.message}",
         )
         if answer.accepted:
--- a/mallowpass/core/systems/isolation.py
+++ b/mallowpass/core/systems/isolation.py
@@ -107,7 +107,8 @@
             return True
         address = endpoint.address
         slack = self._liveness.report_interval(address) - tuning.probe_interval
-        silence = self._liveness.time_since_reply(address)
-        if silence >= tuning.detection + max(slack, 0.0):
+        if self._liveness.time_since_reply(address) >= (
+            tuning.detection + max(slack, 0.0)
+        ):
             return False
         return endpoint.report is None or not self.is_disconnected(endpoint.report)
--- a/mallowpass/core/systems/promotion.py
+++ b/mallowpass/core/systems/promotion.py
@@ -360,7 +360,7 @@
         elif reply.code is not EndpointCode.OK:
             self._refused(address, reply)
             self.finish(
-                False, f"{self._name}: {self.chosen.name} refused ({reply.message})"
+                False, f"{self._name}: the chosen member refused ({reply.message})"
             )
         else:
             self.succeed()
