--- a/mallowpass/core/calls.py
+++ b/mallowpass/core/calls.py
@@ -55,8 +55,8 @@
     """The outcome of a request."""
 
     DONE = "done"
-    NOT_RUN = "not-run"  # it had no effect, and will have none
-    UNKNOWN = "unknown"  # it may have taken effect
+    NOT_RUN = "not-run"  # the request had no effect, and will have none
+    UNKNOWN = "unknown"  # the request may have taken effect
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -272,7 +272,7 @@
     """The state of a member, as the member reports it."""
 
     member: str
-    term: int  # the highest that it has promised or follows
+    term: int  # the highest that the member has promised or follows
     role: Role
     primary: str = ""  # name of the member that it replicates from
     received: LogPosition = ZERO_POSITION  # the end of its log
@@ -355,7 +355,7 @@
     """Look up the outcome of a request.
 
     With `fence`, if no outcome is recorded, the attempts up to `fence_attempt` are
-    fenced.
+    fenced: the member refuses an attempt that arrives later with FENCED.
     """
 
     request_id: str
@@ -366,7 +366,10 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ControlReply:
-    """A reply to a control call; each report of a WatchCall has its sequence."""
+    """A reply to a control call, with the sequence number of the call.
+
+    Each report for a WatchCall has the sequence number of the WatchCall.
+    """
 
     sequence: int
     code: EndpointCode
--- a/mallowpass/core/effects.py
+++ b/mallowpass/core/effects.py
@@ -51,7 +51,7 @@
 
 @record
 class CloseCaller(Effect):
-    """End a caller's stream once the answers sent before have gone out."""
+    """End a caller's stream after all earlier answers have been sent."""
 
     stream: int
 
@@ -65,7 +65,7 @@
 
     connection: int
     address: str
-    host: str
+    host: str  # name of this host
     time_to_live: float
     timeout: float
 
@@ -81,7 +81,7 @@
 
 @record
 class OpenControl(Effect):
-    """Open a control stream to an endpoint; those that are open stay open."""
+    """Open a control stream to an endpoint; other open streams stay open."""
 
     address: str
     stream: int
--- a/mallowpass/core/node.py
+++ b/mallowpass/core/node.py
@@ -31,7 +31,7 @@
 __all__ = ["FailureDomain", "HostIdentity", "Node", "System", "Tuning"]
 
 JOURNAL_LENGTH = 4096  # decisions
-_DOUBLINGS_MAX = 16  # of a backoff delay: each maximum in use is reached earlier
+_DOUBLINGS_MAX = 16  # of a backoff delay; all maxima in use need fewer
 
 _S = TypeVar("_S", bound="System")
 
@@ -85,14 +85,14 @@
     # Health checks of endpoints, and failover.
     probe_interval: float = 0.1
     report_gap: float = 0.01  # least time between two reports of a member
-    detection: float = 0.4  # a primary that is silent for this long is suspected
+    detection: float = 0.4  # a primary that sends nothing for this long is suspected
     promise_timeout: float = 0.3  # of the control calls of a promotion
-    # The steward of a group is the host that promotes first. The others follow in
-    # turn, each this much later than the one before it.
+    # The steward of a group is the host that tries first to promote a member. The
+    # other hosts follow in turn, at this interval.
     steward_stagger: float = 0.15
-    # If the last promotion is more recent than this, a primary must be silent for
-    # longer until it is suspected: a group that is slow after each promotion would
-    # else be promoted again and again.
+    # If the last promotion is more recent than this, a primary must be
+    # unresponsive for longer before it is suspected: otherwise a group that is slow
+    # after each promotion would be promoted again and again.
     promotion_hold_down: float = 5.0
     # Connections.
     connect_timeout: float = 2.0
@@ -111,8 +111,8 @@
     requests_in_flight: int = 10_000
     # Membership, configuration, platform.
     heartbeat: float = 0.5  # interval
-    suspicion: float = 1.5  # a host that is silent for this long is suspected
-    death: float = 5.0  # a host that is silent for this long is taken for dead
+    suspicion: float = 1.5  # a host that sends nothing for this long is suspected
+    death: float = 5.0  # a host that sends nothing for this long counts as dead
     peers_in_domain: int = 4  # links to hosts of the same failure domain
     peers_elsewhere: int = 2  # links to hosts of other failure domains
     configuration_poll: float = 1.0  # interval
--- a/mallowpass/core/peering.py
+++ b/mallowpass/core/peering.py
@@ -125,9 +125,9 @@
 class LoanCall(PeerMessage):
     """Ask the receiver to lend connections of its share at an endpoint.
 
-    A call with the id of a loan that exists asks to extend it. `call` numbers the
-    calls: the time of an answer counts from when its own call was sent, and an answer
-    to an earlier call must not count from when a later one was sent.
+    A call with the id of an existing loan asks for an extension. `call` is the number
+    of the call, and is repeated in the answer: the duration in an answer counts from
+    when that call was sent, not from when a later call was sent.
     """
 
     loan: str  # id
--- a/mallowpass/core/positions.py
+++ b/mallowpass/core/positions.py
@@ -21,7 +21,7 @@
 
     @classmethod
     def parse(cls, text: str) -> LogPosition:
-        """Return the position that `text` has; raise ValueError for other text."""
+        """Parse "term.position"; raise ValueError for a text of another form."""
         term, _, position = text.partition(".")
         return cls(int(term), int(position))
 
--- a/mallowpass/core/records.py
+++ b/mallowpass/core/records.py
@@ -20,16 +20,16 @@
 @dataclass_transform(frozen_default=True)
 def record(cls: type[_T]) -> type[_T]:
     """Make a class a frozen data class with slots, compared by its fields."""
-    made = dataclass(init=False, eq=False, repr=False, slots=True)(cls)
-    made.__init__ = _make_init(made)
-    made.__setattr__ = _refuse_assignment
-    made.__delattr__ = _refuse_deletion
-    made.__getstate__ = _field_values
-    made.__setstate__ = _set_field_values
-    made.__eq__ = _is_equal
-    made.__hash__ = _hash
-    made.__repr__ = _repr
-    return made
+    record_class = dataclass(init=False, eq=False, repr=False, slots=True)(cls)
+    record_class.__init__ = _make_init(record_class)
+    record_class.__setattr__ = _refuse_assignment
+    record_class.__delattr__ = _refuse_deletion
+    record_class.__getstate__ = _field_values
+    record_class.__setstate__ = _set_field_values
+    record_class.__eq__ = _is_equal
+    record_class.__hash__ = _hash
+    record_class.__repr__ = _repr
+    return record_class
 
 
 def _make_init(cls: type) -> Callable[..., None]:
--- a/mallowpass/core/services.py
+++ b/mallowpass/core/services.py
@@ -81,7 +81,7 @@
 
 @record
 class Objectives:
-    """The service-level objectives that reports compare with; times in seconds."""
+    """The service-level objectives that reports verify; times in seconds."""
 
     write_availability: float = 0.999
     latency_p99: float = 0.5
@@ -128,8 +128,8 @@
 class AcceptedChange:
     """An accepted change of a service.
 
-    `content` is a digest, which shows whether a change with the same id is another
-    change.
+    `content` is a digest of the change: a change with the same id and another digest is
+    not a repetition of this change.
     """
 
     change_id: str
--- a/mallowpass/core/tables.py
+++ b/mallowpass/core/tables.py
@@ -95,7 +95,7 @@
     last_report_at: float = float("-inf")
     last_reply_at: float = float("-inf")  # of any kind, on any connection or stream
     misses: int = 0
-    is_leaving: bool = False  # it finishes the work in flight, and gets no new work
+    is_leaving: bool = False  # finishes the work in flight, and gets no new work
     # Changed by routing and pooling.
     latency: float = 0.0  # moving average over statements, seconds
     consecutive_errors: int = 0
@@ -199,7 +199,7 @@
     SENT = "sent"  # to the endpoint, which has not answered
     AWAITING_MAJORITY = "holding"  # the write ran; a majority does not hold it yet
     RESOLVING = "resolving"  # the write may have run; its outcome is being looked up
-    AWAITING_PRIMARY = "held"
+    AWAITING_PRIMARY = "held"  # the group has no primary that can serve the request
     BACKOFF = "backoff"  # waits before a retry
     FINISHED = "finished"
 
@@ -241,11 +241,11 @@
     repeated: bool = False  # the write had run already, for an earlier request
     waiter: Any = None  # wait for a majority or for an outcome; has a cancel() method
     avoided_addresses: set[str] | None = None  # of endpoints that could not serve it
-    duplicates: list[tuple[int, str]] | None = None  # (stream, id) of its copies
+    duplicates: list[tuple[int, str]] | None = None  # (stream, id) of each copy
     behind_count: int = 0  # times that a member had not reached its floor
     is_retry_prepaid: bool = False  # the budget has been charged for its next retry
     queued_at: float = 0.0  # when it was queued for the endpoint at `address`
-    retry_after: float = float("inf")  # least value that a full queue gave, seconds
+    retry_after: float = float("inf")  # shortest wait advised by a full queue, seconds
     was_moved: bool = False  # sent again, from a slow member to another one
 
 
--- a/mallowpass/platform/allowances.py
+++ b/mallowpass/platform/allowances.py
@@ -4,9 +4,11 @@
 its keeper. All requests of one host to another share a connection.
 
 `ASK number part customer needed ahead` is answered with `GRANT number operations
-pause`, or with `NONE number` by a host that does not keep the part. `needed` counts the
-operations that wait, `ahead` those that may be granted beyond them; `pause` is the time
-in milliseconds until more operations may be granted.
+pause`, or with `NONE number` by a host that does not keep the part. `number` is chosen
+by the sender of the request, and repeated in the answer. `needed` is the number of
+waiting operations, and `ahead` the number that may be granted beyond these;
+`operations` is the number granted, and `pause` the time in milliseconds until more may
+be granted.
 """
 
 from __future__ import annotations
@@ -38,7 +40,7 @@
     def __init__(self, sink: EventSink) -> None:
         super().__init__(_RequestConnection, BACKLOG, sink)
         self._request_numbers = itertools.count(1)
-        # Connection of each request, and the number of the request on it.
+        # By request: its connection, and the number that its sender gave it.
         self._requests: dict[int, tuple[int, int]] = {}
 
     def _make_protocol(self) -> LineProtocol:
@@ -52,7 +54,7 @@
         return request
 
     def answer(self, effect: AnswerAllowance) -> None:
-        """Answer a request, unless the connection that it came on is closed."""
+        """Answer a request, unless the request's connection is closed."""
         connection, number = self._requests.pop(effect.ask)
         if effect.operations is None:
             line = f"NONE {number}\r\n"
@@ -92,31 +94,34 @@
 class AllowanceClients:
     """Send requests to keepers, on one connection to each."""
 
-    __slots__ = ("_clients", "_own_address", "_sink", "_tasks")
+    __slots__ = ("_connections", "_own_address", "_sink", "_tasks")
 
     def __init__(self, own_address: Address | None, sink: EventSink) -> None:
         self._own_address = own_address
         self._sink = sink
-        self._clients: dict[str, _Client] = {}
+        self._connections: dict[str, _KeeperConnection] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     def ask(self, effect: AskAllowance) -> None:
         """Send a request to a keeper; AllowanceAnswered reports the outcome.
 
-        Its `operations` is None if the connection fails, or is lost before the answer.
+        `AllowanceAnswered.operations` is None if the connection fails, or is lost
+        before the answer.
         """
         if self._own_address is None:
             self._sink(AllowanceAnswered(effect.call, None))
             return
-        client = self._clients.get(effect.address)
-        if client is None or client.is_closed:
-            client = self._clients[effect.address] = _Client(self._sink)
-            self._open(client, effect.address)
-        client.ask(effect)
-
-    def _open(self, client: _Client, address: str) -> None:
+        connection = self._connections.get(effect.address)
+        if connection is None or connection.is_closed:
+            connection = self._connections[effect.address] = _KeeperConnection(
+                self._sink
+            )
+            self._open(connection, effect.address)
+        connection.ask(effect)
+
+    def _open(self, connection: _KeeperConnection, address: str) -> None:
         loop = asyncio.get_running_loop()
-        task = loop.create_task(client.open(address, self._own_address.port))
+        task = loop.create_task(connection.open(address, self._own_address.port))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
@@ -124,11 +129,11 @@
         """Close all connections."""
         for task in self._tasks:
             task.cancel()
-        for client in self._clients.values():
-            client.close()
+        for connection in self._connections.values():
+            connection.close()
 
 
-class _Client(asyncio.Protocol):
+class _KeeperConnection(asyncio.Protocol):
     """The connection to one keeper, and the requests that have no answer yet."""
 
     __slots__ = ("_lines", "_pending", "_sink", "_transport", "_unsent", "is_closed")
@@ -200,7 +205,7 @@
         elif len(fields) == 2 and fields[0] == "NONE":
             call, operations, pause = _parse_number(fields[1]), None, 0
         else:
-            raise wire.WireError("malformed answer of a keeper")
+            raise wire.WireError("malformed answer from a keeper")
         if call in self._pending:
             self._pending.discard(call)
             self._sink(AllowanceAnswered(call, operations, pause / 1000.0))
--- a/mallowpass/platform/documents.py
+++ b/mallowpass/platform/documents.py
@@ -131,7 +131,7 @@
 def _decode_service(item: dict[str, Any]) -> ServiceLimits:
     return ServiceLimits(
         name=_get_text(item, "name"),
-        # Limit for one endpoint, over the connections of all callers and hosts.
+        # Limit for the connections of all hosts together to one endpoint.
         connections=int(_get_number(item, "maxConns")),
         # Replicas that must have received a commit; they need not have applied it.
         synchronous=int(_get_number(item, "syncReplicas", 0)),
@@ -145,8 +145,9 @@
     """
     document = _parse_document(data)
     # Both fields are unused. An entry in which one is missing or of another type was
-    # written by another program, and may name an endpoint that does not exist. It must
-    # not count: a primary is replaced only after each member has answered.
+    # written by another program, and may name an endpoint that does not exist. Such an
+    # endpoint must not count as a member: a primary is replaced only after each member
+    # has answered.
     _get_text(document, "version")
     _get_number(document, "coldRemainingMs")
     return EndpointEntry(
--- a/mallowpass/platform/endpoints.py
+++ b/mallowpass/platform/endpoints.py
@@ -32,7 +32,7 @@
 
 __all__ = ["EndpointConnections"]
 
-_STATUS_STATEMENTS = (Status, Pause, Resume, Demote)  # answered with a status row
+_STATUS_STATEMENTS = (Status, Pause, Resume, Demote)  # the reply has a status row
 
 
 class EndpointConnections:
--- a/mallowpass/platform/http.py
+++ b/mallowpass/platform/http.py
@@ -19,7 +19,10 @@
 
 
 class HttpError(Exception):
-    """Raised when a request gets no response; `sent` if it may have arrived."""
+    """Raised when a request gets no response.
+
+    `sent` is false if the server has certainly not received the request.
+    """
 
     def __init__(self, message: str, sent: bool) -> None:
         super().__init__(message)
@@ -70,7 +73,7 @@
     async def call(self, request: Request, timeout: float) -> Response:
         """Send a request and return the response.
 
-        HttpError if no response arrives within `timeout` seconds.
+        Raises HttpError if no response arrives within `timeout` seconds.
         """
         connection = None
         while self._idle and connection is None:
@@ -165,7 +168,7 @@
 
     @property
     def is_reusable(self) -> bool:
-        """Whether a further request may be sent on this connection."""
+        """Return whether a further request may be sent on this connection."""
         return not self.is_closed and self._h11.our_state is h11.IDLE
 
     async def call(self, request: Request, host: str) -> Response:
--- a/mallowpass/platform/lineserver.py
+++ b/mallowpass/platform/lineserver.py
@@ -1,4 +1,4 @@
-"""Base classes of servers of the line protocol: listening, numbering, closing."""
+"""Base classes of servers of the line protocol, and of their connections."""
 
 from __future__ import annotations
 
@@ -15,6 +15,7 @@
 
 __all__ = ["EventSink", "LineProtocol", "LineServer"]
 
+# Called with each event; the runtime passes the event to the core.
 EventSink = Callable[[Event | ProxyEvent], None]
 
 
@@ -96,7 +97,7 @@
         self._connections = connections
         self._sink = sink
         self._lines = wire.LineBuffer()
-        self._is_open = False  # whether its opening line has been received
+        self._is_open = False  # whether CONNECT has been received
         self.transport: asyncio.Transport = None  # type: ignore[assignment]
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/mallowpass/platform/links.py
+++ b/mallowpass/platform/links.py
@@ -38,7 +38,7 @@
         self._write(number, wire.render_ready(SessionState.IDLE, position, floor))
 
     def answer(self, number: int, reply: EndpointReply) -> None:
-        """Send the reply to the oldest call on a link that has none yet."""
+        """Send the reply to the oldest call on a link that has no reply yet."""
         self._write(number, wire.render_reply(reply))
 
 
--- a/mallowpass/platform/promotions.py
+++ b/mallowpass/platform/promotions.py
@@ -1,7 +1,7 @@
-"""Ordering promotions from the platform.
+"""Client of the promotion service of the platform.
 
 Only the holder of a lease orders promotions. Each order carries the name of the holder
-and its fencing token, so that the platform can refuse the order of an earlier holder.
+and its fencing token, so that the platform can refuse the orders of an earlier holder.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 __all__ = ["PromotionClient"]
 
-# Too Many Requests and Service Unavailable: the order was refused for the moment.
+# Too Many Requests and Service Unavailable: the same order may be accepted later.
 _RETRYABLE_HTTP_CODES = frozenset({429, 503})
 
 
@@ -29,9 +29,10 @@
         self._host_name = host_name
 
     async def promote(self, order: OrderPromotion) -> PromotionAnswered:
-        """Order a promotion, and return the answer of the platform.
+        """Order a promotion, and return the outcome as an event.
 
-        Its `accepted` is None if it is unknown whether the order was carried out.
+        `PromotionAnswered.accepted` is None if it is unknown whether the order was
+        carried out.
         """
         headers = (
             ("Content-Type", "application/json"),
--- a/mallowpass/platform/relays.py
+++ b/mallowpass/platform/relays.py
@@ -1,8 +1,8 @@
 """Relaying changes of the store between hosts: clients of relays, and the server.
 
 A relay is a host that follows the store and passes the changes on to other hosts, its
-followers. Hosts use the HTTP interface of the store for this, so that one client serves
-for the store and for relays.
+followers. A feed is one request of a follower for changes. Relays have the HTTP
+interface of the store, so that `StoreClient` serves for both.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _PendingRequest:
-    """A follower's request that has no answer yet."""
+    """A follower's request that has no response yet."""
 
     future: asyncio.Future[Response]
-    compressed: bool  # the follower can read compressed answers
+    accepts_compression: bool  # the follower can read compressed responses
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,10 +93,10 @@
         self._http.close()
 
     def answer(self, number: int, reply: StoreReply) -> None:
-        """Answer a request, unless the follower has closed its connection."""
+        """Respond to a request, unless the follower has closed its connection."""
         pending = self._pending.pop(number, None)
         if pending is not None and not pending.future.done():
-            pending.future.set_result(self._render(reply, pending.compressed))
+            pending.future.set_result(self._render(reply, pending.accepts_compression))
 
     def _render(self, reply: StoreReply, compressed: bool) -> Response:
         rendered = self._last_rendered
--- a/mallowpass/platform/runtime.py
+++ b/mallowpass/platform/runtime.py
@@ -105,7 +105,7 @@
         self._stopped = asyncio.Event()
         seed = int.from_bytes(os.urandom(8), "big")
         now = host_clock()
-        identity = _identity(settings, seed)
+        identity = _make_identity(settings, seed)
         # A platform that checks fencing tokens also demotes the old primary at the
         # moment of a promotion. Without these checks the old primary continues until
         # it learns of its successor.
@@ -148,8 +148,9 @@
         """Ignore all further events, as the core has stopped.
 
         The event loop cancels open calls as it ends. A cancelled call may be reported
-        as unanswered. If the core received that report, it would start another call,
-        which the event loop no longer cancels and which fails when the loop closes.
+        as unanswered. If the core received that report, the core would start another
+        call, which the event loop no longer cancels and which fails when the loop
+        closes.
         """
         self._is_closed = True
         if self._wake_timer is not None:
@@ -182,7 +183,7 @@
 
     @property
     def ready(self) -> bool:
-        """Return whether this host wants new connections from callers."""
+        """Return whether this host is ready for new connections from callers."""
         return self._is_ready
 
     def stop(self) -> None:
@@ -413,7 +414,7 @@
         return Response(200, self._metrics.render(self._node.tables))
 
 
-def _identity(settings: HostSettings, incarnation: int) -> HostIdentity:
+def _make_identity(settings: HostSettings, incarnation: int) -> HostIdentity:
     domains = tuple(
         FailureDomain(name, region, 0) for name, region in settings.regions.items()
     )
--- a/mallowpass/platform/settings.py
+++ b/mallowpass/platform/settings.py
@@ -30,7 +30,7 @@
 
 
 class SettingsError(Exception):
-    """Report which settings are missing or invalid."""
+    """Raised for missing or invalid settings."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +42,7 @@
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Parse `HOST:PORT`; SettingsError if the text has another form."""
+        """Parse `HOST:PORT`; raise SettingsError for a text of another form."""
         host, _, port = text.rpartition(":")
         is_port = _PORT.fullmatch(port) is not None and int(port) <= _PORT_MAX
         if not host or not is_port:
@@ -76,10 +76,10 @@
     # Accepts requests of other hosts for allowances of rate limits; None: disabled.
     limits: Address | None = None
     rate_bounds: RateBounds = RateBounds()
-    # Time without confirmation of the customers' keys after which a host refuses them,
-    # as they may have been revoked.
+    # Time without confirmation of the customers' keys after which a host refuses all
+    # keys, as any of them may have been revoked.
     key_lapse: float = math.inf
-    # Time after a disruption during which this host may rely on the state before it.
+    # Time after a disruption for which this host may still rely on earlier state.
     settle_time: float = DEFAULT_SETTLE_TIME
     # Time within which a change of the configuration must be in force.
     apply_time: float = DEFAULT_APPLY_TIME
@@ -94,7 +94,7 @@
 
 
 def load_settings(path: str | os.PathLike[str]) -> HostSettings:
-    """Read and check the settings file; SettingsError lists all findings."""
+    """Read and check the settings file; raise SettingsError with all findings."""
     try:
         with open(path, "rb") as file:
             fields = tomllib.load(file)
@@ -211,7 +211,8 @@
 
 
 def _capacity(fields: dict[str, Any]) -> float:
-    # The process gets `cpuShare` of one core that has the speed of `cores` cores.
+    # The process gets the fraction `cpuShare` of one core that is as fast as `cores`
+    # cores.
     share = _lookup(fields, ("limits", "cpuShare"))
     cores = _lookup(fields, ("limits", "cores"))
     if not isinstance(share, int | float) or not isinstance(cores, int | float):
--- a/mallowpass/platform/sockets.py
+++ b/mallowpass/platform/sockets.py
@@ -9,7 +9,7 @@
 
 # A connection can die without a reset: by a network partition, the loss of a machine,
 # or a middlebox that dropped the connection's state. Without these options, only the
-# timeout of each call would reveal this. Keepalive probes are sent only while a
+# timeout of each call would reveal the loss. Keepalive probes are sent only while a
 # connection is idle.
 KEEPALIVE_IDLE_TIME = 2  # seconds without a packet before the first probe
 KEEPALIVE_INTERVAL = 1  # seconds between probes
--- a/mallowpass/platform/store.py
+++ b/mallowpass/platform/store.py
@@ -1,6 +1,8 @@
-"""Metadata store of the platform: typed calls, and their form over HTTP.
+"""Client of the platform's metadata store: typed calls, and their form over HTTP.
 
-Hosts also relay changes of rows to each other, in the form of the store's own answers.
+Hosts also relay changes of rows to each other, in the form of the store's responses.
+The era of the store is a number that grows each time that the store is restored from a
+backup; `mallowpass.core.proxy.storage` combines eras and versions.
 """
 
 from __future__ import annotations
@@ -53,14 +55,14 @@
 ]
 
 FEED_PATH = "/v1/rows-feed"  # changes of rows, served by the store and by relays
-# Long answers between hosts are compressed: a relay sends all rows of a table to each
+# Long responses between hosts are compressed: a relay sends all rows of a table to each
 # of its followers. The rows are so similar that the fastest level suffices.
 _CONTENT_CODING = "deflate"
 _MIN_COMPRESSED_BYTES = 512
 _COMPRESSION_LEVEL = 1
 _ACCEPT_HEADERS = (("Accept-Encoding", _CONTENT_CODING),)
 _ERA_HEADER = b"store-era"  # lower case, as Response.header expects
-_SNAPSHOT_FIELD = "whole"  # between hosts: the answer has all rows of the table
+_SNAPSHOT_FIELD = "whole"  # between hosts: all rows of the table are sent
 _MAX_ERA_DIGITS = 3
 _MAX_DIGITS = 18  # of a number that another host sends
 _SERVICE_UNAVAILABLE = 503
@@ -111,7 +113,7 @@
             status = StoreStatus.UNKNOWN if may_have_changed else StoreStatus.REFUSED
             return StoreReply(status, message=str(error))
         except (ValueError, KeyError, TypeError, zlib.error) as error:
-            message = f"invalid answer: {error!r}"
+            message = f"invalid response: {error!r}"
             return StoreReply(StoreStatus.UNKNOWN, message=message)
 
     @singledispatchmethod
@@ -136,14 +138,14 @@
                 done = StoreStatus.DONE
                 return StoreReply(done, tuple(rows), version, time, era=era)
             if era != era_of(rows[0].version):
-                # The store was restored from a copy between two pages. The earlier
-                # pages may have rows that the copy lacks.
+                # The store was restored from a backup between two pages. The earlier
+                # pages may have rows that the backup lacks.
                 return StoreReply(
                     StoreStatus.REFUSED,
                     message="the store was restored while its rows were listed",
                     era=era,
                 )
-            # The smallest key above the last one.
+            # The next page begins at the smallest key above the last one.
             query["from"] = rows[-1].key.key + "\0"
 
     @_call.register
@@ -201,7 +203,7 @@
 
 
 def _parse_relay_reply(response: Response) -> StoreReply:
-    """Parse the answer of a relay, whose versions include their eras."""
+    """Parse the response of a relay; its versions include their eras."""
     if response.status not in _STATUS_BY_HTTP_CODE:
         return _failed_reply(response)
     body = json.loads(_decompressed_body(response))
@@ -214,16 +216,16 @@
 
 
 def _parse_era(response: Response) -> int:
-    """Return the era of the store; 0 if the answer has no valid one."""
+    """Return the era of the store; 0 if the response has no valid era."""
     text = response.header(_ERA_HEADER)
     return int(text) if text.isdigit() and len(text) <= _MAX_ERA_DIGITS else 0
 
 
 def _decompressed_body(response: Response) -> bytes:
-    """Return the body of an answer, decompressed if necessary.
+    """Return the body of a response, decompressed if necessary.
 
-    Raises ValueError for a body above BODY_MAX, the limit for answers of the store, so
-    that an answer of another host can't exhaust memory.
+    Raises ValueError for a body above BODY_MAX, the limit for responses of the store,
+    so that a response of another host can't exhaust memory.
     """
     if response.content_encoding != _CONTENT_CODING:
         return response.body
@@ -237,9 +239,9 @@
 
 
 def decode_rows(body: dict[str, Any], era: int = 0) -> list[Row]:
-    """Return the rows of an answer; a value that can't be decoded is `Unreadable`.
+    """Return the rows of a response; a value that can't be decoded is `Unreadable`.
 
-    `era` is added to their versions. It is 0 if the versions include it already.
+    `era` is added to the versions of the rows; 0 if the versions already include eras.
     """
     rows = []
     for item in body.get("rows", ()):
@@ -257,7 +259,7 @@
     return rows
 
 
-# -- Relaying rows to other hosts, in the form of the store's own answers -------
+# -- Relaying rows to other hosts, in the form of the store's responses ----------
 
 
 def parse_watch(target: str) -> WatchRows | None:
@@ -281,7 +283,7 @@
 
 
 def render_rows(reply: StoreReply, compressed: bool = False) -> Response:
-    """Return the answer that sends rows to another host."""
+    """Return the response that sends the rows of a reply to another host."""
     if reply.status is not StoreStatus.DONE:
         return Response(_SERVICE_UNAVAILABLE)
     rows = [_row_fields(row) for row in reply.rows]
@@ -293,9 +295,9 @@
 
 
 def accepts_compression(request: Request) -> bool:
-    """Return whether the host that sent a request can read compressed answers.
+    """Return whether the host that sent a request can read compressed responses.
 
-    Hosts of an earlier version do not request them.
+    Hosts of an earlier version do not request compression.
     """
     return _CONTENT_CODING in request.header("accept-encoding")
 
@@ -332,8 +334,8 @@
 def _decode_value(key: RowKey, text: Any) -> Any:
     """Return the value of a row; `Unreadable` if it can't be decoded.
 
-    No error may leave this function: it would invalidate the whole answer, each time
-    that the rows are requested, and this host would receive no more changes.
+    No error may leave this function: the error would invalidate the whole response,
+    each time that the rows are requested, and this host would receive no more changes.
     """
     try:
         data = base64.b64decode(text, validate=True)
--- a/mallowpass/platform/wire.py
+++ b/mallowpass/platform/wire.py
@@ -59,7 +59,7 @@
 ]
 
 MAX_LINE_BYTES = 1 << 20  # the platform's documented limit for one message
-# Request id of statements that a host sends on its own account, such as RESET.
+# Request id of statements that a host sends for itself, not for a caller: RESET etc.
 INTERNAL_REQUEST_ID = "-"
 # Prefixes of statements that one host forwards to another; endpoints do not know them.
 _PRIORITY_PREFIX = "PRIORITY"
@@ -455,10 +455,10 @@
 
 
 def parse_status(row: bytes) -> EndpointStatus:
-    """Parse the row that answers STATUS.
+    """Parse the row of the reply to STATUS.
 
-    Its fields: role, term, log position received, term that the replica is paused for,
-    replication lag in milliseconds, statements running, open connections.
+    Fields of the row: role, term, log position received, term that the replica is
+    paused for, replication lag in milliseconds, statements running, open connections.
     """
     fields = decode(row).split(" ")
     if len(fields) < _STATUS_FIELD_COUNT:
--- a/tests/platform/test_end_to_end.py
+++ b/tests/platform/test_end_to_end.py
@@ -67,7 +67,7 @@
 
 
 def test_two_platforms_never_share_addresses():
-    """Guards against tests that fail because another test uses the same addresses."""
+    """Guard against tests that fail because another test uses the same addresses."""
     one, other = LocalPlatform(seed=7), LocalPlatform(seed=7)
     assert one.callers_address(0) != other.callers_address(0)
     one.release()
@@ -115,10 +115,10 @@
 
 @on_platform
 async def test_primary_that_restarts_empty_is_replaced(platform):
-    """Guards against reads that return no rows, and against writes that all fail.
+    """Guard against reads that return no rows, and against writes that all fail.
 
     The primary crashes and restarts at once without data, under the same name and
-    address. The hosts took it for the primary with its former data.
+    address. The hosts take it for the primary with its former data.
     """
     caller = await WireCaller.connect(platform.callers_address(0), "status-sync")
     assert (await caller.run("WRITE a 1")).code == "DONE"
@@ -135,7 +135,7 @@
 
 @on_platform
 async def test_unreadable_store_entries_are_ignored(platform):
-    """Guards against a host that loses all endpoints because of unreadable rows."""
+    """Guard against a host that loses all endpoints because of unreadable rows."""
     for number, value in enumerate((b"\xff", b"[" * 100_000, b"{}", b"null")):
         key = RowKey(Table.ENDPOINTS, "", f"db-stray-{number}")
         platform.store.put(key, value)
@@ -160,9 +160,8 @@
     assert not platform.hosts[0].ready
     assert (await caller.run("COMMIT")).code == "DONE"
     with pytest.raises((CallerError, ConnectionError)):
-        while (
-            True
-        ):  # the host closes sessions after callers had time to move to other hosts
+        # The host closes sessions after callers had time to move to other hosts.
+        while True:
             await asyncio.sleep(0.35)
             await caller.run("READ a")
 
--- a/tests/platform/test_endpoints.py
+++ b/tests/platform/test_endpoints.py
@@ -18,9 +18,9 @@
 def test_connection_to_an_invalid_address_is_refused(address):
     """Guard against a host that opens no more connections.
 
-    Another program writes an address that sockets do not accept. If the error were not
-    caught, each attempt would count as in progress forever, and the number of
-    concurrent attempts is limited.
+    Another program writes an address that sockets do not accept. If the error is not
+    caught, each attempt counts as in progress forever, and the number of concurrent
+    attempts is limited.
     """
 
     async def run() -> list[Any]:
--- a/tests/platform/test_logs.py
+++ b/tests/platform/test_logs.py
@@ -44,7 +44,7 @@
 
 
 def test_unread_output_does_not_block(pipe):
-    """Guards against a host that blocks when the reader of its output stops reading."""
+    """Guard against a host that blocks when the reader of its output stops reading."""
     writer = LogWriter(pipe[1])
     for _ in range(20_000):
         writer.write("error", "x" * 100, ())
--- a/tests/platform/test_relays.py
+++ b/tests/platform/test_relays.py
@@ -1,4 +1,4 @@
-"""Test how a relay answers its followers."""
+"""Test requests of followers to a relay, and the responses."""
 
 from __future__ import annotations
 
@@ -77,16 +77,16 @@
     address = Address("127.0.0.1", port)
     await server.start(address)
     client = RelayClients(address).client(f"127.0.0.1:{port + 1}")
-    answer = await client.call(WATCH, 1.0)
+    received = await client.call(WATCH, 1.0)
     server.close()
-    return asked[0], answer
+    return asked[0], received
 
 
 def test_rows_arrive_unchanged(free_port):
     sent = StoreReply(StoreStatus.DONE, ROWS, 11, is_snapshot=True)
-    asked, answer = asyncio.run(_exchange(sent, free_port))
+    asked, received = asyncio.run(_exchange(sent, free_port))
     assert (asked.table, asked.after, asked.wait) == (Table.HOSTS, 7, 0.2)
-    assert answer == sent
+    assert received == sent
 
 
 def _reply_with_rows(count: int) -> StoreReply:
@@ -104,14 +104,17 @@
     a relay requests all rows. The rows are similar, so compression saves most bytes.
     """
     sent = _reply_with_rows(300)
-    _, answer = asyncio.run(_exchange(sent, free_port))
-    assert answer == sent
+    _, received = asyncio.run(_exchange(sent, free_port))
+    assert received == sent
     plain, compressed = render_rows(sent), render_rows(sent, compressed=True)
     assert len(compressed.body) < len(plain.body) / 5
 
 
-def test_answer_is_compressed_only_on_request():
-    """Guard against compressed answers to earlier versions, which can't read them."""
+def test_response_is_compressed_only_on_request():
+    """Guard against compressed responses to hosts that can't read them.
+
+    Hosts of an earlier version do not request compression.
+    """
     old = Request("GET", "/v1/rows-feed?table=servers&after=1&waitMs=1")
     assert not accepts_compression(old)
     headers = (("accept-encoding", "deflate"),)
@@ -128,25 +131,25 @@
         zlib.compress(b"no JSON"),
     ],
 )
-def test_invalid_compressed_answer_is_unknown(free_port, body):
+def test_invalid_compressed_response_is_unknown(free_port, body):
     async def exchange() -> StoreReply:
         response = Response(200, body, "deflate")
         server = HttpServer({FEED_PATH: lambda request: response})
         address = Address("127.0.0.1", free_port)
         await server.start(address)
-        answer = await StoreClient(address, is_relay=True).call(WATCH, 5.0)
+        received = await StoreClient(address, is_relay=True).call(WATCH, 5.0)
         server.close()
-        return answer
+        return received
 
-    answer = asyncio.run(exchange())
-    assert answer.status is StoreStatus.UNKNOWN
-    assert answer.rows == ()
+    received = asyncio.run(exchange())
+    assert received.status is StoreStatus.UNKNOWN
+    assert received.rows == ()
 
 
 def test_call_to_a_refusing_relay_is_refused(free_port):
     sent = StoreReply(StoreStatus.REFUSED)
-    _, answer = asyncio.run(_exchange(sent, free_port))
-    assert answer.status is StoreStatus.REFUSED
+    _, received = asyncio.run(_exchange(sent, free_port))
+    assert received.status is StoreStatus.REFUSED
 
 
 def test_call_to_an_unreachable_relay_is_refused(free_port):
--- a/tests/platform/test_runtime.py
+++ b/tests/platform/test_runtime.py
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize(("name", "code"), [("SIGHUP", EXIT_SETTINGS), ("SIGTERM", 0)])
 def test_signal_before_settings_are_read(tmp_path, name, code):
-    """Guards against a host that is killed by a signal while it starts."""
+    """Guard against a host that is killed by a signal while it starts."""
     environment = os.environ | {"MALLOWPASS_NODE_FILE": str(tmp_path / "none")}
     command = [sys.executable, "-c", SIGNAL_DURING_START, name]
     done = subprocess.run(command, env=environment, capture_output=True, timeout=20)
@@ -97,10 +97,10 @@
 
 
 def test_exception_in_one_handler_does_not_stop_other_handlers(tmp_path):
-    """Guards against callers that are disconnected without an answer or a log line.
+    """Guard against callers that are disconnected without an answer or a log line.
 
-    An exception in one handler discarded the effects of the other handlers of the same
-    event, and closed the socket on which the event had arrived.
+    If an exception in one handler leaves the core, the effects of the other handlers of
+    the same event are lost, and the socket on which the event arrived is closed.
     """
     reached = []
 
@@ -130,11 +130,11 @@
 
 
 def test_no_call_is_started_after_shutdown(tmp_path, monkeypatch):
-    """Guards against the log line "Task was destroyed but it is pending!" at shutdown.
+    """Guard against the log line "Task was destroyed but it is pending!" at shutdown.
 
-    The host stops while a call to the store is in flight. The cancelled call was
-    reported to the core as unanswered, and the core started another call that the
-    closing event loop did not cancel.
+    The host stops while a call to the store is in flight. If the cancelled call is
+    reported to the core as unanswered, the core starts another call, which the closing
+    event loop does not cancel.
     """
 
     async def stop_at_once(host: HostRuntime) -> None:
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -46,8 +46,8 @@
 def test_any_bytes_in_a_row_do_not_affect_other_rows(table, data):
     """Guard against a host that receives no more changes.
 
-    Another program writes arbitrary bytes to one row. If that row made the whole answer
-    invalid, every later answer would be invalid too.
+    Another program writes arbitrary bytes to one row. If that row made the whole
+    response invalid, every later response would be invalid too.
     """
     key, valid = VALID_ROWS[table]
     rows = _decode(
@@ -75,7 +75,7 @@
 
 
 def test_rows_in_other_parts_are_ignored():
-    """Guard against an entry that is replaced by a row of its name in another part."""
+    """Guard against an entry that is replaced by a row of another part."""
     for table in (Table.ENDPOINTS, Table.CONFIGURATION):
         assert _decode(_item(table, *VALID_ROWS[table], part="x")) == []
 
--- a/tests/platform/test_store_eras.py
+++ b/tests/platform/test_store_eras.py
@@ -1,4 +1,4 @@
-"""Test versions and eras in answers of the store and of hosts that relay them."""
+"""Test versions and eras in responses of the store and of relays."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     assert (era_of(make_version(3, 7)), store_version(make_version(3, 7))) == (3, 7)
 
 
-def _answer(headers: tuple[tuple[bytes, bytes], ...], status: int = 200) -> Response:
+def _response(headers: tuple[tuple[bytes, bytes], ...], status: int = 200) -> Response:
     item = {"table": "mallowpass-claims", "key": "a", "value": "YQ==", "ver": 7}
     body = json.dumps({"rows": [item], "ver": 9, "nowMs": 1000}).encode()
     return Response(status, body, headers=headers)
@@ -52,20 +52,20 @@
 @pytest.mark.parametrize(
     ("value", "era"), [(b"4", 4), (b"", 0), (b"x", 0), (b"-1", 0), (b"99999", 0)]
 )
-def test_era_is_read_from_each_answer(value, era):
-    reply = _parse_reply(_answer(((b"store-era", value),)))
+def test_era_is_read_from_each_response(value, era):
+    reply = _parse_reply(_response(((b"store-era", value),)))
     assert reply.era == era
     assert reply.version == make_version(era, 9)
     assert reply.rows[0].version == make_version(era, 7)
 
 
-def test_answer_of_a_store_without_eras_has_era_zero():
-    reply = _parse_reply(_answer(()))
+def test_response_of_a_store_without_eras_has_era_zero():
+    reply = _parse_reply(_response(()))
     assert (reply.era, reply.version, reply.rows[0].version) == (0, 9, 7)
 
 
 def test_era_is_read_from_a_refusal():
-    assert _parse_reply(_answer(((b"store-era", b"4"),), status=503)).era == 4
+    assert _parse_reply(_response(((b"store-era", b"4"),), status=503)).era == 4
 
 
 def test_relayed_versions_include_their_eras():
@@ -108,7 +108,7 @@
     task.cancel()
 
 
-def test_calls_to_a_store_restored_from_a_copy():
+def test_calls_to_a_store_restored_from_a_backup():
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         port = sock.getsockname()[1]
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -169,7 +169,7 @@
     """Guard against promoting an empty endpoint, which loses acknowledged commits.
 
     An endpoint that restarted without data reports a newer term. Compared by that term,
-    its empty log was ahead of logs that hold commits.
+    the empty log of the endpoint is ahead of logs that hold commits.
     """
     status = wire.parse_status(f"replica 2 {received} 0 12 2 17".encode())
     assert status.received == (0, 0)
