--- a/mallowpass/core/systems/writes.py
+++ b/mallowpass/core/systems/writes.py
@@ -87,7 +87,7 @@
         super().__init__(node)
         # Record id -> row number of the unrepeatable writes in progress.
         self._running: dict[str, int] = {}
-        self._recent = RecentRequests(node.tables.recent_outcomes)
+        self._recent = RecentRequests(node.tables.request_digests)
 
     def start(self) -> None:
         """Look up the systems that this one calls."""
--- a/mallowpass/core/tables.py
+++ b/mallowpass/core/tables.py
@@ -320,4 +320,4 @@
     requests: dict[int, RequestRow] = field(default_factory=dict)
     transactions: dict[str, TransactionRow] = field(default_factory=dict)
     hosts: dict[str, HostRow] = field(default_factory=dict)  # other hosts, by name
-    recent_outcomes: OrderedDict[str, Any] = field(default_factory=OrderedDict)
+    request_digests: OrderedDict[str, Any] = field(default_factory=OrderedDict)
