--- a/mallowpass/core/operations.py
+++ b/mallowpass/core/operations.py
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StatusRequest(OperatorRequest):
-    """Request the state of this host, and of what it knows."""
+    """Request the state of this host, and its view of databases and other hosts."""
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceChangedAnswer(OperatorAnswer):
-    """Whether a change was accepted, and the present version of the service."""
+    """Answer ChangeServiceRequest; `current` is the present version of the service."""
 
     accepted: bool
     current: ServiceVersion | None = None
@@ -105,21 +105,24 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServicesListedAnswer(OperatorAnswer):
-    """The services that were requested."""
+    """Answer ListServicesRequest."""
 
     services: tuple[ServiceVersion, ...] = ()
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DrainAnswer(OperatorAnswer):
-    """Whether a drain began."""
+    """Answer DrainRequest; `accepted` means that the host is draining."""
 
     accepted: bool
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PromoteAnswer(OperatorAnswer):
-    """Whether a switchover succeeded, and the term of the new primary."""
+    """Answer PromoteRequest; `accepted` means that the switchover succeeded.
+
+    `term` is the term of the new primary.
+    """
 
     accepted: bool
     term: int = 0
@@ -170,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class StatusAnswer(OperatorAnswer):
-    """The state of this host, and of what it knows."""
+    """Answer StatusRequest."""
 
     host: str
     failure_domain: str
@@ -185,6 +188,6 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ExplainedAnswer(OperatorAnswer):
-    """The decisions about a subject; their times are ages in seconds."""
+    """Answer ExplainRequest; the times of decisions are ages in seconds."""
 
     decisions: tuple[Decision, ...] = ()
--- a/mallowpass/core/services.py
+++ b/mallowpass/core/services.py
@@ -81,11 +81,11 @@
 
 @record
 class Objectives:
-    """The service-level objectives that reports verify; times in seconds."""
+    """The service-level objectives, which reports compare with measurements."""
 
     write_availability: float = 0.999
-    latency_p99: float = 0.5
-    failover_gap: float = 1.0
+    latency_p99: float = 0.5  # seconds
+    failover_gap: float = 1.0  # seconds
     replica_share: float = 0.9
 
 
--- a/mallowpass/core/tables.py
+++ b/mallowpass/core/tables.py
@@ -320,4 +320,5 @@
     requests: dict[int, RequestRow] = field(default_factory=dict)
     transactions: dict[str, TransactionRow] = field(default_factory=dict)
     hosts: dict[str, HostRow] = field(default_factory=dict)  # other hosts, by name
+    # Digests of recent requests, by the id under which an endpoint records the request.
     request_digests: OrderedDict[str, Any] = field(default_factory=OrderedDict)
