--- a/mallowpass/core/systems/busychecks.py
+++ b/mallowpass/core/systems/busychecks.py
@@ -42,10 +42,10 @@
         keep_alive = self._keep_alive_of(pool, number)
         if (
             not keep_alive.is_outstanding
-            and keep_alive.asked_at + RECHECK_INTERVAL <= self.now
+            and keep_alive.sent_at + RECHECK_INTERVAL <= self.now
         ):
             self._send(pool, connection, keep_alive)
-        return not keep_alive.is_outstanding or self.now < keep_alive.asked_at + within
+        return not keep_alive.is_outstanding or self.now < keep_alive.sent_at + within
 
     # -- When a call is not answered -------------------------------------------
 
@@ -133,7 +133,7 @@
             return
         connection.expires_at = expires_at
         keep_alive.sequence = FIRST_BUSY_SEQUENCE + self._node.next_number()
-        keep_alive.asked_at = now
+        keep_alive.sent_at = now
         keep_alive.answered = False
         self._node.emit(
             SendEndpoint(connection.number, keep_alive.sequence, KeepAliveCall())
--- a/mallowpass/core/systems/connections.py
+++ b/mallowpass/core/systems/connections.py
@@ -134,7 +134,7 @@
     """
 
     sequence: int = 0
-    asked_at: float = float("-inf")
+    sent_at: float = float("-inf")
     answered: bool = False
 
     @property
--- a/mallowpass/core/systems/granting.py
+++ b/mallowpass/core/systems/granting.py
@@ -85,7 +85,7 @@
             return patient
         return frozenset()
 
-    def learn_cost(self, pool: EndpointPool, connection: ConnectionRow) -> None:
+    def record_cost(self, pool: EndpointPool, connection: ConnectionRow) -> None:
         """Record how long the connection's request kept the connection."""
         request = self.tables.requests.get(connection.request)
         if request is not None:
--- a/mallowpass/core/systems/pooling.py
+++ b/mallowpass/core/systems/pooling.py
@@ -170,7 +170,7 @@
             self.keepalive.abandon(pool, connection)
             return
         if pool.queue.entries:
-            self.granting.learn_cost(pool, connection)
+            self.granting.record_cost(pool, connection)
         if connection.state is _BUSY:
             pool.active_count -= 1
         else:
--- a/mallowpass/core/systems/reads.py
+++ b/mallowpass/core/systems/reads.py
@@ -151,7 +151,7 @@
         """Send a read on the connection that was granted to it."""
         if self.now > request.arrived_at and not self._floors.refresh(request):
             self._requests.release(request, connection)
-            self._floors.learn(request)
+            self._floors.look_up_floor(request)
             return
         request.state = RequestState.SENT
         if request.sent_at > request.arrived_at:
@@ -291,7 +291,7 @@
             self._timeouts.add(request.number)
             return
         self._requests.record(request.address, 0.0, ok=False)
-        self._requests.abandon_silent(request)
+        self._requests.abandon_unresponsive(request)
         request.was_moved = True
         why = f"{request.address}: no answer in {self.now - request.sent_at:.3f}s"
         self._node.emit(RETRIES_COUNT)
--- a/mallowpass/core/systems/requests.py
+++ b/mallowpass/core/systems/requests.py
@@ -278,7 +278,7 @@
         if connection is not None:
             self._pooling.release(connection)
 
-    def abandon_silent(self, request: RequestRow) -> None:
+    def abandon_unresponsive(self, request: RequestRow) -> None:
         """Abandon an unresponsive connection; have the pool check the others."""
         connection = self.tables.connections.get(request.connection)
         if connection is not None:
--- a/mallowpass/core/systems/sessionfloors.py
+++ b/mallowpass/core/systems/sessionfloors.py
@@ -42,7 +42,7 @@
         """Set a request's floor, learn it if unknown, and route the request."""
         self._set(request)
         if request.needs_fresh_floor:
-            self.learn(request)
+            self.look_up_floor(request)
         else:
             self._requests.route(request)
 
@@ -80,7 +80,7 @@
             return stated if declared is None else declared
         return min(declared, stated)
 
-    def learn(self, request: RequestRow) -> None:
+    def look_up_floor(self, request: RequestRow) -> None:
         """Learn a floor from a majority, then route the request."""
         request.state = RequestState.AWAITING_FLOOR
         request.detail = "waits for its floor to be learnt from a majority"
@@ -125,7 +125,7 @@
         # The session has received no answer from there.
         request.floor = max(request.session_positions, default=ZERO_POSITION)
         request.needs_fresh_floor = True
-        self.learn(request)
+        self.look_up_floor(request)
         return True
 
     def _is_dropped(self, database: DatabaseRow, position: LogPosition) -> bool:
--- a/mallowpass/core/systems/writes.py
+++ b/mallowpass/core/systems/writes.py
@@ -316,7 +316,7 @@
             # primary makes many writes overdue at once; those that exceed the budget
             # wait on, as a fenced write that cannot be retried would fail.
             request.is_retry_prepaid = True
-            self._requests.abandon_silent(request)
+            self._requests.abandon_unresponsive(request)
             self._requests.outcomes.resolve(request, self._overdue_reason(request))
 
     def _is_overdue(self, request: RequestRow) -> bool:
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -473,7 +473,7 @@
     ),
     "unknown_floor_is_learnt": Guard(
         "read_your_writes",
-        replace(sessionfloors.SessionFloors, "learn", take_zero_for_unknown),
+        replace(sessionfloors.SessionFloors, "look_up_floor", take_zero_for_unknown),
         read_own_write_elsewhere_without_token,
     ),
     "floor_never_falls": Guard(
