--- a/mallowpass/core/systems/busychecks.py
+++ b/mallowpass/core/systems/busychecks.py
@@ -75,7 +75,7 @@
             self._pooling.closer.close_and_notify(pool, connection, "given-up")
             self._pooling.granting.dispatch(pool)
         else:
-            self._pooling.keepalive.close_silent(pool, number)
+            self._pooling.keepalive.close_unresponsive(pool, number)
 
     def on_reply(
         self, pool: EndpointPool, connection: ConnectionRow, reply: EndpointReply
--- a/mallowpass/core/systems/connections.py
+++ b/mallowpass/core/systems/connections.py
@@ -179,7 +179,7 @@
         "queue",
         "retry_at",
         "retry_timer",
-        "silent_slots",
+        "unresponsive_slots",
         "statement_share",
         "withheld_count",
     )
@@ -201,7 +201,7 @@
         # Connections that this host has closed but the endpoint may still count. Of a
         # silent one: when the endpoint drops it at the latest. Of any other: when it
         # was closed, and when the endpoint drops it at the latest.
-        self.silent_slots: list[float] = []
+        self.unresponsive_slots: list[float] = []
         self.closing_slots: list[tuple[float, float]] = []
         self.lendable_share = 0  # slots of the own share that may be lent at a time
         # Connections, by number.
@@ -291,8 +291,10 @@
 
     def drop_expired_slots(self, now: float) -> None:
         """Drop the slots that the endpoint no longer counts."""
-        if self.silent_slots:
-            self.silent_slots = [until for until in self.silent_slots if until > now]
+        if self.unresponsive_slots:
+            self.unresponsive_slots = [
+                until for until in self.unresponsive_slots if until > now
+            ]
         if self.closing_slots:
             settled_before = self.endpoint.last_reply_at - CLOSE_SETTLE_TIME
             self.closing_slots = [
--- a/mallowpass/core/systems/keepalive.py
+++ b/mallowpass/core/systems/keepalive.py
@@ -177,7 +177,7 @@
 
     # -- Silent connections ----------------------------------------------------
 
-    def close_silent(self, pool: EndpointPool, number: int) -> None:
+    def close_unresponsive(self, pool: EndpointPool, number: int) -> None:
         """Close a connection on which a call has been unanswered for too long."""
         connection = self._connections.get(number)
         if connection is None:
@@ -189,7 +189,7 @@
         )
         node.log("warning", "connection_silent", address=pool.address, number=number)
         if not connection.loan:
-            pool.silent_slots.append(connection.expires_at + LIFETIME_MARGIN)
+            pool.unresponsive_slots.append(connection.expires_at + LIFETIME_MARGIN)
         self._pooling.closer.close_and_notify(pool, connection, "silent")
         self.check_older_idle(pool, silent_since)
         self._pooling.granting.dispatch(pool)
@@ -210,7 +210,7 @@
         if is_stalled and self.now < connection.expires_at:
             pool.internal_in_flight.add(number)
         else:
-            self.close_silent(pool, number)
+            self.close_unresponsive(pool, number)
 
     def check_older_idle(self, pool: EndpointPool, since: float) -> None:
         """Send keep-alives on idle connections that were last used before `since`.
--- a/mallowpass/core/systems/loans.py
+++ b/mallowpass/core/systems/loans.py
@@ -426,7 +426,7 @@
             # These slots are lent at a later call: the endpoint has to see the close
             # first.
             self._pooling.close_idle(pool, min(wanted, surplus))
-        taken = pool.own_count + len(pool.silent_slots) + len(pool.closing_slots)
+        taken = pool.own_count + len(pool.unresponsive_slots) + len(pool.closing_slots)
         return min(limit, free, pool.own_share - pool.lent_count - taken)
 
     def _reserve_until(self, lent: _LentLoan, reserved_until: float) -> None:
--- a/mallowpass/core/systems/opening.py
+++ b/mallowpass/core/systems/opening.py
@@ -62,7 +62,7 @@
         if pool.endpoint.is_leaving or self.now < pool.retry_at:
             return
         kept = min(pool.usable_share, pool.own_share - pool.lendable_share)
-        if pool.own_count < kept and not pool.silent_slots:
+        if pool.own_count < kept and not pool.unresponsive_slots:
             self._open(pool, "")
 
     def on_opened(self, event: ConnectionOpened) -> None:
@@ -138,13 +138,13 @@
         Replacing them could take slots of other hosts. They no longer matter once the
         endpoint's report shows fewer connections than its limit.
         """
-        if not pool.silent_slots:
+        if not pool.unresponsive_slots:
             return 0
         report = pool.endpoint.report
         if report is None or not report.connection_limit:
-            return len(pool.silent_slots)
+            return len(pool.unresponsive_slots)
         room = report.connection_limit - report.connections - len(pool.opening)
-        return 0 if room > 0 else len(pool.silent_slots)
+        return 0 if room > 0 else len(pool.unresponsive_slots)
 
     def _open(self, pool: EndpointPool, loan: str) -> None:
         node = self._node
--- a/mallowpass/core/systems/pooling.py
+++ b/mallowpass/core/systems/pooling.py
@@ -236,10 +236,10 @@
         self.keepalive.check_older_idle(pool, connection.last_call_at)
         self.granting.dispatch(pool)
 
-    def close_silent(self, connection: ConnectionRow) -> None:
+    def close_unresponsive(self, connection: ConnectionRow) -> None:
         """Close a connection that seems silent, and check older idle connections."""
         pool = self.by_address[connection.address]
-        self.keepalive.close_silent(pool, connection.number)
+        self.keepalive.close_unresponsive(pool, connection.number)
 
     def is_patient(self, request: RequestRow) -> bool:
         """Tell whether a request is of a patient class."""
--- a/mallowpass/core/systems/transactions.py
+++ b/mallowpass/core/systems/transactions.py
@@ -365,7 +365,7 @@
             self.end(transaction, None, why)
             # If the commit never arrived, only the close ends the transaction at the
             # endpoint.
-            self._pooling.close_silent(connection)
+            self._pooling.close_unresponsive(connection)
 
     def _on_primary_changed(self, signal: PrimaryChanged) -> None:
         database = self.tables.databases.get(signal.database)
--- a/tests/core/systems/test_pooling.py
+++ b/tests/core/systems/test_pooling.py
@@ -284,12 +284,12 @@
 def test_no_spare_connection_is_opened_in_a_drain_or_a_silent_slot():
     host = PoolHost(limit=64)
     _warm(host, 1)
-    host.pool.silent_slots.append(host.now + 1.0)
+    host.pool.unresponsive_slots.append(host.now + 1.0)
     for number in list(host.pool.idle)[1:]:
         host.handle(ConnectionLost(number, "gone"))
     host.request()
     assert not host.pool.opening.entries
-    host.pool.silent_slots.clear()
+    host.pool.unresponsive_slots.clear()
     host.publish(DrainBegan(host.now + 20.0))
     host.reply_all()
     host.request()
@@ -433,7 +433,7 @@
     host = PoolHost(limit=16)
     numbers = _warm(host, 3)
     pool = host.pool
-    host.pooling.keepalive.close_silent(pool, numbers[-1])
+    host.pooling.keepalive.close_unresponsive(pool, numbers[-1])
     host.flush()
     checked = {sent.connection for sent in host.calls(KeepAliveCall)}
     assert checked == set(numbers[:-1])
@@ -464,7 +464,7 @@
     """
     host = PoolHost(limit=4)
     (number,) = _warm(host, 1)
-    host.pooling.keepalive.close_silent(host.pool, number)
+    host.pooling.keepalive.close_unresponsive(host.pool, number)
     host.request()
     assert host.opened() == []
     host.report(connections=3, limit=4)
--- a/tests/fakes/requestpath.py
+++ b/tests/fakes/requestpath.py
@@ -174,7 +174,7 @@
     def check_older_idle(self, connection: ConnectionRow) -> None:
         self.suspected.append(connection.number)
 
-    def close_silent(self, connection: ConnectionRow) -> None:
+    def close_unresponsive(self, connection: ConnectionRow) -> None:
         self.discard(connection, "silent")
 
     def is_patient(self, request: RequestRow) -> bool:
