--- a/mallowpass/core/calls.py
+++ b/mallowpass/core/calls.py
@@ -162,7 +162,7 @@
 
     @property
     def proves_not_run(self) -> bool:
-        """Tell whether the call left no effect."""
+        """Return whether the code proves that the call had no effect."""
         return self in _PROOFS_OF_NOT_RUN
 
 
--- a/mallowpass/core/operations.py
+++ b/mallowpass/core/operations.py
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class ServiceChangedAnswer(OperatorAnswer):
-    """Tell whether a change was accepted, and the row as it stands."""
+    """State whether a change was accepted, and the current version of the service."""
 
     accepted: bool
     current: ServiceVersion | None = None
@@ -109,14 +109,14 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class DrainAnswer(OperatorAnswer):
-    """Tell whether a drain began."""
+    """State whether a drain began."""
 
     accepted: bool
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class PromoteAnswer(OperatorAnswer):
-    """Tell whether a hand-over succeeded, and its term."""
+    """State whether a switchover succeeded, and its term."""
 
     accepted: bool
     term: int = 0
--- a/mallowpass/core/systems/admission.py
+++ b/mallowpass/core/systems/admission.py
@@ -82,7 +82,7 @@
         """Return how many requests can start without waiting for another to end.
 
         The average time that requests kept connections does not apply to them. If it
-        did, one long transaction would have an idle host refuse all later requests,
+        did, one long transaction would make an idle host refuse all later requests,
         and the average would never fall, as refused requests do not lower it.
         """
         idle = len(pool.idle) + len(pool.idle_borrowed)
@@ -110,8 +110,8 @@
         if wait < remaining:
             return None
         why = f"{wait:.3f}s to wait at {where}, {remaining:.3f}s left"
-        # After the time stated, the wait has become as much shorter: a retry with the
-        # same time left can be served.
+        # After `retry_after` the wait is shorter by the same time, so that a retry with
+        # the same time left can be served.
         return self._refuse(request, ErrorCode.QUEUE_FULL, why, wait - remaining)
 
     def _refuse(
--- a/mallowpass/core/systems/busychecks.py
+++ b/mallowpass/core/systems/busychecks.py
@@ -1,7 +1,7 @@
-"""Keep-alives on busy connections, to tell slow statements from dead connections.
+"""Keep-alives on busy connections: is a statement slow, or its connection dead?
 
 A keep-alive is sent while the connection has a call in flight. Its sequence number is
-from a separate range, so that its answer can't be taken for the call's.
+from a separate range, so that its answer is not mistaken for the call's.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
         """Return whether a busy connection answers; send a keep-alive if necessary.
 
         Return False if a keep-alive is unanswered for `within` seconds. If the endpoint
-        does not support keep-alives on busy connections, the statements of patient
-        classes are taken for slow, and all others for silent.
+        does not support keep-alives on busy connections, a statement of a patient class
+        is assumed to be slow, and the connection of any other to be unresponsive.
         """
         pool = self._pooling.by_address[connection.address]
         if not self._is_supported(pool):
--- a/mallowpass/core/systems/changes.py
+++ b/mallowpass/core/systems/changes.py
@@ -47,12 +47,13 @@
 def decode_version(row: TableRow) -> ServiceVersion:
     """Return the version of a service in a row.
 
-    Raise MallowpassError if the row holds none, or contradicts its key or version.
+    Raise MallowpassError if the row contains no version, or if the version contradicts
+    the row's key or version number.
     """
     version = decode_service(row.value)
     if (version.name, version.version) != (row.key, row.version):
-        # Hosts compare the service's version and the platform that of the row: with
-        # different versions the two would never agree.
+        # Hosts compare the service's version, and the platform compares the row's. If
+        # the two differed, hosts and the platform would never agree.
         raise MallowpassError(
             ErrorCode.MALFORMED_MESSAGE,
             "A row of the services table contradicts its key or version.",
@@ -144,7 +145,10 @@
             self._is_ambiguous = self._is_ambiguous or reply.ambiguous
             self._on_failed(reply)
         else:
-            self._finish(ErrorCode.PLATFORM_ANSWER_AMBIGUOUS, "no row in the answer")
+            self._finish(
+                ErrorCode.PLATFORM_ANSWER_AMBIGUOUS,
+                "the platform's answer contains no row",
+            )
 
     # -- Reading back --------------------------------------------------------
 
@@ -159,7 +163,10 @@
         elif isinstance(reply, PlatformFailed):
             self._on_failed(reply)
         else:
-            self._finish(ErrorCode.PLATFORM_ANSWER_AMBIGUOUS, "no row in the answer")
+            self._finish(
+                ErrorCode.PLATFORM_ANSWER_AMBIGUOUS,
+                "the platform's answer contains no row",
+            )
 
     def _on_failed(self, reply: PlatformFailed) -> None:
         if self._attempts < ATTEMPTS_MAX and not reply.code:
@@ -230,7 +237,7 @@
             f"change {current.change_id!r} by {current.changed_by!r}"
         )
         if not self._has_history(current):
-            detail += "; whether this change was accepted is too long ago to tell"
+            detail += "; this change may have been accepted too long ago to be recorded"
         self._finish(code, detail, current)
 
     def _has_history(self, current: ServiceVersion) -> bool:
--- a/mallowpass/core/systems/configuration.py
+++ b/mallowpass/core/systems/configuration.py
@@ -68,7 +68,7 @@
 
         False after a start, until this host has read the whole table or agrees with a
         peer that knows all services. Until then a service that is missing here may
-        exist nevertheless.
+        still exist.
         """
         return self._is_known
 
@@ -126,14 +126,16 @@
         problems = []
         if not 1 <= len(request.change_id) <= CHANGE_ID_LENGTH_MAX:
             problems.append(
-                f"change_id: {request.change_id!r} has not 1 to "
-                f"{CHANGE_ID_LENGTH_MAX} characters"
+                f"change_id: {request.change_id!r} is not 1 to "
+                f"{CHANGE_ID_LENGTH_MAX} characters long"
             )
         if request.from_version < 0:
             problems.append(f"from_version: {request.from_version} is negative")
         if request.service is None:
             if request.from_version == 0:
-                problems.append("from_version: 0 is no version that can be deleted")
+                problems.append(
+                    "from_version: 0 means that no service exists to delete"
+                )
             return problems
         domains = (domain.name for domain in self._node.identity.domains)
         rows = self.tables.services.values()
--- a/mallowpass/core/systems/connections.py
+++ b/mallowpass/core/systems/connections.py
@@ -118,9 +118,7 @@
         self.connections = connections
         # Times in seconds.
         self.open_until = 0.0  # after it, no connection is opened
-        self.close_at = (
-            0.0  # from then on, idle connections are closed and no call is sent
-        )
+        self.close_at = 0.0  # from then on, no call is sent; idle connections close
         self.ends_at = 0.0  # from then on, all connections are closed
         self.renew_at = 0.0
         self.numbers: set[int] = set()  # of open and opening connections
@@ -139,7 +137,7 @@
 
     @property
     def is_outstanding(self) -> bool:
-        """Tell whether the keep-alive was sent and has not been answered."""
+        """Return whether the keep-alive was sent and has not been answered."""
         return self.sequence != 0 and not self.answered
 
 
@@ -179,8 +177,8 @@
         "queue",
         "retry_at",
         "retry_timer",
-        "unresponsive_slots",
         "statement_share",
+        "unresponsive_slots",
         "withheld_count",
     )
 
@@ -198,9 +196,9 @@
         # Set while the endpoint refuses connections beyond its limit.
         self.open_limit: int | None = None
         self.borrowed: dict[str, BorrowedLoan] = {}  # by name of the loan
-        # Connections that this host has closed but the endpoint may still count. Of a
-        # silent one: when the endpoint drops it at the latest. Of any other: when it
-        # was closed, and when the endpoint drops it at the latest.
+        # Slots of connections that this host has closed but the endpoint may still
+        # count. Of an unresponsive connection: the latest time at which the endpoint
+        # drops it. Of any other: the time of the close, and that latest time.
         self.unresponsive_slots: list[float] = []
         self.closing_slots: list[tuple[float, float]] = []
         self.lendable_share = 0  # slots of the own share that may be lent at a time
@@ -274,7 +272,7 @@
         return limit
 
     def is_active(self, connection: ConnectionRow) -> bool:
-        """Tell whether a request's statement occupies the connection."""
+        """Return whether a request's statement occupies the connection."""
         number = connection.number
         if connection.state is not ConnectionState.BUSY:
             return False
--- a/mallowpass/core/systems/controlstreams.py
+++ b/mallowpass/core/systems/controlstreams.py
@@ -1,4 +1,4 @@
-"""Control streams: one per endpoint, replaced when it is lost or silent."""
+"""Control streams: one per endpoint, replaced when it is lost or unresponsive."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 BACKOFF_MIN = 0.05  # seconds
 BACKOFF_MAX = 2.0
-# The next probe of a silent endpoint follows after this fraction of the time since its
-# last reply.
+# The next probe of an overdue endpoint follows after this fraction of the time since
+# its last reply.
 PROBE_SHARE = 0.25
-# A stream is silent when a report is overdue by this fraction of the detection time.
-# This leaves half of the detection time for a second stream to show that the endpoint
-# is alive.
+# A stream is overdue when a report is late by this fraction of the detection time. This
+# leaves half of the detection time for a second stream to show that the endpoint is
+# alive.
 OVERDUE_SHARE = 0.25
 ROUND_TRIP_WEIGHT = 0.2  # weight of the newest measurement in the moving average
 # Typical sizes of a message with its gRPC prefix and HTTP/2 frame header.
@@ -61,7 +61,7 @@
     endpoint: EndpointRow
     created_at: float
     watch: WatchCall
-    # Until then the endpoint was silent no longer than the previous watch allowed.
+    # Until then the endpoint reported as often as the previous watch required.
     watched_at: float = float("-inf")
     watch_sent_at: float | None = None  # until its first report arrives
     round_trip: float = float("inf")  # seconds; inf: unknown
@@ -126,8 +126,8 @@
         streams = self._by_address.get(address)
         if streams is None or streams.watch == watch:
             return
-        if not self._is_silent(streams):
-            # With a longer report interval the endpoint was silent as agreed: the
+        if not self._is_overdue(streams):
+            # With a longer report interval, the endpoint had no report to send. The
             # time until now must not count once its reports are more frequent.
             streams.watched_at = self._node.timers.now
         streams.watch = watch
@@ -274,12 +274,12 @@
 
     def _open_again(self, streams: _EndpointStreams) -> None:
         streams.retry_timer = None
-        if not streams.is_open or self._is_silent(streams):
+        if not streams.is_open or self._is_overdue(streams):
             self._open(streams)
 
-    # -- Checks of silent streams --------------------------------------------
+    # -- Checks of overdue streams -------------------------------------------
 
-    def _is_silent(self, streams: _EndpointStreams) -> bool:
+    def _is_overdue(self, streams: _EndpointStreams) -> bool:
         return (
             self.time_since_reply(streams.endpoint.address)
             >= self._overdue_after(streams) - 1e-9
@@ -289,13 +289,13 @@
         return streams.watch.interval + self._node.tuning.detection * OVERDUE_SHARE
 
     def _check(self, streams: _EndpointStreams) -> None:
-        """Open a second stream if the current one is silent, and check again later.
+        """Open a second stream if the current one is overdue, and check again later.
 
-        A middlebox may drop the state of an open connection, which then stays silent
-        for good while new connections work. Without a second stream, a healthy
+        A middlebox may drop the state of an open connection, which then never carries
+        a message again while new connections work. Without a second stream, a healthy
         primary would be suspected.
         """
-        if self._is_silent(streams) and streams.is_open:
+        if self._is_overdue(streams) and streams.is_open:
             self._probe(streams)
         self._drop_stuck_candidate(streams)
         streams.check_timer = self._node.timers.after(
@@ -303,7 +303,7 @@
         )
 
     def _seconds_to_check(self, streams: _EndpointStreams) -> float:
-        """Return the seconds until the next check, which grow with the silence."""
+        """Return the seconds until the next check; more the longer no reply arrives."""
         elapsed = self.time_since_reply(streams.endpoint.address)
         interval = self._node.tuning.probe_interval
         left = self._overdue_after(streams) - elapsed
--- a/mallowpass/core/systems/databases.py
+++ b/mallowpass/core/systems/databases.py
@@ -51,7 +51,7 @@
     # -- Claims --------------------------------------------------------------
 
     def _claim(self, old: dict[str, Database], new: dict[str, Database]) -> set[str]:
-        """Record the addresses that databases declare; return those that share one."""
+        """Record declared addresses; return the keys of databases that share one."""
         disputed: set[str] = set()
         for key, database in old.items():
             for member in database.members:
--- a/mallowpass/core/systems/digestdifference.py
+++ b/mallowpass/core/systems/digestdifference.py
@@ -1,6 +1,6 @@
 """For how many heartbeats the digests of two hosts have differed.
 
-A short difference is a notice on its way; a long one is a notice that was lost.
+A short difference means that a notice is on its way, a long one that a notice was lost.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 @record
 class DigestDifference:
-    """The consecutive heartbeats of a neighbour that had a different digest."""
+    """A run of consecutive heartbeats in which a neighbour's digest differed."""
 
     own: bytes = b""
     peer: bytes = b""
--- a/mallowpass/core/systems/explaining.py
+++ b/mallowpass/core/systems/explaining.py
@@ -104,8 +104,8 @@
         explanation = self._explanations.pop(name, None)
         if explanation is None:
             return
-        # Sorted by age, which each host computes by its own clock: the order is as
-        # accurate as the clocks run alike.
+        # Sorted by age, which each host computes by its own clock. The order is correct
+        # as long as the clocks run at the same rate.
         found = sorted(explanation.found, key=lambda decision: -decision.at)
         found = found[-_clamp(explanation.request.limit) :]
         missing = ", ".join(sorted(explanation.unanswered))
--- a/mallowpass/core/systems/failover.py
+++ b/mallowpass/core/systems/failover.py
@@ -38,7 +38,7 @@
         self._membership: Peers | None = None
 
     def start(self) -> None:
-        """Run the failover of the databases that are served, as they come and go."""
+        """Subscribe to changes of databases, members and primaries."""
         self._liveness = self._node.system(Liveness)
         self._membership = find_membership(self._node)
         self._platform = find_platform(self._node)
@@ -51,7 +51,7 @@
         self._node.subscribe(MajorityPositionStalled, self._on_stalled)
 
     def use_membership(self, membership: Peers) -> None:
-        """Take this host's ranks from the membership, and announce promotions by it."""
+        """Announce promotions through the membership."""
         self._membership = membership
 
     # -- For other systems ---------------------------------------------------
--- a/mallowpass/core/systems/groupfailover.py
+++ b/mallowpass/core/systems/groupfailover.py
@@ -41,7 +41,6 @@
         "_created_at",
         "_disconnected",
         "_follower_repair",
-        "_heard_rounds",
         "_highest_term",
         "_is_checking_isolation",
         "_isolation",
@@ -51,6 +50,7 @@
         "_suspect",
         "_switchover",
         "_turn",
+        "_unconfirmed_rounds",
         "promotion",
         "row",
     )
@@ -75,8 +75,8 @@
         self._confirmation: Confirmation | None = None
         self._callback: PromoteCallback | None = None  # of a switchover
         self._highest_term = 0  # in any report so far
-        self._heard_rounds = 0  # rounds in which too many members heard the suspect
-        self._recorded_verdict: Verdict | None = None  # newest one in the journal
+        self._unconfirmed_rounds = 0  # rounds of probes that confirmed no failure
+        self._recorded_verdict: Verdict | None = None  # of the last recorded round
         self._is_checking_isolation = False  # the primary reports; members are probed
         # Members that lost an isolated primary: only these promise the next term.
         self._disconnected: frozenset[str] = frozenset()
@@ -111,8 +111,8 @@
         if self.row.primary:
             self._on_new_primary()
         elif self.promotion is None and self._confirmation is None:
-            # The primary was lost for another reason than its silence, so there is no
-            # detection time to wait for.
+            # The primary was lost for another reason than missing replies, so there is
+            # no detection time to wait for.
             self._check_in(0.0)
 
     def on_report(self, endpoint: EndpointRow, report: Report) -> None:
@@ -131,7 +131,7 @@
         if self._is_checking_isolation or not self._isolation.is_suspected:
             return
         self._is_checking_isolation = True
-        self._heard_rounds = 0
+        self._unconfirmed_rounds = 0
         self._check_in(0.0)
 
     def check_leaving(self) -> None:
@@ -142,7 +142,7 @@
         row = self.row
         self._suspect = row.primary
         self._recorded_verdict = None
-        self._heard_rounds = 0
+        self._unconfirmed_rounds = 0
         self._disconnected = frozenset()
         self._is_checking_isolation = False
         self._highest_term = max(self._highest_term, row.term)
@@ -213,18 +213,18 @@
     def _overdue_in(self) -> float:
         """Return in how many seconds the primary will be overdue; 0 or less: it is."""
         if self._suspect:
-            silence = self._liveness.time_since_reply(self._suspect)
+            elapsed = self._liveness.time_since_reply(self._suspect)
             is_known = bool(self.row.primary)
         else:
             since = max(self._created_at, self._liveness.awake_since)
-            silence, is_known = self._now - since, True
+            elapsed, is_known = self._now - since, True
         if not is_known:
             return 0.0  # the primary was marked as lost
-        return self._overdue_limit - silence
+        return self._overdue_limit - elapsed
 
     @property
     def _overdue_limit(self) -> float:
-        # A healthy primary that is asked to report rarely is silent in between.
+        # A healthy primary that is asked to report rarely sends nothing in between.
         tuning = self._node.tuning
         interval = self._liveness.report_interval(self._suspect)
         slack = max(0.0, interval - tuning.probe_interval)
@@ -232,10 +232,11 @@
 
     @property
     def _threshold(self) -> float:
-        """Return the silence, in seconds, that is taken for a failure.
+        """Return how many seconds without a reply count as a failure of the primary.
 
-        It is longer after a promotion, which may slow down the new primary. Otherwise
-        each promotion could cause the next one, and the group would never serve.
+        The time is longer after a promotion, which may slow down the new primary.
+        Otherwise each promotion could cause the next one, and the group would never
+        serve.
         """
         tuning = self._node.tuning
         age = self._now - self.row.last_promotion_at
@@ -247,8 +248,8 @@
         if self._recorded_verdict is None and row.state is not GroupState.SUSPECTED:
             self._node.count("suspicions", database=row.key)
         if row.primary:
-            silence = self._liveness.time_since_reply(self._suspect)
-            why = f"no reply from {row.primary_row.name} for {silence:.3f}s"
+            elapsed = self._liveness.time_since_reply(self._suspect)
+            why = f"no reply from {row.primary_row.name} for {elapsed:.3f}s"
             self._node.record_decision("suspicion", row.key, why)
             self._node.log("warning", "primary_suspected", database=row.key, why=why)
             self._liveness.mark_primary_lost(row, why)
@@ -287,10 +288,10 @@
             self._yield_turn()
         elif finding.verdict is Verdict.HEARD:
             self._probe_again(finding.next_round_in)
-        # If UNREACHABLE, _check_reach probes again once reports show a majority.
+        # If UNREACHABLE, _check_reach probes again once a majority is reachable.
 
     def _is_isolated(self, finding: Finding) -> bool:
-        """Return whether only members that lost an isolated primary shall promise."""
+        """Return whether only members that lost an isolated primary may take part."""
         is_blocked = self._liveness.is_blocked(self.row)
         return is_blocked and len(finding.disconnected) >= self.row.definition.majority
 
@@ -315,13 +316,13 @@
         self._node.record_decision("suspicion", self.row.key, text)
 
     def _probe_again(self, delay: float) -> None:
-        """Probe when a majority may confirm the failure, but rarely after many rounds.
+        """Probe again after a delay, which is longer after many rounds.
 
         A host that is the only one cut off from a primary would otherwise probe at the
         rate of a failover until the link is repaired.
         """
-        self._heard_rounds += 1
-        if self._heard_rounds > FAST_ROUNDS_MAX:
+        self._unconfirmed_rounds += 1
+        if self._unconfirmed_rounds > FAST_ROUNDS_MAX:
             delay = max(delay, self._jitter(SLOW_RETRY_DELAY))
         self._check_in(delay)
 
--- a/mallowpass/core/systems/groupview.py
+++ b/mallowpass/core/systems/groupview.py
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class MemberView:
-    """Hold the average lag of a member's reads, in seconds, and what they see."""
+    """Hold the average lag of a member's reads, in seconds, and their log position."""
 
     lag: float = 0.0
     applied: LogPosition = ZERO_POSITION
--- a/mallowpass/core/systems/hostlist.py
+++ b/mallowpass/core/systems/hostlist.py
@@ -33,9 +33,9 @@
 REGISTER_INTERVAL_MIN = 5.0  # seconds
 REGISTER_INTERVAL_PER_SEAT = 0.01  # seconds
 ABSENT_POLLS = 3  # consecutive polls without a host until it is probed
-# Seconds since a host's last message until the list is reason to probe the host.
-ABSENT_SILENCE = 30.0  # not listed any more
-LEAVING_SILENCE = 1.0  # listed as leaving
+# Seconds without a message from a host after which the host is probed.
+ABSENT_CONTACT_AGE = 30.0  # not listed any more
+LEAVING_CONTACT_AGE = 1.0  # listed as leaving
 
 
 class HostList:
@@ -118,7 +118,7 @@
             # A restarted host may still be listed with the entry from before its
             # restart. If this host sent notices that it is leaving, it would have to
             # refute them after every poll.
-            self._probe_if_silent(row, LEAVING_SILENCE)
+            self._probe_unless_recent(row, LEAVING_CONTACT_AGE)
 
     def _check_absent(self, listed: dict[str, ListedHost]) -> None:
         for name in [n for n in self._absent_polls if n not in listed]:
@@ -128,10 +128,10 @@
                 continue
             self._absent_polls[name] += 1
             if self._absent_polls[name] >= ABSENT_POLLS:
-                self._probe_if_silent(row, ABSENT_SILENCE)
+                self._probe_unless_recent(row, ABSENT_CONTACT_AGE)
 
-    def _probe_if_silent(self, row: HostRow, silence: float) -> None:
-        if self._node.timers.now - row.last_contact_at >= silence:
+    def _probe_unless_recent(self, row: HostRow, contact_age: float) -> None:
+        if self._node.timers.now - row.last_contact_at >= contact_age:
             self._probe_host(row)
 
 
--- a/mallowpass/core/systems/hostpause.py
+++ b/mallowpass/core/systems/hostpause.py
@@ -15,8 +15,8 @@
     """Detect pauses of this host by checks that run late.
 
     After a pause, timers that are due run before the reports that have arrived are
-    read, so every endpoint looks silent. Without the time at which the pause ended,
-    this host would suspect healthy primaries and promote other members.
+    read, so every endpoint seems to have failed. Without the time at which the pause
+    ended, this host would suspect healthy primaries and promote other members.
     """
 
     __slots__ = ("_awake_since", "_last_check_at", "_node")
--- a/mallowpass/core/systems/hosts.py
+++ b/mallowpass/core/systems/hosts.py
@@ -247,8 +247,8 @@
     def _remove_gone(self) -> None:
         limit = self._node.timers.now - FORGET_AFTER
         for name in [n for n, at in self._gone_since.items() if at < limit]:
-            # A drain may take longer. While the host is linked, its heartbeats need
-            # the row.
+            # A drain may take longer than FORGET_AFTER. While the host is linked, its
+            # heartbeats need the row.
             if not self._rows[name].link:
                 del self._gone_since[name]
                 del self._rows[name]
--- a/mallowpass/core/systems/isolation.py
+++ b/mallowpass/core/systems/isolation.py
@@ -83,7 +83,7 @@
         """Return whether the isolation outlasted the end of a pause of the primary.
 
         A primary that resumes after a pause answers a probe at once, while its
-        followers still report the silence of the pause until its next heartbeat
+        followers still report the time without messages until the next heartbeat
         reaches them. So two rounds must agree, with time for heartbeats in between.
         """
         if self._found_at is None:
--- a/mallowpass/core/systems/keepalive.py
+++ b/mallowpass/core/systems/keepalive.py
@@ -1,4 +1,4 @@
-"""Send keep-alives, detect silent connections, and reset released connections."""
+"""Send keep-alives, detect broken connections, and reset released connections."""
 
 from __future__ import annotations
 
@@ -175,7 +175,7 @@
             self._pooling.make_idle(pool, connection)
             self._pooling.granting.dispatch(pool)
 
-    # -- Silent connections ----------------------------------------------------
+    # -- Unresponsive connections ----------------------------------------------
 
     def close_unresponsive(self, pool: EndpointPool, number: int) -> None:
         """Close a connection on which a call has been unanswered for too long."""
@@ -215,7 +215,7 @@
     def check_older_idle(self, pool: EndpointPool, since: float) -> None:
         """Send keep-alives on idle connections that were last used before `since`.
 
-        The cause that made one connection silent has probably affected connections of
+        The cause that broke one connection has probably affected connections of
         the same age, and each of them would cost a request its full timeout. Requests
         use more recent connections in the meantime.
         """
--- a/mallowpass/core/systems/liveness.py
+++ b/mallowpass/core/systems/liveness.py
@@ -43,7 +43,7 @@
 
 
 class Liveness(System):
-    """Watch endpoints, and answer what their reports prove."""
+    """Watch endpoints, and derive group state and log positions from their reports."""
 
     __slots__ = (
         "_activity",
@@ -113,7 +113,7 @@
 
         The callback gets None if no majority of the members answers.
         """
-        self._read(database.key)
+        self._view_for_read(database.key)
         rounds = self._rounds.get(database.key)
         if rounds is None:
             self.timers.after(0.0, callback, None)
@@ -123,8 +123,8 @@
     def age_floor(
         self, database: DatabaseRow, accepted_age: float
     ) -> LogPosition | None:
-        """Return a floor for data of at most an age, None if no record is so recent."""
-        view = self._read(database.key)
+        """Return a floor for an accepted age, None if no record is recent enough."""
+        view = self._view_for_read(database.key)
         if view is None:
             return None
         floor = self._rounds[database.key].at_age(accepted_age)
@@ -183,8 +183,8 @@
             view.minority_since = self.now
 
     def has_reached(self, endpoint: EndpointRow, position: LogPosition) -> bool:
-        """Return whether a member's newest report proves that reads see a position."""
-        view = self._read(endpoint.database)
+        """Return whether a member's newest report proves that it applied a position."""
+        view = self._view_for_read(endpoint.database)
         if position.position == 0:
             return True
         if view is None or endpoint.report is None:
@@ -223,7 +223,10 @@
         return steward_rank(self._node, self._membership, database, primary)
 
     def time_since_reply(self, address: str) -> float:
-        """Return the seconds since an endpoint's last reply, without own pauses."""
+        """Return the seconds since an endpoint's last reply.
+
+        Time before the end of this host's last pause does not count.
+        """
         return self._control.time_since_reply(address)
 
     def report_interval(self, address: str) -> float:
@@ -267,8 +270,8 @@
             self._control.remove(address)
         self._waits.pop(signal.database).stop()
 
-    def _read(self, key: str) -> GroupView | None:
-        """Return a database's view, and record that this host has read it."""
+    def _view_for_read(self, key: str) -> GroupView | None:
+        """Return a database's view, and record that this host reads the database."""
         view = self._views.get(key)
         if view is not None:
             self._activity.note_read(view)
@@ -285,9 +288,9 @@
             return
         endpoint.last_reply_at = self.now
         if connection.sequence == event.reply.sequence:
-            self._take_answer(endpoint, event.reply)
+            self._process_answer(endpoint, event.reply)
 
-    def _take_answer(self, endpoint: EndpointRow, reply: EndpointReply) -> None:
+    def _process_answer(self, endpoint: EndpointRow, reply: EndpointReply) -> None:
         """Count a member's answer on a connection like one of its reports.
 
         The answer to a write carries the primary's own position, so no further round
@@ -303,9 +306,9 @@
     def _on_control_reply(self, endpoint: EndpointRow, reply: ControlReply) -> None:
         view = self._views.get(endpoint.database)
         if reply.report is not None and view is not None:
-            self._take_report(view, endpoint, reply.report)
+            self._process_report(view, endpoint, reply.report)
 
-    def _take_report(
+    def _process_report(
         self, view: GroupView, endpoint: EndpointRow, report: Report
     ) -> None:
         endpoint.report = report
--- a/mallowpass/core/systems/membership.py
+++ b/mallowpass/core/systems/membership.py
@@ -73,7 +73,9 @@
         self._hosts = HostTable(node)
         self._links = HostLinks(node, self._hosts, self._on_unreachable)
         self._endpoint_notices = EndpointNotices(node, self)
-        self._host_list = HostList(node, self._hosts, self._learn, self._links.probe)
+        self._host_list = HostList(
+            node, self._hosts, self._merge_and_relay, self._links.probe
+        )
         self._handlers: dict[type, list[Callable[..., None]]] = {}
         # By host, until the link that is being dialled is up.
         self._unsent: dict[str, list[PeerMessage]] = {}
@@ -230,7 +232,7 @@
             greeting.incarnation,
             HostState.ALIVE.value,
         )
-        self._learn(alive, exclude=greeting.host)
+        self._merge_and_relay(alive, exclude=greeting.host)
         row = self.tables.hosts[greeting.host]
         if not self._links.establish(link, greeting.host):
             return
@@ -269,8 +271,8 @@
 
     def _restart_detection(self, lateness: float) -> None:
         # After a pause, timers run before the messages that arrived during the pause
-        # are read: all peers look silent. Without a restart of the detection this
-        # host would declare the whole fleet dead.
+        # are read, so every peer seems to have failed. Without a restart of the
+        # detection this host would declare the whole fleet dead.
         self._node.log("warning", "paused", seconds=lateness)
         for link in self._links.established:
             link.last_message_at = self.now
@@ -322,7 +324,7 @@
         row = self.tables.hosts[host]
         state = HostState.LEAVING if heartbeat.draining else HostState.ALIVE
         if (row.incarnation, row.state) != (heartbeat.incarnation, state):
-            self._learn_own_state(row, heartbeat.incarnation, state)
+            self._merge_self_reported_state(row, heartbeat.incarnation, state)
         self._hosts.note_contact(row, heartbeat.beat)
         link = self._links.link_to(host)
         if link is not None:
@@ -330,7 +332,7 @@
 
     # -- Notices of hosts ----------------------------------------------------
 
-    def _learn(self, notice: HostNotice, exclude: str = "") -> None:
+    def _merge_and_relay(self, notice: HostNotice, exclude: str = "") -> None:
         if not self._hosts.merge(notice):
             return
         row = self.tables.hosts[notice.host]
@@ -343,7 +345,7 @@
 
     def _avoid_link(self, host: str) -> None:
         # Other hosts still get the host's messages: only the path between the two
-        # hosts is cut. With the silent link kept, this host would suspect the other
+        # hosts is cut. If the broken link were kept, this host would suspect the other
         # and be refuted at every heartbeat, each time with two notices to the fleet.
         link = self._links.link_to(host)
         if link is not None:
@@ -356,7 +358,7 @@
         if notice.host == self._node.identity.name:
             self._refute(notice)
         else:
-            self._learn(notice, exclude=host)
+            self._merge_and_relay(notice, exclude=host)
 
     def _refute(self, notice: HostNotice) -> None:
         is_leaving = notice.state == HostState.LEAVING.value
@@ -391,15 +393,15 @@
     def _on_goodbye(self, host: str, goodbye: Goodbye) -> None:
         row = self.tables.hosts.get(host)
         if row is not None and goodbye.host == host:
-            self._learn_own_state(row, goodbye.incarnation, HostState.LEAVING)
+            self._merge_self_reported_state(row, goodbye.incarnation, HostState.LEAVING)
 
-    def _learn_own_state(
+    def _merge_self_reported_state(
         self, row: HostRow, incarnation: int, state: HostState
     ) -> None:
         notice = dataclasses.replace(
             make_notice(row), incarnation=incarnation, state=state.value
         )
-        self._learn(notice, exclude=row.name)
+        self._merge_and_relay(notice, exclude=row.name)
 
     def _on_drain(self, signal: DrainBegan) -> None:
         self._is_draining = True
@@ -416,9 +418,9 @@
         link.difference = link.difference.after(self._hosts.digest, heartbeat.hosts)
         if not link.difference.heartbeats:
             return
-        # A host that knows no more than one other asks at once. After a partition
-        # hosts find each other one by one; a repair without delay would have all of
-        # them refute at the same moment.
+        # A host that knows at most one other asks at once. After a partition hosts find
+        # each other one by one; a repair without delay would make all of them refute at
+        # the same moment.
         is_new = len(self._hosts.live_hosts()) <= 1
         has_gap = link.difference.is_gap(
             GAP_HEARTBEATS_UNCHANGED, GAP_HEARTBEATS_CHANGING
--- a/mallowpass/core/systems/opening.py
+++ b/mallowpass/core/systems/opening.py
@@ -101,14 +101,14 @@
         connection = self._connections.get(number)
         if connection is not None:
             self._pooling.closer.close(pool, connection)
-            self._back_off(pool, "no answer to opening")
+            self._back_off(pool, "no answer within the timeout")
 
     def openable_count(self, pool: EndpointPool) -> int:
         """Return how many more connections could be opened now."""
         now = self.now
         if pool.endpoint.is_leaving or now < pool.retry_at:
             return 0
-        own = pool.usable_share - pool.own_count - self._silent_slot_count(pool)
+        own = pool.usable_share - pool.own_count - self._unresponsive_slot_count(pool)
         borrowed = sum(
             max(0, loan.connections - len(loan.numbers))
             for loan in pool.borrowed.values()
@@ -125,15 +125,15 @@
 
     def _find_slot(self, pool: EndpointPool) -> str | None:
         """Return the loan for a new connection: "" for the own share, None if full."""
-        if pool.own_count + self._silent_slot_count(pool) < pool.usable_share:
+        if pool.own_count + self._unresponsive_slot_count(pool) < pool.usable_share:
             return ""
         for loan in pool.borrowed.values():
             if len(loan.numbers) < loan.connections and self.now <= loan.open_until:
                 return loan.loan
         return None
 
-    def _silent_slot_count(self, pool: EndpointPool) -> int:
-        """Return how many silent connections the endpoint may still count.
+    def _unresponsive_slot_count(self, pool: EndpointPool) -> int:
+        """Return how many unresponsive connections the endpoint may still count.
 
         Replacing them could take slots of other hosts. They no longer matter once the
         endpoint's report shows fewer connections than its limit.
@@ -169,7 +169,7 @@
     def _lower_open_limit(self, pool: EndpointPool) -> None:
         """Use no more connections than now, as the endpoint has reached its limit.
 
-        Some host exceeds its share, or the connections of a failed host have not
+        A host exceeds its share, or the connections of a failed host have not
         expired yet. Further attempts would take slots that belong to other hosts.
         """
         if pool.open_limit is None:
--- a/mallowpass/core/systems/operators.py
+++ b/mallowpass/core/systems/operators.py
@@ -1,7 +1,8 @@
 """Requests of operators: changes, lists, drains, promotions, status, explanations.
 
 The adapter has authenticated the operators. Each action is logged and recorded in the
-journal with the operator's name; requests that only read are not.
+journal with the operator's name. Requests that only read are neither logged nor
+recorded.
 """
 
 from __future__ import annotations
--- a/mallowpass/core/systems/platformclient.py
+++ b/mallowpass/core/systems/platformclient.py
@@ -3,7 +3,7 @@
 The platform is shared by the whole fleet and has outages. Each host makes at most its
 share of the fleet's calls, and an operator's calls go before polls. After repeated
 failures the client refuses calls at once: during an outage hosts get no changes, but
-serve on. Every call gets exactly one reply, within a bounded time.
+continue to serve. Every call gets exactly one reply, within a bounded time.
 """
 
 from __future__ import annotations
--- a/mallowpass/core/systems/poolchanges.py
+++ b/mallowpass/core/systems/poolchanges.py
@@ -102,9 +102,9 @@
         definition = database.definition
         pool.database = database
         pool.own_share = static_share(definition.connections, *share_arguments)
-        seats = sum(domain.hosts for domain in identity.domains)
+        seat_count = sum(domain.hosts for domain in identity.domains)
         pool.lendable_share = lendable_share(
-            pool.own_share, scarce=definition.connections < seats
+            pool.own_share, scarce=definition.connections < seat_count
         )
         self._pooling.loans.withhold(pool, pool.lendable_share)
         pool.statement_share = 0
@@ -142,7 +142,10 @@
         self._refresh(signal.database)
 
     def _refresh(self, key: str) -> None:
-        """Apply a definition; a removed address may be back with a new row."""
+        """Apply a changed definition.
+
+        An address that was removed may have been added again, with a new row.
+        """
         database = self.tables.databases.get(key)
         if database is None:
             return
--- a/mallowpass/core/systems/pooling.py
+++ b/mallowpass/core/systems/pooling.py
@@ -107,8 +107,8 @@
     def acquire(self, request: RequestRow, endpoint: EndpointRow) -> None:
         """Grant a connection now, or queue the request until one is free.
 
-        The outcome is reported to Requests.on_connection or Requests.on_refused,
-        possibly before this method returns.
+        The outcome is reported to Requests.on_connection_granted or
+        Requests.on_refused, possibly before this method returns.
         """
         pool = self.by_address.get(endpoint.member.address)
         if pool is None:
@@ -223,7 +223,7 @@
         self.granting.dispatch(pool)
 
     def is_responsive(self, connection: ConnectionRow, within: float) -> bool:
-        """Tell whether a connection answers keep-alives while its call is in flight.
+        """Return whether a connection answers keep-alives while its call is in flight.
 
         Sends a keep-alive if there is no recent one. False once a keep-alive has been
         unanswered for `within` seconds.
@@ -231,18 +231,18 @@
         return self.busy_checks.is_responsive(connection, within)
 
     def check_older_idle(self, connection: ConnectionRow) -> None:
-        """Check the idle connections that may be as silent as this connection."""
+        """Check the idle connections that may be as unresponsive as this one."""
         pool = self.by_address[connection.address]
         self.keepalive.check_older_idle(pool, connection.last_call_at)
         self.granting.dispatch(pool)
 
     def close_unresponsive(self, connection: ConnectionRow) -> None:
-        """Close a connection that seems silent, and check older idle connections."""
+        """Close an unresponsive connection, and check older idle connections."""
         pool = self.by_address[connection.address]
         self.keepalive.close_unresponsive(pool, connection.number)
 
     def is_patient(self, request: RequestRow) -> bool:
-        """Tell whether a request is of a patient class."""
+        """Return whether a request is of a patient class."""
         pool = self.by_address.get(request.address)
         return pool is not None and request.request_class in pool.patient_classes
 
@@ -312,7 +312,7 @@
     def take_idle(self, pool: EndpointPool) -> ConnectionRow | None:
         """Take the most recently used idle connection; None if there is none.
 
-        It is the connection that was most recently known to work.
+        The most recently used connection is the one that was last known to work.
         """
         now = self.now
         for idle in (pool.idle, pool.idle_borrowed):
@@ -362,7 +362,7 @@
         idle[connection.number] = connection
 
     def is_surplus(self, pool: EndpointPool, connection: ConnectionRow) -> bool:
-        """Tell whether a connection must be closed once it is free."""
+        """Return whether a connection must be closed once it is free."""
         if pool.endpoint.is_leaving or (self.is_draining and not pool.queue):
             return True
         if connection.loan:
--- a/mallowpass/core/systems/positionawaits.py
+++ b/mallowpass/core/systems/positionawaits.py
@@ -35,7 +35,10 @@
 
 @dataclass(slots=True)
 class _Member:
-    """The positions that one member was asked for; `wanted` may not be sent yet."""
+    """The positions that one member is asked to report.
+
+    `wanted` is the highest one, and `requested` that of the last call sent.
+    """
 
     wanted: LogPosition = ZERO_POSITION
     requested: LogPosition = ZERO_POSITION
@@ -57,7 +60,7 @@
 
     @property
     def is_as_fast_as_watching(self) -> bool:
-        """Tell whether asking a majority delays no acknowledgement."""
+        """Return whether asking a majority delays no acknowledgement."""
         row = self._view.row
         is_near = self._control.round_trip(row.primary) <= NEAR_ROUND_TRIP
         eligible_count = sum(
@@ -79,12 +82,12 @@
                 member.timer.cancel()
 
     def _can_await(self, endpoint: EndpointRow) -> bool:
-        """Tell whether a member supports the call and has replied recently."""
+        """Return whether a member supports the call and has replied recently."""
         report = endpoint.report
         if report is None or not report.await_position:
             return False
-        silence = self._control.time_since_reply(endpoint.address)
-        return silence < self._node.tuning.detection + self._control.report_interval(
+        elapsed = self._control.time_since_reply(endpoint.address)
+        return elapsed < self._node.tuning.detection + self._control.report_interval(
             endpoint.address
         )
 
@@ -117,7 +120,7 @@
         self._review(address, member)
 
     def _has_reached(self, address: str, position: LogPosition) -> bool:
-        """Tell whether a member is known to hold a position of the current term."""
+        """Return whether a member is known to hold a position of the current term."""
         view = self._view
         held = view.holders.get(address, 0)
         return position.term == view.row.term and held >= position.position
--- a/mallowpass/core/systems/promotion.py
+++ b/mallowpass/core/systems/promotion.py
@@ -38,9 +38,10 @@
 # How often a call without an answer is sent within its timeout.
 PROMISE_TRIES = 2
 PROMOTE_TRIES = 3
-# Once a majority has promised, wait for the members that were not silent before, for
-# no more than a round trip between regions: more logs to choose from.
-GRACE_TIME = 0.03  # seconds
+# Seconds for which an attempt that a majority has promised waits for the promises of
+# other responsive members, so that it has more logs to choose from. No longer than a
+# round trip between regions.
+GRACE_TIME = 0.03
 # A switchover lets its target catch up for this time, while writes continue.
 CATCH_UP_TIMEOUT = 5.0  # seconds
 CATCH_UP_BACKLOG = 64  # log entries
@@ -298,14 +299,14 @@
 
     @property
     def _awaited(self) -> list[str]:
-        """Return the members that have not answered and were not silent before."""
-        silent_after = self._node.tuning.detection
+        """Return the responsive members that have not answered."""
+        recent = self._node.tuning.detection
         return [
             address
             for address in self._among
             if address not in self._grants
             and address not in self._failed
-            and self._liveness.time_since_reply(address) < silent_after
+            and self._liveness.time_since_reply(address) < recent
         ]
 
     def _choose(self) -> None:
--- a/mallowpass/core/systems/promotionturn.py
+++ b/mallowpass/core/systems/promotionturn.py
@@ -11,9 +11,9 @@
 
 __all__ = ["PromotionTurn"]
 
-TURN_MAX = 8  # stewards from this index on share one turn, spread by jitter
+TURN_MAX = 8  # stewards from this rank on share one turn, spread by jitter
 # Seconds before another attempt. The maximum is for the first steward; it grows with
-# the steward's index.
+# the steward's rank.
 RETRY_MIN = 0.03
 RETRY_MAX = 0.3
 
@@ -37,7 +37,7 @@
         self._turn_at = self._yielding_since = None
 
     def seconds_left(self) -> float:
-        """Return the seconds until the turn of this host; the first call starts it."""
+        """Return the seconds until this host's turn; the first call starts the wait."""
         now = self._node.timers.now
         if self._turn_at is None:
             self._turn_at = now + self._delay
@@ -63,16 +63,16 @@
         """Return the seconds to wait after a failed attempt, and reset the turn."""
         # Without jitter, stewards that proposed the same term would collide again.
         self._turn_at = None
-        return self._node.random.uniform(RETRY_MIN, RETRY_MAX * (1 + self._index))
+        return self._node.random.uniform(RETRY_MIN, RETRY_MAX * (1 + self._rank))
 
     @property
-    def _index(self) -> int:
+    def _rank(self) -> int:
         return min(self._liveness.steward_rank(self._row), TURN_MAX)
 
     @property
     def _delay(self) -> float:
-        index, stagger = self._index, self._node.tuning.steward_stagger
-        if index < TURN_MAX:
-            return index * stagger
+        rank, stagger = self._rank, self._node.tuning.steward_stagger
+        if rank < TURN_MAX:
+            return rank * stagger
         spread = TURN_MAX * stagger
         return spread + self._node.random.uniform(spread / 2, spread)
--- a/mallowpass/core/systems/reads.py
+++ b/mallowpass/core/systems/reads.py
@@ -337,7 +337,7 @@
         if request.parts_sent:
             # The caller has received parts of this answer, which parts of another
             # answer cannot complete: it may be of another log position.
-            self._requests.answer_unknown(request, f"the answer broke off: {why}")
+            self._requests.answer_unknown(request, f"the result is incomplete: {why}")
             return
         request.detail = why
         if request.avoided_addresses is None:
--- a/mallowpass/core/systems/requestreuse.py
+++ b/mallowpass/core/systems/requestreuse.py
@@ -27,7 +27,7 @@
         self._digests = digests
 
     def is_reused(self, record_id: str, digest: bytes) -> bool:
-        """Tell whether an id was used for another request; record it if it is new."""
+        """Return whether another request used an id; record the id if it is new."""
         digests = self._digests
         if digests.setdefault(record_id, digest) != digest:
             return True
--- a/mallowpass/core/systems/routing.py
+++ b/mallowpass/core/systems/routing.py
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class _MemberHealth:
-    """The health of a member, as far as only routing uses it."""
+    """The health of a member as routing measures it."""
 
     expected_latency: float  # seconds, by failure domain and region
     measured_at: float = float("-inf")  # time of the last latency sample
@@ -74,7 +74,7 @@
     def choose_read(
         self, request: RequestRow, database: DatabaseRow
     ) -> EndpointRow | None:
-        """Return the best replica that has reached the floor when the call arrives."""
+        """Return the best replica that has the floor by the time the call arrives."""
         best = None
         lowest = float("inf")
         for endpoint in database.endpoints.values():
@@ -91,7 +91,7 @@
         return best
 
     def choose_any_read(self, request: RequestRow) -> EndpointRow | None:
-        """Return the best replica, or else a fallback, without any wait."""
+        """Return the best replica or else a fallback, without waiting for a replica."""
         database = self.tables.databases.get(request.database)
         if database is None:
             return None
@@ -256,7 +256,7 @@
         if endpoint.ejected_until > self.now:
             return False
         health = self._health_of(endpoint)
-        # One trial request at a time: if the member still fails, only that one fails.
+        # One trial request at a time: if the member still fails, no other request does.
         return not health.ejections or health.trial_until <= self.now
 
     def _has_floor(self, endpoint: EndpointRow, request: RequestRow) -> bool:
--- a/mallowpass/core/systems/sessionfloors.py
+++ b/mallowpass/core/systems/sessionfloors.py
@@ -1,7 +1,8 @@
 """Floors of requests: the log position that an answer must contain.
 
 A floor is the newest position that the session has seen, raised to the position that
-the accepted age requires. A floor that is not known here is learnt from a majority.
+the accepted age requires. A floor that this host does not know is looked up: a majority
+of the members report their log positions.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 __all__ = ["SessionFloors"]
 
-# The floor of a read is learnt at most this many times to meet the accepted age.
+# The floor of a read is looked up at most this many times to meet the accepted age.
 FLOOR_LOOKUPS_MAX = 2
 
 
@@ -39,7 +40,7 @@
     # -- Setting floors ------------------------------------------------------
 
     def route_with_floor(self, request: RequestRow) -> None:
-        """Set a request's floor, learn it if unknown, and route the request."""
+        """Set a request's floor, look it up if unknown, and route the request."""
         self._set(request)
         if request.needs_fresh_floor:
             self.look_up_floor(request)
@@ -81,15 +82,17 @@
         return min(declared, stated)
 
     def look_up_floor(self, request: RequestRow) -> None:
-        """Learn a floor from a majority, then route the request."""
+        """Look up a floor at a majority of the members, then route the request."""
         request.state = RequestState.AWAITING_FLOOR
-        request.detail = "waits for its floor to be learnt from a majority"
+        request.detail = "waits for a majority to report the floor"
         request.floor_requested_at = self.now
         request.floor_lookups += 1
         database = self.tables.databases[request.database]
-        self._liveness.look_up_floor(database, partial(self._on_learnt, request))
+        self._liveness.look_up_floor(database, partial(self._on_floor_found, request))
 
-    def _on_learnt(self, request: RequestRow, position: LogPosition | None) -> None:
+    def _on_floor_found(
+        self, request: RequestRow, position: LogPosition | None
+    ) -> None:
         if request.state is not RequestState.AWAITING_FLOOR:
             return
         if position is None:
@@ -100,7 +103,7 @@
         request.floor = max(request.floor, position)
         age = self._accepted_age(request)
         if age is not None and self.now - request.floor_requested_at > age:
-            # A floor learnt once more would be too old again.
+            # A floor that is looked up once more would be too old again.
             request.floor_lookups = FLOOR_LOOKUPS_MAX
         self._requests.route(request)
 
@@ -108,18 +111,18 @@
         """Handle a floor that a promotion discarded; return whether there was one.
 
         A request whose session saw the discarded part of the log is answered
-        FLOOR_LOST. A discarded floor that came from an age or a majority is learnt
-        again.
+        FLOOR_LOST. A discarded floor that came from an age or a majority is looked
+        up again.
         """
         database = self.tables.databases[request.database]
         # Each position is checked by itself. The request's floor may come from an age
         # or a majority, be of the newest term, and not contain what the session saw.
         for seen in request.session_positions:
-            if self._is_dropped(database, seen):
+            if self._is_lost(database, seen):
                 why = f"the session has seen log position {seen.term}:{seen.position}"
                 self._requests.answer_not_run(request, ErrorCode.FLOOR_LOST, why)
                 return True
-        if not self._is_dropped(database, request.floor):
+        if not self._is_lost(database, request.floor):
             return False
         # Only a floor from an age or a majority was in the discarded part of the log.
         # The session has received no answer from there.
@@ -128,15 +131,15 @@
         self.look_up_floor(request)
         return True
 
-    def _is_dropped(self, database: DatabaseRow, position: LogPosition) -> bool:
+    def _is_lost(self, database: DatabaseRow, position: LogPosition) -> bool:
         if not 0 < position.term < database.term:
             return False
         return self._liveness.is_floor_lost(database, position)
 
     def refresh(self, request: RequestRow) -> bool:
-        """Raise the floor to what the accepted age requires by now.
+        """Raise a request's floor to the position that the accepted age requires now.
 
-        Returns False if the floor has to be learnt again for that.
+        Return False if the floor has to be looked up again for that.
         """
         age = self._accepted_age(request)
         if age is None:
@@ -148,9 +151,9 @@
         if aged_floor is not None:
             request.floor = max(request.floor, aged_floor)
             return True
-        # A floor that was learnt for a read contains all that was acknowledged before
-        # the read arrived. No floor meets an age that is shorter than the time that
-        # learning and queueing take: the read would learn floors until its deadline.
+        # A floor that was looked up for a read contains all writes acknowledged before
+        # the read arrived. No floor meets an age that is shorter than the time that the
+        # look-up and queueing take: the floor would be looked up until the deadline.
         request.needs_fresh_floor = True
         return request.floor_lookups >= FLOOR_LOOKUPS_MAX
 
@@ -158,8 +161,9 @@
 
     def is_satisfied(self, request: RequestRow, applied: LogPosition) -> bool:
         """Return whether the log up to position `applied` contains the floor."""
-        # The last check before an answer is sent. The member was chosen by prediction,
-        # and the answer of a lagging replica could lack the session's own writes.
+        # This is the last check before an answer is sent. The member was chosen by
+        # prediction, and the answer of a lagging replica could lack the session's own
+        # writes.
         return all(
             self._contains(request, applied, position)
             for position in (request.floor, *request.session_positions)
@@ -172,8 +176,8 @@
             return False
         if applied.term == floor.term or not floor.term:
             return True
-        # Decided by the log that the answer is from. The primary of its term, and the
-        # position where the term started, may not be known here yet.
+        # The log of the answer decides. This host may not know yet the primary of that
+        # log's term, or the position at which the term started.
         database = self.tables.databases.get(request.database)
         return database is not None and self._liveness.contains(
             database, applied, floor
--- a/mallowpass/core/systems/sessions.py
+++ b/mallowpass/core/systems/sessions.py
@@ -80,9 +80,9 @@
     ) -> None:
         """Require a session's later reads to contain at least this position.
 
-        The newer one of two positions is the floor. The log up to it contains the
-        older one, unless a promotion discarded that: both are kept in this case, so
-        that the session's next read is answered FLOOR_LOST.
+        The newer of two positions becomes the floor. The log up to the newer position
+        contains the older one, unless a promotion discarded the older one. Then both
+        are kept, so that the session's next read is answered FLOOR_LOST.
         """
         floor = session.floors.get(database_key)
         if floor is None:
--- a/mallowpass/core/systems/stewards.py
+++ b/mallowpass/core/systems/stewards.py
@@ -70,7 +70,7 @@
 
 
 def find_membership(node: Node) -> Peers | None:
-    """Return the node's membership, None if it runs without."""
+    """Return the node's membership system, None if the node has none."""
     # Imported late: liveness also runs on nodes without membership.
     from mallowpass.core.systems.membership import Membership
 
@@ -81,7 +81,7 @@
 
 
 def find_platform(node: Node) -> Platform | None:
-    """Return the node's client of the platform, None if it runs without."""
+    """Return the node's platform client, None if the node has none."""
     from mallowpass.core.systems.platformclient import PlatformClient
 
     try:
--- a/mallowpass/core/systems/suspicion.py
+++ b/mallowpass/core/systems/suspicion.py
@@ -132,7 +132,7 @@
         if is_settled or self._outstanding == 0 or self._has_all_expected():
             self._settle()
         elif self._settle_timer is None and finding.verdict is not Verdict.UNREACHABLE:
-            # Wait for the other members as long again as the majority took. A lost call
+            # Wait for the other members for as long as the majority took. A lost call
             # would take many times longer, and another round of probes is cheap.
             elapsed = self._node.timers.now - self._asked_at
             wait = max(elapsed, SETTLE_DELAY_MIN)
@@ -153,9 +153,9 @@
         return self._expects_suspect and self._suspect not in self._reports
 
     def _has_all_expected(self) -> bool:
-        """Return whether only members that were silent before have not answered.
+        """Return whether all members that replied recently have answered.
 
-        The suspect is usually silent: waiting for its answer would lengthen each
+        The suspect usually does not answer: waiting for its answer would lengthen each
         failover by the timeout of a call.
         """
         if len(self._reports) < self._row.definition.majority:
@@ -245,11 +245,11 @@
             return True
         silence = report.primary_silence
         if silence is None:
-            return self._is_silent_here(self._suspect or self._followed(report))
+            return self._is_confirmed_here(self._suspect or self._followed(report))
         return silence >= self._threshold - SILENCE_TOLERANCE
 
-    def _is_silent_here(self, address: str) -> bool:
-        """Return whether this host's own evidence is that a member does not lead."""
+    def _is_confirmed_here(self, address: str) -> bool:
+        """Return whether this host's own evidence shows that a member does not lead."""
         report = self._reports.get(address)
         if report is not None:
             return report.role is not Role.PRIMARY
@@ -278,7 +278,8 @@
     def _has_abdicated(self) -> bool:
         """Return whether the primary itself answers that it does not lead.
 
-        It restarted, or has promised a higher term. No other member can lead its term.
+        The primary restarted, or has promised a higher term. No other member can lead
+        its term.
         """
         report = self._reports.get(self._suspect)
         return report is not None and report.role is not Role.PRIMARY
@@ -305,7 +306,7 @@
             report = self._reports.get(address)
             parts.append(f"{endpoint.name}: {_describe(report)}")
         own = self._liveness.time_since_reply(self._suspect) if self._suspect else 0.0
-        return f"silence towards this host {own:.3f}s; " + ", ".join(parts)
+        return f"no reply to this host for {own:.3f}s; " + ", ".join(parts)
 
 
 def _describe(report: Report | None) -> str:
--- a/mallowpass/core/systems/termhistory.py
+++ b/mallowpass/core/systems/termhistory.py
@@ -71,7 +71,7 @@
         """Compare with all terms ever reported, for members that report no older ones.
 
         Terms whose entries no log contains count as well, so a position that is still
-        in the log may be taken for dropped.
+        in the log may be reported as dropped.
         """
         for term, start in self._starts.items():
             if position.term < term <= end_term and start <= position.position:
--- a/mallowpass/core/systems/transactions.py
+++ b/mallowpass/core/systems/transactions.py
@@ -41,7 +41,7 @@
 
 @record
 class _EndedTransaction:
-    """How a transaction ended. The code is None if the commit ran or may have run."""
+    """The end of a transaction. The code is None if the commit ran or may have run."""
 
     stream: int
     code: ErrorCode | None
@@ -358,7 +358,7 @@
         self._discard(transaction, why)
 
     def on_commit_overdue(self, request: RequestRow, why: str) -> None:
-        """Look up a commit whose connection seems silent, and close the connection."""
+        """Look up a commit, and close its connection, which seems unresponsive."""
         transaction = self.tables.transactions.get(request.transaction)
         if transaction is not None:
             connection = self.tables.connections[transaction.connection]
--- a/mallowpass/core/systems/validation.py
+++ b/mallowpass/core/systems/validation.py
@@ -185,7 +185,7 @@
 def _name_problems(place: str, name: str) -> Iterator[ServiceProblem]:
     if not name or len(name) > NAME_LENGTH_MAX:
         yield ServiceProblem(
-            place, f"{name!r} has not 1 to {NAME_LENGTH_MAX} characters"
+            place, f"{name!r} is not 1 to {NAME_LENGTH_MAX} characters long"
         )
     # With slashes in names, two databases of different services could share a key.
     elif "/" in name or not name.isprintable() or name != name.strip():
--- a/mallowpass/core/systems/waitqueue.py
+++ b/mallowpass/core/systems/waitqueue.py
@@ -200,7 +200,7 @@
         return min(len(self.entries), queue.waiting * weights / queue.weight)
 
     def has_waiting_outside(self, class_names: frozenset[str]) -> bool:
-        """Tell whether a request of any other class is queued."""
+        """Return whether a request of any other class is queued."""
         return any(
             queue.waiting and name not in class_names
             for name, queue in self._class_queues.items()
--- a/mallowpass/core/systems/watchintervals.py
+++ b/mallowpass/core/systems/watchintervals.py
@@ -26,7 +26,7 @@
 
     If all hosts watched all members closely, the control traffic would exceed its
     whole budget. Only a host that waits for log positions needs each new one, and only
-    the silence of a primary that stewards or callers of this host depend on has to be
+    the failure of a primary that stewards or callers of this host depend on has to be
     detected at once.
     """
     now, tuning = node.timers.now, node.tuning
@@ -35,9 +35,9 @@
     is_primary = endpoint.address == view.row.primary or not view.row.primary
     if is_primary and is_steward:
         interval = tuning.probe_interval
-    # Members report a silent primary before the detection time. The first round of
-    # probes follows at that time, and by the decisive round the primary has been
-    # silent for the whole detection time.
+    # Members report that they receive nothing from the primary shortly before the
+    # detection time has passed. The first round of probes follows then, and at the
+    # decisive round the whole detection time has passed.
     silence = tuning.detection - detection_margin(tuning)
     if now - view.last_write_at <= ACTIVE_TIME and not view.awaits_positions:
         return WatchCall(interval, tuning.report_gap, silence)
@@ -54,5 +54,8 @@
 
 
 def detection_margin(tuning: Tuning) -> float:
-    """Return how many seconds before the detection time a silent member is checked."""
+    """Return how long before the detection time an unresponsive primary is checked.
+
+    In seconds.
+    """
     return min(2 * tuning.probe_interval, tuning.detection / 2)
--- a/mallowpass/core/systems/writes.py
+++ b/mallowpass/core/systems/writes.py
@@ -323,9 +323,9 @@
         return self._routing.is_overdue(request, OVERDUE_MIN, OVERDUE_FACTOR)
 
     def _on_commit_overdue(self, request: RequestRow) -> None:
-        # A fenced commit is not sent again, so the look-up may cost the transaction. It
-        # is done only if the primary was heard from on other connections since the last
-        # check, which excludes a pause of the primary.
+        # A fenced commit is not sent again, so the look-up may lose the transaction.
+        # It is looked up only if the primary has replied on other connections since the
+        # last check, which excludes a pause of the primary.
         endpoint = self.tables.endpoints.get(request.address)
         if endpoint is None or endpoint.last_reply_at <= self.now - CHECK_INTERVAL:
             self._timeouts.add(request.number)
@@ -387,8 +387,7 @@
 
     def _on_fenced(self, request: RequestRow, reply: EndpointReply) -> None:
         # An earlier attempt was abandoned and fenced, and the fence covers this
-        # attempt's number too. An attempt with a higher number can run, and only that
-        # one can.
+        # attempt's number too. Only an attempt with a higher number can run.
         if request.tries >= FENCED_TRIES_MAX:
             why = f"{request.tries} attempts were fenced"
             self._requests.answer_not_run(request, ErrorCode.ENDPOINT_REFUSED, why)
--- a/mallowpass/core/tables.py
+++ b/mallowpass/core/tables.py
@@ -206,7 +206,7 @@
     session_positions: tuple[
         LogPosition, ...
     ] = ()  # by its session; the answer contains all
-    needs_fresh_floor: bool = False  # the floor must be learnt from a majority first
+    needs_fresh_floor: bool = False  # the floor must first be looked up at a majority
     floor_requested_at: float = 0.0  # when it was last asked to be learnt
     floor_lookups: int = 0  # times that its floor was learnt
     idempotent: bool = False
--- a/mallowpass/core/timers.py
+++ b/mallowpass/core/timers.py
@@ -34,7 +34,7 @@
 
     @property
     def is_cancelled(self) -> bool:
-        """Tell whether it will not run any more."""
+        """Return whether the timer was cancelled or, if not periodic, has run."""
         return self._callback is None
 
     def cancel(self) -> None:
@@ -94,7 +94,7 @@
         return self._push(Timer(self._now + delay, callback, arguments, period))
 
     def run_due(self) -> bool:
-        """Run what is due; tell whether anything ran."""
+        """Run the callbacks that are due; return whether any ran."""
         ran = False
         while self._queue and self._queue[0][0] <= self._now:
             timer = heapq.heappop(self._queue)[2]
