--- a/mallowpass/core/proxy/claims.py
+++ b/mallowpass/core/proxy/claims.py
@@ -180,7 +180,7 @@
     def _next_token(self, known: Claim | None) -> int:
         """Return a token above the tokens of all claims, also of earlier eras.
 
-        A store that was restored from a copy may have lost the newest claims, under
+        A store that was restored from a backup may have lost the newest claims, under
         which orders were given.
         """
         newest = 0 if known is None else known.token
--- a/mallowpass/core/proxy/members.py
+++ b/mallowpass/core/proxy/members.py
@@ -51,7 +51,7 @@
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
-        # Outdated entries with versions, from a store that was restored from a copy.
+        # Outdated entries with versions, from a store that was restored from a backup.
         self._restored: dict[str, tuple[EndpointEntry, int]] = {}
         self._is_loaded = False
         # Entries whose service is not configured yet, by name of the endpoint.
@@ -157,7 +157,7 @@
         self._node.publish(EndpointChanged(endpoint))
 
     def _is_outdated(self, entry: EndpointEntry, endpoint: EndpointRow) -> bool:
-        """Return whether a store restored from a copy shows an outdated entry.
+        """Return whether a store restored from a backup shows an outdated entry.
 
         Applied, the entry would send statements to a replaced primary, or to an
         endpoint that is leaving. Endpoints soon write their current entries again.
--- a/mallowpass/core/proxy/ratelimits/keepers.py
+++ b/mallowpass/core/proxy/ratelimits/keepers.py
@@ -267,8 +267,8 @@
     def _stage(self, entry: PartEntry) -> Stage:
         """Return the stage from which the next keeper of a part begins.
 
-        A row of an earlier era may come from a copy of the store: other hosts may have
-        kept the part since the copy was taken.
+        A row of an earlier era may come from a backup of the store: other hosts may
+        have kept the part since the backup was taken.
         """
         return entry.stage if entry.era == self._store.era else Stage.TAKING_OVER
 
--- a/mallowpass/platform/store.py
+++ b/mallowpass/platform/store.py
@@ -136,7 +136,7 @@
                 done = StoreStatus.DONE
                 return StoreReply(done, tuple(rows), version, time, era=era)
             if era != era_of(rows[0].version):
-                # The store was restored from a copy between two pages. The earlier
+                # The store was restored from a backup between two pages. The earlier
                 # pages may have rows that the copy lacks.
                 return StoreReply(
                     StoreStatus.REFUSED,
--- a/mallowpass/standins/proxied/rows.py
+++ b/mallowpass/standins/proxied/rows.py
@@ -131,7 +131,7 @@
 
     @property
     def era(self) -> int:
-        """Return how often the store has come back from a copy, and one."""
+        """Return how often the store was restored from a backup, plus one."""
         return self._era
 
     def copy(self) -> StoreCopy:
--- a/mallowpass/standins/proxied/virtual/world.py
+++ b/mallowpass/standins/proxied/virtual/world.py
@@ -342,7 +342,7 @@
     def come_back(
         self, copy: StoreCopy, away: float = 0.3, written_again: float = 0.5
     ) -> None:
-        """Have the store go away for a moment, and come back from a copy."""
+        """Make the store unreachable for a moment, and restore it from a backup."""
         self.store.refuse_all()
         self.run(away)
         self.store.faults.refusing = False
--- a/tests/fakes/randomplay.py
+++ b/tests/fakes/randomplay.py
@@ -129,7 +129,7 @@
         self._later(lambda: setattr(faults, "answers_lost", 0.0))
 
     def _come_back(self) -> None:
-        """Have the store come back from a copy that is some seconds old by then."""
+        """Restore the store from a backup that is some seconds old at that time."""
         copy = self.world.store.copy()
         age = self._random.uniform(0.0, 4.0)
         self.world.timers.after(age, self._return_store, copy)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -84,7 +84,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def add_copies(self) -> None:
-        """Add to the faults that the store comes back from a copy."""
+        """Add the fault that the store is restored from a backup."""
         self._kinds = (*self._kinds, _Run.come_back, _Run.come_back, _Run.come_back)
 
     def _held(self, endpoint: str, item: str, number: int) -> str:
@@ -280,7 +280,7 @@
         self.platform.store.forget_history()
 
     async def come_back(self) -> None:
-        """Have the store come back from a copy that is some seconds old by then."""
+        """Restore the store from a backup that is some seconds old at that time."""
         store = self.platform.store
         copy = store.copy()
         await asyncio.sleep(self.random.uniform(0.0, 4.0))
