--- a/mallowpass/core/systems/status.py
+++ b/mallowpass/core/systems/status.py
@@ -23,7 +23,7 @@
 
 
 def status_of(node: Node) -> StatusAnswer:
-    """Return the status of a node; it has an error code without a configuration."""
+    """Return the status of a node, with an error code if no configuration is known."""
     configuration = node.system(Configuration)
     tables = node.tables
     connections = _count_connections(node)
--- a/mallowpass/core/systems/suspicion.py
+++ b/mallowpass/core/systems/suspicion.py
@@ -211,10 +211,11 @@
         return report.term == self._row.term
 
     def _disconnected(self, margin: float) -> frozenset[str]:
-        """Return the followers whose silence is at least the threshold less `margin`.
+        """Return the followers that no longer receive from the suspect.
 
-        A member that follows no primary is left out: it may receive from the suspect
-        as soon as a Follow call names the suspect.
+        Their `primary_silence` is at least the threshold less `margin`. A member that
+        follows no primary is left out: it may receive from the suspect as soon as a
+        Follow call names the suspect.
         """
         suspect = self._row.endpoints.get(self._suspect)
         if suspect is None:
