--- a/mallowpass/core/systems/busychecks.py
+++ b/mallowpass/core/systems/busychecks.py
@@ -1,7 +1,7 @@
-"""Keep-alives on busy connections, to tell slow statements from dead connections.
+"""Keep-alives on busy connections: is a statement slow, or its connection dead?
 
 A keep-alive is sent while the connection has a call in flight. Its sequence number is
-from a separate range, so that its answer can't be taken for the call's.
+from a separate range, so that its answer is not mistaken for the call's.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
         """Return whether a busy connection answers; send a keep-alive if necessary.
 
         Return False if a keep-alive is unanswered for `within` seconds. If the endpoint
-        does not support keep-alives on busy connections, the statements of patient
-        classes are taken for slow, and all others for silent.
+        does not support keep-alives on busy connections, a statement of a patient class
+        is assumed to be slow, and the connection of any other to be unresponsive.
         """
         pool = self._pooling.by_address[connection.address]
         if not self._is_supported(pool):
@@ -42,10 +42,10 @@
         keep_alive = self._keep_alive_of(pool, number)
         if (
             not keep_alive.is_outstanding
-            and keep_alive.asked_at + RECHECK_INTERVAL <= self.now
+            and keep_alive.sent_at + RECHECK_INTERVAL <= self.now
         ):
             self._send(pool, connection, keep_alive)
-        return not keep_alive.is_outstanding or self.now < keep_alive.asked_at + within
+        return not keep_alive.is_outstanding or self.now < keep_alive.sent_at + within
 
     # -- When a call is not answered -------------------------------------------
 
@@ -75,7 +75,7 @@
             self._pooling.closer.close_and_notify(pool, connection, "given-up")
             self._pooling.granting.dispatch(pool)
         else:
-            self._pooling.keepalive.close_silent(pool, number)
+            self._pooling.keepalive.close_unresponsive(pool, number)
 
     def on_reply(
         self, pool: EndpointPool, connection: ConnectionRow, reply: EndpointReply
@@ -133,7 +133,7 @@
             return
         connection.expires_at = expires_at
         keep_alive.sequence = FIRST_BUSY_SEQUENCE + self._node.next_number()
-        keep_alive.asked_at = now
+        keep_alive.sent_at = now
         keep_alive.answered = False
         self._node.emit(
             SendEndpoint(connection.number, keep_alive.sequence, KeepAliveCall())
--- a/mallowpass/core/systems/connections.py
+++ b/mallowpass/core/systems/connections.py
@@ -118,9 +118,7 @@
         self.connections = connections
         # Times in seconds.
         self.open_until = 0.0  # after it, no connection is opened
-        self.close_at = (
-            0.0  # from then on, idle connections are closed and no call is sent
-        )
+        self.close_at = 0.0  # from then on, no call is sent; idle connections close
         self.ends_at = 0.0  # from then on, all connections are closed
         self.renew_at = 0.0
         self.numbers: set[int] = set()  # of open and opening connections
@@ -134,12 +132,12 @@
     """
 
     sequence: int = 0
-    asked_at: float = float("-inf")
+    sent_at: float = float("-inf")
     answered: bool = False
 
     @property
     def is_outstanding(self) -> bool:
-        """Tell whether the keep-alive was sent and has not been answered."""
+        """Return whether the keep-alive was sent and has not been answered."""
         return self.sequence != 0 and not self.answered
 
 
@@ -179,8 +177,8 @@
         "queue",
         "retry_at",
         "retry_timer",
-        "silent_slots",
         "statement_share",
+        "unresponsive_slots",
         "withheld_count",
     )
 
@@ -198,10 +196,10 @@
         # Set while the endpoint refuses connections beyond its limit.
         self.open_limit: int | None = None
         self.borrowed: dict[str, BorrowedLoan] = {}  # by name of the loan
-        # Connections that this host has closed but the endpoint may still count. Of a
-        # silent one: when the endpoint drops it at the latest. Of any other: when it
-        # was closed, and when the endpoint drops it at the latest.
-        self.silent_slots: list[float] = []
+        # Slots of connections that this host has closed but the endpoint may still
+        # count. Of an unresponsive connection: the latest time at which the endpoint
+        # drops it. Of any other: the time of the close, and that latest time.
+        self.unresponsive_slots: list[float] = []
         self.closing_slots: list[tuple[float, float]] = []
         self.lendable_share = 0  # slots of the own share that may be lent at a time
         # Connections, by number.
@@ -274,7 +272,7 @@
         return limit
 
     def is_active(self, connection: ConnectionRow) -> bool:
-        """Tell whether a request's statement occupies the connection."""
+        """Return whether a request's statement occupies the connection."""
         number = connection.number
         if connection.state is not ConnectionState.BUSY:
             return False
@@ -291,8 +289,10 @@
 
     def drop_expired_slots(self, now: float) -> None:
         """Drop the slots that the endpoint no longer counts."""
-        if self.silent_slots:
-            self.silent_slots = [until for until in self.silent_slots if until > now]
+        if self.unresponsive_slots:
+            self.unresponsive_slots = [
+                until for until in self.unresponsive_slots if until > now
+            ]
         if self.closing_slots:
             settled_before = self.endpoint.last_reply_at - CLOSE_SETTLE_TIME
             self.closing_slots = [
--- a/mallowpass/core/systems/keepalive.py
+++ b/mallowpass/core/systems/keepalive.py
@@ -1,4 +1,4 @@
-"""Send keep-alives, detect silent connections, and reset released connections."""
+"""Send keep-alives, detect broken connections, and reset released connections."""
 
 from __future__ import annotations
 
@@ -175,9 +175,9 @@
             self._pooling.make_idle(pool, connection)
             self._pooling.granting.dispatch(pool)
 
-    # -- Silent connections ----------------------------------------------------
+    # -- Unresponsive connections ----------------------------------------------
 
-    def close_silent(self, pool: EndpointPool, number: int) -> None:
+    def close_unresponsive(self, pool: EndpointPool, number: int) -> None:
         """Close a connection on which a call has been unanswered for too long."""
         connection = self._connections.get(number)
         if connection is None:
@@ -189,7 +189,7 @@
         )
         node.log("warning", "connection_silent", address=pool.address, number=number)
         if not connection.loan:
-            pool.silent_slots.append(connection.expires_at + LIFETIME_MARGIN)
+            pool.unresponsive_slots.append(connection.expires_at + LIFETIME_MARGIN)
         self._pooling.closer.close_and_notify(pool, connection, "silent")
         self.check_older_idle(pool, silent_since)
         self._pooling.granting.dispatch(pool)
@@ -210,12 +210,12 @@
         if is_stalled and self.now < connection.expires_at:
             pool.internal_in_flight.add(number)
         else:
-            self.close_silent(pool, number)
+            self.close_unresponsive(pool, number)
 
     def check_older_idle(self, pool: EndpointPool, since: float) -> None:
         """Send keep-alives on idle connections that were last used before `since`.
 
-        The cause that made one connection silent has probably affected connections of
+        The cause that broke one connection has probably affected connections of
         the same age, and each of them would cost a request its full timeout. Requests
         use more recent connections in the meantime.
         """
--- a/mallowpass/core/systems/requests.py
+++ b/mallowpass/core/systems/requests.py
@@ -278,7 +278,7 @@
         if connection is not None:
             self._pooling.release(connection)
 
-    def abandon_silent(self, request: RequestRow) -> None:
+    def abandon_unresponsive(self, request: RequestRow) -> None:
         """Abandon an unresponsive connection; have the pool check the others."""
         connection = self.tables.connections.get(request.connection)
         if connection is not None:
@@ -349,7 +349,7 @@
             if request.state in _WAITING_STATES or request.access is Access.READ:
                 self._cancel_queued(request)
                 self.answer_not_run(
-                    request, ErrorCode.UNKNOWN_SESSION, "the caller left"
+                    request, ErrorCode.UNKNOWN_SESSION, "the caller disconnected"
                 )
 
     def answer_done(
