--- a/tests/core/systems/test_admission.py
+++ b/tests/core/systems/test_admission.py
@@ -25,7 +25,8 @@
     """Callers wait until their deadlines to learn that their requests did not run.
 
     Ten statements of 0.2 s wait for one connection when a request arrives whose
-    deadline is 1 s away. Requests were queued without a prediction of their wait.
+    deadline is 1 s away. A request whose predicted wait exceeds its deadline must not
+    be queued.
     """
     host = PoolHost(limit=4)
     _serve(host, 3)
@@ -45,8 +46,8 @@
     """An idle host refuses each request with a deadline of 3 s.
 
     Transactions kept connections for 9 s. Then a request arrives alone, or beside one
-    more, and a connection could be opened. The time that others kept connections was
-    taken for the wait for a new one.
+    more, and a connection can be opened. The average time for which connections are
+    kept must not be taken for the wait for a new connection.
     """
     host = PoolHost(limit=8)
     host.pool.average_hold_time = 9.0
@@ -63,8 +64,8 @@
 def test_a_request_at_a_host_without_a_share_may_wait_for_a_loan():
     """A host without a share refuses each request with a deadline of 3 s.
 
-    Requests on borrowed connections took 9 s, and the loan has ended. No connection is
-    open to which that time applies.
+    Requests on borrowed connections took 9 s, and the loan has ended. That time must
+    not count, since no connection is open to which it applies.
     """
     host = PoolHost(limit=8)
     host.pool.lent_count, host.pool.average_hold_time = host.pool.own_share, 9.0
@@ -152,7 +153,7 @@
     """An idle endpoint is sent one statement at a time.
 
     A replica that is behind refuses quickly, catches up, then serves. The latency of
-    the refusals was taken for that of statements without contention.
+    the refusals must not be taken for that of statements without contention.
     """
     host = PoolHost(limit=32)
     host.request()
--- a/tests/core/systems/test_busychecks.py
+++ b/tests/core/systems/test_busychecks.py
@@ -44,8 +44,8 @@
 def test_a_slow_statement_is_waited_for_while_its_connection_answers():
     """A slow report never finishes.
 
-    Its statement takes longer than a connection may be silent. If the connection were
-    closed as silent, the report would begin again.
+    The report's statement takes longer than a connection may be silent. If the
+    connection were closed as silent, the report would begin again.
     """
     host = _host()
     request = _start(host)
@@ -96,8 +96,8 @@
 def test_the_answer_to_a_keep_alive_is_not_taken_for_the_statements():
     """A caller gets an empty answer to a statement that still runs.
 
-    A keep-alive is sent during the statement and is answered first, or twice. Its
-    sequence must not be taken for that of the call in flight.
+    A keep-alive is sent during the statement and is answered first, or twice. The
+    sequence of the keep-alive must not be taken for that of the call in flight.
     """
     host = _host()
     request = _start(host)
@@ -178,9 +178,9 @@
 def test_a_paused_host_does_not_extend_an_expired_connection():
     """An endpoint's connection limit is exceeded after a host was paused.
 
-    The host is paused during a statement until the time to live has passed. A keep-
-    alive when it resumes must not extend a connection that the endpoint has given to
-    others.
+    The host is paused during a statement until the time to live has passed. When the
+    host resumes, a keep-alive must not extend a connection whose slot the endpoint may
+    have given to another host.
     """
     host = _host()
     _start(host)
@@ -225,8 +225,9 @@
 def test_a_retry_does_not_use_the_next_silent_connection():
     """A write takes seconds, since its retries get no answer either.
 
-    All connections of a host to an endpoint go silent at the same time. The others must
-    be checked before the first one has been silent for its whole time.
+    All connections of a host to an endpoint go silent at the same time. The other
+    connections must be checked before the first one has been silent for the whole
+    `Tuning.silence`.
     """
     host = _host()
     host.requests.hold = True
@@ -245,8 +246,9 @@
 def test_the_slot_of_a_silent_connection_is_freed_soon():
     """Requests wait for three seconds while no statement runs.
 
-    The only connection that a host may have goes silent. After its request was
-    cancelled, it must not keep its slot for the whole silence.
+    The only connection that a host may have goes silent. After the request on this
+    connection was cancelled, the connection must not keep its slot for the whole
+    silence.
     """
     host = _host()
     _start(host)
--- a/tests/core/systems/test_concurrency.py
+++ b/tests/core/systems/test_concurrency.py
@@ -28,8 +28,8 @@
 def test_latency_far_above_the_baseline_lowers_the_limit_to_one():
     """An overloaded endpoint becomes slower until all statements time out.
 
-    Latency rises tenfold and stays there. As many statements were sent as there are
-    connections.
+    Latency rises tenfold and stays there. The number of statements in flight must not
+    be limited by the number of connections only.
     """
     limit = ConcurrencyLimit()
     _run(limit, 3, QUICK, 1)
@@ -41,8 +41,8 @@
 def test_slow_statements_among_quick_ones_do_not_lower_the_limit():
     """Interactive requests wait at an idle endpoint while long reports run.
 
-    Every fifth statement takes thirty times as long as the others. The mean of
-    different statements was taken for contention.
+    Every fifth statement takes thirty times as long as the others. The mean latency of
+    different statements must not be taken for contention.
     """
     limit = ConcurrencyLimit()
     _run(limit, 3, QUICK, 1)
--- a/tests/core/systems/test_configuration.py
+++ b/tests/core/systems/test_configuration.py
@@ -32,7 +32,7 @@
 NAME = "claims-core"
 
 
-def started(sizes=(3, 3, 2), **options) -> Fleet:
+def start_fleet(sizes=(3, 3, 2), **options) -> Fleet:
     fleet = Fleet(sizes, **options)
     fleet.start_all()
     fleet.run(3)
@@ -54,7 +54,7 @@
 
 
 def test_an_accepted_change_is_in_force_everywhere_at_once():
-    fleet = started()
+    fleet = start_fleet()
     answer = change(fleet, FIRST, 0, "c1")
     assert answer.accepted and answer.current.version == 1
     assert fleet.run_until(lambda: fleet.in_force(NAME, 1), 5) < 0.5
@@ -65,7 +65,7 @@
 
 
 def test_few_hosts_poll_the_table():
-    fleet = started((12, 12, 12))
+    fleet = start_fleet((12, 12, 12))
     version = ServiceVersion(NAME, 1, make_service(), "c1", "amina")
     before = fleet.platform.calls["ScanRows"]
     fleet.platform.handle(WriteRow("services", NAME, 0, encode_service(version)))
@@ -78,10 +78,10 @@
 def test_a_notice_that_was_lost_is_made_up_for_without_the_platform():
     """A host keeps an old version until the next change.
 
-    The host's links are cut for a moment, just when a change is relayed. A change was
-    relayed once, and digests were not compared.
+    The host's links are cut for a moment, just when a change is relayed. A change is
+    relayed only once, so hosts must compare digests to find missing versions.
     """
-    fleet = started()
+    fleet = start_fleet()
     fleet.cut(DOMAINS[2], DOMAINS[0])
     fleet.cut(DOMAINS[2], DOMAINS[1])
     assert change(fleet, FIRST, 0, "c1").accepted
@@ -95,10 +95,10 @@
 def test_a_lost_notice_is_repaired_while_changes_continue():
     """A host lacks a version until changes of other services end.
 
-    The host misses one notice, and another service changes several times a second.
-    A gap was only detected while the digests stayed the same.
+    The host misses one notice, and another service changes several times a second. A
+    missing version must be detected although the digests keep changing.
     """
-    fleet = started()
+    fleet = start_fleet()
     fleet.cut(DOMAINS[2], DOMAINS[0])
     fleet.cut(DOMAINS[2], DOMAINS[1])
     assert change(fleet, FIRST, 0, "c1").accepted
@@ -114,7 +114,7 @@
 
 
 def test_a_failure_domain_cut_off_from_the_others_still_gets_changes():
-    fleet = started()
+    fleet = start_fleet()
     for other in DOMAINS[:2]:
         fleet.cut(DOMAINS[2], other)
     assert change(fleet, FIRST, 0, "c1").accepted
@@ -129,9 +129,9 @@
     """An operator gets an error for a change in force, or a change is applied twice.
 
     The write takes effect, at once or late, and its answer is lost. The missing answer
-    was taken for a failure of the write.
+    must not be taken for a failure of the write.
     """
-    fleet = started()
+    fleet = start_fleet()
     fleet.platform.faults.append(fault)
     answer = change(fleet, FIRST, 0, "c1")
     assert answer.accepted and answer.current.version == 1
@@ -143,10 +143,10 @@
     """A change whose outcome was unknown is applied twice.
 
     The answer to the change is lost, the platform goes down, and another host accepts a
-    later change before the operator repeats the first one. Only the id of the newest
-    change was recorded.
+    later change before the operator repeats the first one. The ids of earlier changes
+    must be recorded, not only the id of the newest one.
     """
-    fleet = started()
+    fleet = start_fleet()
     fleet.platform.faults.append("lose")
     call = fleet.change(FIRST, make_service(), 0, "c1")
     fleet.platform.mode = "down"
@@ -166,7 +166,7 @@
 
 
 def test_a_change_that_was_never_sent_has_no_effect():
-    fleet = started()
+    fleet = start_fleet()
     fleet.platform.mode = "down"
     fleet.run(10)
     probe = fleet.change(FIRST, make_service("lease-ledger"), 0, "c1")
@@ -181,7 +181,7 @@
 
 
 def test_a_host_that_starts_during_an_outage_gets_services_from_peers():
-    fleet = started()
+    fleet = start_fleet()
     assert change(fleet, FIRST, 0, "c1").accepted
     assert delete(fleet, FIRST, 1, "c2").accepted
     other = make_service("lease-ledger")
@@ -200,7 +200,7 @@
     """Callers are refused because their service does not exist, though it does.
 
     All hosts restart while the platform is down, and hosts store no configuration. A
-    service that was not known yet was taken for one that does not exist.
+    service that is not known yet must not be taken for one that does not exist.
     """
     fleet = Fleet()
     fleet.platform.mode = "down"
@@ -221,7 +221,7 @@
 
 
 def test_one_of_several_concurrent_changes_is_accepted():
-    fleet = started()
+    fleet = start_fleet()
     calls = {
         host.name: fleet.change(
             host.name,
@@ -245,9 +245,9 @@
     """A change is undone, or a deleted service returns.
 
     Old notices and answers of the platform arrive late and out of order. The version
-    that arrived last was taken for the newest.
+    that arrives last must not be taken for the newest.
     """
-    fleet = started()
+    fleet = start_fleet()
     assert change(fleet, FIRST, 0, "c1").accepted
     first = fleet.hosts[FIRST].accepted(NAME)
     assert change(fleet, FIRST, 1, "c2", queue_length=7).accepted
@@ -268,10 +268,10 @@
 def test_an_unreadable_row_does_not_block_other_rows():
     """A host gets no changes from the table any more.
 
-    Another program writes a row into the table that is no service. Each scan ended at
-    that row, and the next one started before the row again.
+    Another program writes a row into the table that is not a service. A scan must not
+    end at that row, since the next scan would start before the row again.
     """
-    fleet = started()
+    fleet = start_fleet()
     fleet.platform.handle(WriteRow("services", "broken", 0, b"\xff"))
     version = ServiceVersion(NAME, 1, make_service(), "c1", "amina")
     fleet.platform.handle(WriteRow("services", NAME, 0, encode_service(version)))
@@ -284,7 +284,7 @@
 
 
 def test_changes_of_databases_are_published_as_signals():
-    fleet = started()
+    fleet = start_fleet()
     node = fleet.hosts[OTHER].node
     seen: list = []
     for kind in (DatabaseAdded, DatabaseChanged, DatabaseRemoved, ServiceAccepted):
@@ -319,9 +319,10 @@
     """Hosts send statements of one database to the endpoint of another.
 
     Two operators declare one address in two services at the same moment, and neither
-    change shows the other. Each host kept the declaration that arrived first.
+    change is checked against the other. All hosts must choose the same declaration, in
+    whatever order the changes arrive.
     """
-    fleet = started()
+    fleet = start_fleet()
     member = make_service().databases[0].members[0]
     conflicting = make_service("aaa")
     taken = dataclasses.replace(conflicting.databases[0], members=(member,))
@@ -340,7 +341,7 @@
 
 
 def test_all_problems_of_a_definition_are_reported_together():
-    fleet = started()
+    fleet = start_fleet()
     assert change(fleet, FIRST, 0, "c1", make_service("lease-ledger")).accepted
     taken = make_service("lease-ledger").databases[0].members[0].address
     good = make_service()
@@ -385,14 +386,14 @@
 
 
 def test_a_refused_write_without_a_row_is_ambiguous():
-    fleet = started()
+    fleet = start_fleet()
     fleet.platform._WriteRow = lambda request: RowWritten(False, None)
     answer = change(fleet, FIRST, 0, "c1")
     assert answer.code == ErrorCode.PLATFORM_ANSWER_AMBIGUOUS.code
 
 
 def test_each_change_is_recorded_and_measured():
-    fleet = started()
+    fleet = start_fleet()
     observed: list[str] = []
     fleet.on_effect = lambda host, effect: (
         observed.append(effect.name) if isinstance(effect, out.Observe) else None
--- a/tests/core/systems/test_draining.py
+++ b/tests/core/systems/test_draining.py
@@ -42,7 +42,7 @@
         self.stopped = True
 
 
-def started() -> tuple[Fleet, dict[str, FakeWork]]:
+def start_fleet() -> tuple[Fleet, dict[str, FakeWork]]:
     fleet = Fleet()
     fleet.start_all()
     work = {host.name: FakeWork(host) for host in fleet.alive}
@@ -50,17 +50,18 @@
     return fleet, work
 
 
-def exited(host: Host) -> bool:
+def has_exited(host: Host) -> bool:
     return any(isinstance(effect, out.Exit) for effect in host.effects)
 
 
 def test_a_shutdown_cuts_off_no_request_in_flight():
     """A caller's request gets no answer during a rolling restart.
 
-    The process is shut down while a request waits for its endpoint. The process ended
-    at once, or at the limit of the drain.
+    The process is shut down while a request waits for its endpoint. Even at the limit
+    of the drain, the process must not exit before the request is answered or its
+    deadline has passed.
     """
-    fleet, works = started()
+    fleet, works = start_fleet()
     host, work = fleet.hosts[FIRST], works[FIRST]
     work.in_flight = 1
     work._tables.sessions[7] = SessionRow(7)
@@ -68,9 +69,9 @@
     draining = host.node.system(Draining)
     assert draining.is_draining and not draining.is_closing
     fleet.run(4)
-    assert draining.is_closing and not exited(host)
+    assert draining.is_closing and not has_exited(host)
     work.in_flight = 0
-    fleet.run_until(lambda: exited(host), 2)
+    fleet.run_until(lambda: has_exited(host), 2)
     assert work.stopped
     assert host.effects[-2:] == [out.CloseCaller(7), out.Exit()]
     assert fleet.platform.hosts[FIRST].leaving
@@ -79,41 +80,41 @@
 def test_transactions_finish_or_are_rolled_back_at_the_limit():
     """A drain never ends, or a caller does not know whether its commit took effect.
 
-    A session keeps a transaction open past the limit. The drain waited for the
-    transaction without limit, or closed its connection.
+    A session keeps a transaction open past the limit. At the limit, the drain must roll
+    the transaction back, instead of waiting for it or closing its connection.
     """
-    fleet, works = started()
+    fleet, works = start_fleet()
     work = works[FIRST]
     work.open(7)
     work.open(8)
     fleet.feed(FIRST, inn.ShutdownRequested(5.0))
     fleet.run(2)
-    assert work.rolled_back == [] and not exited(fleet.hosts[FIRST])
+    assert work.rolled_back == [] and not has_exited(fleet.hosts[FIRST])
     work.open_count -= 1
     del work._tables.transactions["t8"]
     fleet.run(4)
-    assert work.rolled_back == [7] and exited(fleet.hosts[FIRST])
+    assert work.rolled_back == [7] and has_exited(fleet.hosts[FIRST])
 
 
 def test_an_idle_host_waits_before_it_exits():
-    fleet, _ = started()
+    fleet, _ = start_fleet()
     fleet.feed(FIRST, inn.ShutdownRequested(20.0))
     fleet.run(0.5)
-    assert not exited(fleet.hosts[FIRST])
+    assert not has_exited(fleet.hosts[FIRST])
     fleet.run(2)
-    assert exited(fleet.hosts[FIRST])
+    assert has_exited(fleet.hosts[FIRST])
 
 
 def test_a_request_that_never_ends_does_not_prevent_the_exit():
-    fleet, works = started()
+    fleet, works = start_fleet()
     works[FIRST].in_flight = 1
     fleet.feed(FIRST, inn.ShutdownRequested(1.0))
     fleet.run(1 + fleet.tuning.default_deadline + 1)
-    assert exited(fleet.hosts[FIRST])
+    assert has_exited(fleet.hosts[FIRST])
 
 
 def test_an_operator_drains_any_host_from_any_host():
-    fleet, works = started()
+    fleet, works = start_fleet()
     works[LAST].in_flight = 1
     request = DrainRequest(operator="amina", host=LAST, limit=9.0)
     answer = fleet.answer(FIRST, fleet.ask(FIRST, request))
@@ -126,7 +127,7 @@
 
 
 def test_a_drain_of_an_unreachable_host_is_answered():
-    fleet, _ = started()
+    fleet, _ = start_fleet()
     unknown = fleet.ask(FIRST, DrainRequest(host="nobody"))
     assert fleet.answer(FIRST, unknown).code == ErrorCode.UNKNOWN_HOST.code
     for host in fleet.alive:
--- a/tests/core/systems/test_failover.py
+++ b/tests/core/systems/test_failover.py
@@ -1,4 +1,4 @@
-"""Failover against a fake group: failures to survive, and faults that are none."""
+"""Failover of a fake group, and faults that must not cause a promotion."""
 
 from __future__ import annotations
 
@@ -44,24 +44,24 @@
     return position
 
 
-def run_till_primary(scene: Scene, *, but: str = "a", limit: float = 10.0) -> str:
-    """Run until all hosts agree on another primary; return its name."""
+def run_till_primary(scene: Scene, *, previous: str = "a", limit: float = 10.0) -> str:
+    """Run until all hosts agree on a new primary; return the new primary's name."""
     rows = [scene.row(name) for name in scene.live]
 
-    def is_there() -> bool:
+    def is_agreed() -> bool:
         found = {row.primary for row in rows}
-        return len(found) == 1 and found.isdisjoint({"", f"{but}:1"})
+        return len(found) == 1 and found.isdisjoint({"", f"{previous}:1"})
 
-    scene.world.run_till(is_there, limit)
+    scene.world.run_till(is_agreed, limit)
     return rows[0].primary_row.name
 
 
-def assert_one_primary_a_term(scene: Scene) -> None:
+def assert_one_primary_per_term(scene: Scene) -> None:
     terms = [term for term, _ in scene.group.led]
     assert len(terms) == len(set(terms)), scene.group.led
 
 
-def steward(scene: Scene) -> str:
+def first_steward(scene: Scene) -> str:
     """Return the name of the host with the first rank among the stewards."""
     return min(
         scene.live,
@@ -107,8 +107,8 @@
 def test_host_with_rare_reports_learns_a_promotion_from_notices(phase):
     """Some hosts hold writes seconds longer than others.
 
-    An idle host that is no steward gets a report only every 2 s. The notice of a
-    promotion must make it probe the members.
+    An idle host that is not a steward gets a report only every 2 s. The notice of a
+    promotion must make the host probe the members.
     """
     scene = make_scene(hosts=8)
     scene.world.run(5.0 + phase)
@@ -121,7 +121,7 @@
     """A healthy primary is suspected when the first write arrives.
 
     An idle host got a report every 2 s; a write makes it ask for frequent reports. The
-    silence of the long interval must not count.
+    time since the last of the rare reports must not count as silence of the primary.
     """
     scene = make_scene(hosts=8)
     scene.world.run(5.0)
@@ -143,9 +143,8 @@
     scene.world.run_till(lambda: scene.group.primary is not None)
     promoted_at = scene.world.now
     run_till_primary(scene)
-    assert (
-        scene.world.now - promoted_at < 0.02
-    )  # a message one way, no notice and probe
+    # One message to each host, without a probe after a notice.
+    assert scene.world.now - promoted_at < 0.02
     assert scene.world.now - began < Tuning().detection + 0.2
     gaps = [gap for host in scene.world.hosts.values() for gap in host.observed]
     assert gaps
@@ -199,12 +198,12 @@
 # -- No false promotions -----------------------------------------------------
 
 
-def assert_nothing_promoted(scene: Scene) -> None:
+def assert_no_promotion(scene: Scene) -> None:
     assert scene.group.led == [(1, "a")]
     assert all(member.term == 1 for member in scene.group.members.values())
 
 
-def test_lag_spike_promotes_nobody():
+def test_short_network_delay_causes_no_promotion():
     """A healthy primary is replaced because of a short network delay.
 
     All messages from and to the primary are delayed by 300 ms. A delay below the
@@ -215,10 +214,10 @@
         for other in ("b", "c", "h0", "h1", "h2"):
             scene.links.stall("a", other, scene.world.now + 0.3)
         scene.world.run(1.0)
-    assert_nothing_promoted(scene)
+    assert_no_promotion(scene)
 
 
-def test_pause_of_300_ms_promotes_nobody():
+def test_pause_of_300_ms_causes_no_promotion():
     """A primary is replaced because of a garbage collection.
 
     The primary's process is paused for 300 ms, again and again. The detection time must
@@ -231,10 +230,10 @@
         scene.group.resume("a")
         scene.world.poke(scene.group)
         scene.world.run(0.7)
-    assert_nothing_promoted(scene)
+    assert_no_promotion(scene)
 
 
-def test_one_lost_message_in_a_hundred_promotes_nobody():
+def test_one_lost_message_in_a_hundred_causes_no_promotion():
     """A healthy primary is replaced on a lossy network.
 
     One message in a hundred is lost for five minutes. A single unanswered probe must
@@ -243,7 +242,7 @@
     scene = make_scene()
     scene.links.loss = 0.01
     scene.world.run(300.0)
-    assert_nothing_promoted(scene)
+    assert_no_promotion(scene)
 
 
 @pytest.mark.parametrize("members", [3, 5])
@@ -251,13 +250,13 @@
     """The broken link of one host replaces a primary that all other hosts use.
 
     Only the first steward can't reach the primary, for a minute. Without confirmation
-    by the members, its own observation must not be enough.
+    by the members, the steward's own observation must not be enough.
     """
     scene = make_scene(members=members)
-    first = steward(scene)
+    first = first_steward(scene)
     scene.links.cut(first, "a")
     scene.world.run(60.0)
-    assert_nothing_promoted(scene)
+    assert_no_promotion(scene)
     served = {name: bool(scene.row(name).primary) for name in scene.live}
     assert served == {name: name != first for name in scene.live}
     traffic = scene.world.hosts[first].system(Liveness).traffic
@@ -268,7 +267,7 @@
     scene.world.run_till(lambda: scene.row(first).state is GroupState.SERVING, 5.0)
 
 
-def test_cut_between_host_and_primary_without_primary_silence():
+def test_members_that_report_no_silence_do_not_confirm_a_failure():
     """A primary is replaced though its members can't confirm the failure.
 
     The members do not report primary_silence, and only the first steward loses the
@@ -277,30 +276,30 @@
     scene = make_scene()
     for member in scene.group.members.values():
         member.reports_silence = False
-    scene.links.cut(steward(scene), "a")
+    scene.links.cut(first_steward(scene), "a")
     scene.world.run(0.8)
     scene.links.heal()
     scene.world.run(5.0)
-    assert_nothing_promoted(scene)
+    assert_no_promotion(scene)
     scene.group.crash("a")
     run_till_primary(scene)
 
 
-def test_own_pause_of_this_host_promotes_nobody():
+def test_pause_of_a_steward_causes_no_promotion():
     """A steward that was suspended replaces healthy primaries when it resumes.
 
-    It is paused for 3 s, and its timers run before the reports are read. Its own pause
-    must not count as silence of the primary.
+    The steward is paused for 3 s, and its timers run before the reports are read. The
+    steward's own pause must not count as silence of the primary.
     """
     scene = make_scene()
     for _ in range(10):
-        scene.world.hosts[steward(scene)].pause(3.0)
+        scene.world.hosts[first_steward(scene)].pause(3.0)
         scene.world.run(5.0)
     assert scene.counted("suspicions") == 0
-    assert_nothing_promoted(scene)
+    assert_no_promotion(scene)
 
 
-def test_silent_connections_promote_nobody():
+def test_silent_connections_cause_no_promotion():
     """A healthy primary is replaced after a firewall dropped its connections.
 
     All open control streams to the primary go silent at the same moment. New streams
@@ -310,7 +309,7 @@
     scene.group.silence("a")
     scene.world.run(10.0)
     assert scene.counted("suspicions") == 0
-    assert_nothing_promoted(scene)
+    assert_no_promotion(scene)
 
 
 def test_failed_connection_probes_the_primary_on_a_new_stream():
@@ -338,7 +337,7 @@
     for the member that is suspected.
     """
     scene = make_scene(between=0.012)
-    node = scene.world.hosts[steward(scene)].node
+    node = scene.world.hosts[first_steward(scene)].node
     scene.group.crash("a")
     run_till_primary(scene)
     suspicions = [entry for entry in node.journal if entry.kind == "suspicion"]
@@ -361,19 +360,20 @@
     scene.group.crash("a")
     run_till_primary(scene)
     scene.world.run(5.0)
-    assert_one_primary_a_term(scene)
+    assert_one_primary_per_term(scene)
     leading = [m for m in scene.group.members.values() if m.role is Role.PRIMARY]
     assert len(leading) == 1
 
 
 def test_steward_paused_after_its_promises_changes_nothing_when_it_resumes():
-    """A steward resumes and replaces the primary by its own choice.
+    """A steward that resumes replaces the primary that another steward has promoted.
 
-    It has the promises of a majority and is paused for 3 s while another steward
-    promotes in a higher term. Its call to promote must be refused for its lower term.
+    The steward has the promises of a majority and is paused for 3 s while another
+    steward promotes in a higher term. The paused steward's call to promote must be
+    refused for its lower term.
     """
     scene = make_scene(between=0.012)
-    first = steward(scene)
+    first = first_steward(scene)
     scene.group.crash("a")
     members = scene.group.members
     scene.world.run_till(lambda: members["b"].term == 2 and members["c"].term == 2)
@@ -383,7 +383,7 @@
     led = list(scene.group.led)
     scene.world.run(10.0)
     assert scene.group.led == led
-    assert_one_primary_a_term(scene)
+    assert_one_primary_per_term(scene)
     assert scene.row(first).term == scene.group.primary.term
 
 
@@ -410,7 +410,7 @@
 # -- Failures during a failover ----------------------------------------------
 
 
-def test_chosen_member_dies_after_its_promise():
+def test_chosen_member_crashes_after_its_promise():
     """A group stays without a primary though a majority is running.
 
     Of five members, the one with the furthest log promises and crashes. A new attempt
@@ -426,7 +426,7 @@
     scene.group.crash("b")
     name = run_till_primary(scene)
     assert name in "cde"
-    assert_one_primary_a_term(scene)
+    assert_one_primary_per_term(scene)
 
 
 def test_majority_lost_and_back():
@@ -444,7 +444,7 @@
     scene.group.recover("b")
     took = scene.world.run_till(lambda: scene.group.primary is not None, 10.0)
     assert took < 4.0
-    assert_one_primary_a_term(scene)
+    assert_one_primary_per_term(scene)
 
 
 @pytest.mark.parametrize("back", ["abc", "bc"])
@@ -462,7 +462,7 @@
         scene.group.recover(name)
     took = scene.world.run_till(lambda: scene.group.primary is not None, 10.0)
     assert took < 4.0
-    assert_one_primary_a_term(scene)
+    assert_one_primary_per_term(scene)
 
 
 @pytest.mark.parametrize("lost", [1, 3])
@@ -497,7 +497,7 @@
 
 
 def test_refusal_with_a_higher_term_ends_the_attempt():
-    """Two promotions follow each other, the first one in vain.
+    """A promotion succeeds, and a second one in a higher term has to follow at once.
 
     Of five members, one has promised term 7 to another proposer. An attempt in term 2
     must not continue with the other members.
@@ -511,20 +511,20 @@
     assert [term for term, _ in scene.group.led] == [1, 8]
 
 
-def test_steward_dies_in_the_middle():
+def test_steward_that_fails_after_the_promises_is_replaced():
     """Members that promised a term wait for a steward that has failed.
 
-    The first steward gets its promises and stops; the others see the higher term. They
-    must not wait for its proposer forever.
+    The first steward gets its promises and stops; the other stewards see the higher
+    term. The other stewards must not wait for the first one forever.
     """
     scene = make_scene(between=0.012)
-    first = steward(scene)
+    first = first_steward(scene)
     scene.group.crash("a")
     scene.world.run_till(lambda: scene.group.members["c"].term == 2)
     scene.world.hosts[first].pause(1000.0)
     scene.live.discard(first)
     run_till_primary(scene, limit=5.0)
-    assert_one_primary_a_term(scene)
+    assert_one_primary_per_term(scene)
 
 
 # -- After a failover --------------------------------------------------------
@@ -533,8 +533,8 @@
 def test_old_primary_comes_back_as_a_replica():
     """A replaced primary serves old data, or other members get the end of its log.
 
-    It was isolated with a write that no other member has, and returns. It must be
-    ordered to follow the new primary.
+    The old primary was isolated with a write that no other member has, and returns. The
+    old primary must be ordered to follow the new one.
     """
     scene = make_scene()
     scene.links.isolate("a", ["b", "c", "h0", "h1", "h2"])
@@ -562,10 +562,10 @@
         for host in scene.world.hosts.values()
         if any(entry.kind == "follow" for entry in host.node.journal)
     ]
-    assert senders == [steward(scene)]
+    assert senders == [first_steward(scene)]
 
 
-def test_member_stranded_in_a_higher_term_is_freed():
+def test_member_that_promised_an_abandoned_term_follows_again():
     """A replica stays behind, and one more crash ends all writes.
 
     A steward gets one promise of three and fails. The member refuses the primary's term
@@ -605,18 +605,18 @@
     name = run_till_primary(scene)
     scene.world.run(1.0)
     scene.group.crash(name)
-    run_till_primary(scene, but=name)
+    run_till_primary(scene, previous=name)
     assert len(scene.group.led) == 3
 
 
-# -- Orders ------------------------------------------------------------------
+# -- Promotion by an operator, and switchover --------------------------------
 
 
 def test_manual_database_is_promoted_on_order_only():
     """A database is promoted though its operators reserve the decision.
 
-    Its primary crashes; 30 s later an operator orders a promotion. manual_promotion
-    must prevent any earlier one.
+    The primary of such a database crashes; 30 s later an operator orders a promotion.
+    `manual_promotion` must prevent any earlier promotion.
     """
     scene = make_scene(manual=True)
     scene.group.crash("a")
@@ -627,7 +627,7 @@
     assert answers == [(True, 2, "c leads term 2")]
 
 
-def test_planned_promotion_loses_nothing():
+def test_switchover_loses_no_writes():
     """Writes that ran just before a switchover are missing afterwards.
 
     The old primary has entries in flight to the target when it stops. The target must
@@ -645,11 +645,11 @@
     assert all(log[p.position - 1].request_id for p in positions)
 
 
-def test_planned_promotion_holds_writes_meanwhile():
+def test_writes_are_held_during_a_switchover():
     """Writes are sent to a primary that is being stopped, and their outcome is unknown.
 
-    Its reports are in flight when the switchover begins. They must not make_scene it
-    the primary again.
+    Reports of the primary, a, are in flight when the switchover to b begins. These
+    reports must not make a the primary again.
     """
     scene = make_scene(between=0.012)
     for _ in range(20):
@@ -661,7 +661,7 @@
     assert seen == ["a:1", "", "b:1"]
 
 
-def test_planned_promotion_of_a_member_that_cannot_keep_up():
+def test_switchover_to_a_member_that_cannot_keep_up_fails():
     """A switchover to a member that is cut off ends all writes.
 
     b can't receive from the primary and is the target. The switchover must not wait for
@@ -678,7 +678,7 @@
     assert scene.group.primary.name in "ac"
 
 
-def test_invalid_orders_are_refused():
+def test_invalid_orders_to_promote_are_refused():
     scene = make_scene()
     assert promote(scene, "nobody")[0][0] is False
     assert promote(scene, "a") == [(True, 1, "a leads already")]
@@ -725,9 +725,8 @@
     assert minority.primary == "" or minority.term == 1
     liveness = scene.host.system(Liveness)
     assert liveness.has_reached(minority.endpoints["a:1"], position)
-    assert (
-        minority.majority_position == position
-    )  # no later write is acknowledged there
+    # The minority side acknowledges no later write.
+    assert minority.majority_position == position
     scene.links.heal()
     scene.world.run_till(lambda: scene.row("h0").primary == f"{name}:1", 10.0)
 
@@ -753,10 +752,11 @@
 
 @pytest.mark.parametrize("seed", range(25))
 def test_acknowledged_writes_survive_faults(seed):
-    """A write that a host saw held by a majority is not in the log.
+    """A write that a majority held, as seen by a host, is not in the log.
 
     Crashes, cuts, pauses, losses and lost answers occur at random times. The rules of
-    holding, promising and choosing must keep every acknowledged write.
+    acknowledging, promising and choosing the new primary must keep every acknowledged
+    write.
     """
     members = 3 if seed % 2 else 5
     scene = make_scene(seed=seed, members=members, between=0.012)
@@ -764,10 +764,10 @@
     acknowledged: list[tuple[LogPosition, str]] = []
     for _ in range(60):
         write_through(scene, random.choice(sorted(scene.live)), acknowledged)
-        fault(scene, random)
+        inject_fault(scene, random)
         scene.world.run(random.uniform(0.01, 1.0))
     settle(scene)
-    assert_one_primary_a_term(scene)
+    assert_one_primary_per_term(scene)
     assert acknowledged
     log = scene.group.primary.log
     for position, request_id in acknowledged:
@@ -795,14 +795,14 @@
     )
     host.handle(EndpointReplied(9, reply))
 
-    def resolved(held: bool) -> None:
+    def on_resolved(held: bool) -> None:
         if held:
             acknowledged.append((position, request_id))
 
-    host.do(host.system(Liveness).wait_for_majority, row, position, resolved)
+    host.do(host.system(Liveness).wait_for_majority, row, position, on_resolved)
 
 
-def fault(scene: Scene, random) -> None:
+def inject_fault(scene: Scene, random) -> None:
     group, links = scene.group, scene.links
     names = sorted(group.members)
     down = [name for name in names if group.members[name].crashed]
--- a/tests/core/systems/test_isolation.py
+++ b/tests/core/systems/test_isolation.py
@@ -10,8 +10,8 @@
 from mallowpass.core.systems.liveness import Liveness
 from mallowpass.core.tables import GroupState
 from tests.core.systems.test_failover import (
-    assert_nothing_promoted,
-    assert_one_primary_a_term,
+    assert_no_promotion,
+    assert_one_primary_per_term,
     make_scene,
     run_till_primary,
     write,
@@ -20,7 +20,7 @@
 from tests.fakes.scenes import KEY, Scene
 
 
-def isolate(scene: Scene) -> None:
+def isolate_primary(scene: Scene) -> None:
     """Cut the primary's replication; hosts still reach all members."""
     scene.links.isolate("a", scene.group.members)
 
@@ -51,14 +51,14 @@
     """
     scene = make_scene(members=members, hosts=hosts)
     scene.world.run(5.0)
-    isolate(scene)
+    isolate_primary(scene)
     results = wait_for_majority(scene, f"h{hosts - 1}")
     began = scene.world.now
     name = run_till_primary(scene, limit=5.0)
     assert name != "a"
     assert scene.world.now - began < Tuning().detection + 0.15
     assert results == [False]  # the term ended; the new primary has the outcome
-    assert_one_primary_a_term(scene)
+    assert_one_primary_per_term(scene)
     scene.world.run(2.0)
     assert len(scene.group.led) == 2
     acknowledged: list = []
@@ -76,7 +76,7 @@
     """
     scene = make_scene(hosts=8)
     scene.world.run(5.0 + phase)
-    isolate(scene)
+    isolate_primary(scene)
     run_till_primary(scene, limit=Tuning().detection + 0.06)
 
 
@@ -93,13 +93,13 @@
     name = "h7"
     assert scene.world.hosts[name].system(Liveness).steward_rank(scene.row(name)) > 3
     scene.world.run(5.0 + phase)
-    isolate(scene)
+    isolate_primary(scene)
     wait_for_majority(scene, name)
     limit = Tuning().detection + 0.06
     scene.world.run_till(lambda: scene.row(name).primary == "", limit)
 
 
-def test_stall_ends_with_the_waits():
+def test_primary_is_stalled_only_while_a_write_waits():
     scene = make_scene()
     liveness, row = scene.host.system(Liveness), scene.row()
     for name in "bc":
@@ -123,11 +123,11 @@
 def test_isolated_primary_is_not_chosen_again():
     """A promotion every second chooses the same isolated member again.
 
-    The isolated primary still accepts writes, so its log is the furthest. Its promise
-    must not count, since no member can follow it.
+    The isolated primary still accepts writes, so its log is the furthest. The isolated
+    primary's promise must not count, since no member can follow that primary.
     """
     scene = make_scene()
-    isolate(scene)
+    isolate_primary(scene)
     for _ in range(5):
         write(scene, "a")
     assert run_till_primary(scene) in "bc"
@@ -138,14 +138,15 @@
     assert scene.group.members["a"].received == scene.group.primary.received
 
 
-def test_isolated_primary_that_answers_late_is_not_chosen_again():
+def test_isolated_primary_that_answers_no_probe_is_not_chosen_again():
     """A promotion every second chooses the same isolated member again.
 
-    The isolated primary is blocked. It answers the next probe late, but not the call to
-    promise. Without its answer, the round must not be evaluated like that of a crash.
+    The isolated primary is blocked: hosts send it no writes. The primary's answers to
+    probes are lost, but its answer to the call to promise arrives. A round of probes
+    without the primary's answer must not be taken for a crash of the primary.
     """
     scene = make_scene(hosts=1, between=0.012)
-    isolate(scene)
+    isolate_primary(scene)
     write(scene, "a")
     scene.world.run_till(lambda: scene.row().primary == "")
     scene.group.members["a"].lose_control[ProbeCall] = 20
@@ -155,8 +156,8 @@
 def test_all_members_are_asked_to_promise_after_a_crash():
     """A promotion drops writes though a running member has them.
 
-    e is ahead of b, c and d, and answers the probe late when a crashes. All members
-    must be asked to promise, not only those that confirmed the failure.
+    e is ahead of b, c and d, and e's answers to probes are lost when a crashes. All
+    members must be asked to promise, not only those that confirmed the failure.
     """
     scene = make_scene(members=5, hosts=1)
     scene.links.isolate("a", "bcd")
@@ -169,26 +170,26 @@
 
 def test_writes_are_not_sent_to_an_isolated_primary():
     scene = make_scene(manual=True)
-    isolate(scene)
+    isolate_primary(scene)
     scene.world.run(1.0)
     assert {scene.row(name).primary for name in scene.live} == {""}
-    assert_nothing_promoted(scene)
+    assert_no_promotion(scene)
     scene.links.heal()
     rows = [scene.row(name) for name in scene.live]
     scene.world.run_till(lambda: all(row.primary == "a:1" for row in rows), 2.0)
     assert {row.state for row in rows} == {GroupState.SERVING}
-    assert_nothing_promoted(scene)
+    assert_no_promotion(scene)
 
 
 def test_blocked_primary_that_is_the_most_distant_member_returns():
-    """A host holds all writes though a healthy primary leads.
+    """A host sends no writes to a healthy primary.
 
     A blocked primary recovers. The other members answer this host's probes sooner than
     the primary, and the round must wait for the primary's answer.
     """
     scene = make_scene(manual=True, between=0.012)
     scene.links.between[frozenset(("d1", "d2"))] = 0.0005
-    isolate(scene)
+    isolate_primary(scene)
     rows = [scene.row(name) for name in scene.live]
     scene.world.run_till(lambda: all(row.primary == "" for row in rows), 3.0)
     scene.links.heal()
@@ -206,7 +207,7 @@
 
 
 @pytest.mark.parametrize("members", [3, 5])
-def test_one_cut_off_replica_promotes_nobody(members):
+def test_one_cut_off_replica_causes_no_promotion(members):
     """A healthy primary is replaced because one replica lost it.
 
     The link of one replica to the primary is cut for a minute, with writes. The report
@@ -215,11 +216,11 @@
     scene = make_scene(members=members)
     scene.links.cut("a", "b")
     keep_writing(scene, 60.0)
-    assert_nothing_promoted(scene)
+    assert_no_promotion(scene)
     assert scene.counted("suspicions") == 0
 
 
-def test_replica_restarts_promote_nobody():
+def test_replica_restarts_cause_no_promotion():
     """Maintenance of the replicas causes a failover.
 
     Replicas stop and restart in turn, sometimes both at once. A restarted member that
@@ -233,14 +234,14 @@
         for name in ("b", "c"):
             scene.group.recover(name)
         keep_writing(scene, 0.6)
-    assert_nothing_promoted(scene)
+    assert_no_promotion(scene)
 
 
-def test_members_that_follow_another_primary_are_no_evidence():
-    """A second promotion follows one whose Follow call was lost.
+def test_silence_of_another_primary_does_not_confirm_a_failure():
+    """A promotion is followed by a second one because a Follow call was lost.
 
-    Of five members, one lost the primary and two still follow an older one. Their
-    silence concerns another primary and must not count.
+    Of five members, one lost the primary and two still follow an older one. The silence
+    that these two report is that of the older primary and must not count.
     """
     scene = make_scene(members=5)
     scene.links.cut("a", "b")
@@ -250,20 +251,21 @@
     assert scene.group.led == [(1, "a")]
 
 
-def test_idle_group_promotes_nobody():
+def test_idle_group_causes_no_promotion():
     scene = make_scene(hosts=8)
     scene.world.run(60.0)
-    assert_nothing_promoted(scene)
+    assert_no_promotion(scene)
     assert scene.counted("suspicions") == 0
 
 
 @pytest.mark.parametrize("pause", [0.3, 0.34, 0.38])
 @pytest.mark.parametrize("between", [0.001, 0.012])
 def test_primary_that_resumes_is_not_taken_for_isolated(pause, between):
-    """A primary is replaced after a pause of hardly the detection time.
+    """A primary is replaced after a pause of about the detection time.
 
-    It is paused until its members report silence, resumes, and answers the probe before
-    it sends its next heartbeat. The silence of the pause must not count as isolation.
+    The primary is paused until its members report silence, resumes, and answers the
+    probe before it sends its next heartbeat. The silence of the pause must not count as
+    isolation.
     """
     scene = make_scene(between=between, hosts=2)
     for _ in range(30):
@@ -275,16 +277,16 @@
         for host in scene.world.hosts.values():
             host.do(host.system(Failover)._groups[KEY]._check_in, 0.0)
         scene.world.run(1.0 + scene.world.random.random())
-    assert_nothing_promoted(scene)
+    assert_no_promotion(scene)
     assert not [text for text in scene.journal("suspicion") if "can hold" in text]
 
 
-def test_slow_apply_promotes_nobody():
+def test_slow_apply_causes_no_promotion():
     scene = make_scene()
     for name in ("b", "c"):
         scene.group.members[name].apply_lag = 3.0
     keep_writing(scene, 10.0)
-    assert_nothing_promoted(scene)
+    assert_no_promotion(scene)
     assert scene.counted("suspicions") == 0
 
 
@@ -315,7 +317,8 @@
     assert cut_at < liveness.minority_since(row) <= scene.world.now
     run_till_primary(scene)
     scene.world.run(5.0)
-    # Members that prove a floor still serve reads; no majority can provide a new floor.
+    # Members that have reached a floor still serve reads; without a majority, no new
+    # floor can be learnt.
     assert liveness.has_reached(row.endpoints["a:1"], acknowledged[0][0])
     floors: list[LogPosition | None] = []
     scene.host.do(liveness.look_up_floor, row, floors.append)
@@ -329,8 +332,8 @@
 def test_primary_without_replicas_gets_no_writes_until_one_returns():
     """Writes end UNKNOWN one by one while all replicas are down.
 
-    Both replicas of three members crash, and one restarts. Meanwhile no majority can
-    hold a write of the primary.
+    Both replicas of three members crash, and one restarts. Until then, no majority can
+    hold a write of the primary, and hosts must send no writes.
     """
     scene = make_scene()
     for name in ("b", "c"):
@@ -340,18 +343,19 @@
     scene.world.run_till(lambda: rows[0].primary == "", 2.0)
     scene.group.recover("b")
     scene.world.run_till(lambda: all(row.primary == "a:1" for row in rows), 10.0)
-    assert_nothing_promoted(scene)
+    assert_no_promotion(scene)
 
 
 def test_lost_probes_neither_show_a_minority_nor_unblock_a_primary():
     """Writes are sent to an isolated primary for a moment, again and again.
 
-    It is blocked; then the answers to probes are lost for a while, the reports are not.
-    A round without answers shows neither a healthy primary nor a partition.
+    The primary is blocked. Then the answers to probes are lost for a while, but reports
+    arrive. A round without answers proves neither that the primary is healthy nor that
+    this host is cut off from a majority.
     """
     scene = make_scene(manual=True, hosts=1)
     liveness, row = scene.host.system(Liveness), scene.row()
-    isolate(scene)
+    isolate_primary(scene)
     scene.world.run_till(lambda: row.primary == "")
     for name in "bc":
         scene.group.members[name].lose_control[ProbeCall] = 20
--- a/tests/core/systems/test_liveness.py
+++ b/tests/core/systems/test_liveness.py
@@ -95,7 +95,7 @@
 def test_member_that_promised_a_higher_term_does_not_hold(scene):
     """An acknowledged write is missing on the next primary.
 
-    b and c promise term 2 while their reports still show the log of term 1. They may
+    b and c promise term 2 while their reports still show the log of term 1. b and c may
     elect a primary without the write, so their positions must not count.
     """
     scene.run_till_serving()
@@ -143,8 +143,8 @@
 def test_primary_whose_term_is_over_does_not_return(scene):
     """Writes are sent to a primary that can't get any of them acknowledged.
 
-    A majority has promised term 2; the primary is cut off and still reports. Its report
-    alone must not make it the primary again.
+    A majority has promised term 2; the primary is cut off and still reports. The
+    primary's report alone must not make it the primary again.
     """
     scene.run_till_serving()
     scene.links.isolate("a", ["b", "c"])
@@ -198,7 +198,8 @@
     """A session without a token does not see its own write.
 
     A round of probes is answered, the write is acknowledged elsewhere, and a session
-    asks for a floor before the answers arrive. It must not get the floor of that round.
+    asks for a floor before the answers arrive. The session must not get the floor of
+    that round.
     """
     scene.run_till_serving()
     first = look_up_floor(scene)
@@ -212,8 +213,8 @@
 def test_floor_needs_a_majority(scene):
     """A read on the minority side of a partition misses the newest writes.
 
-    This host reaches only one of three members, which is cut off and lags. Its position
-    alone must not become a floor.
+    This host reaches only one of three members, which is cut off and lags. The position
+    of that member alone must not become a floor.
     """
     scene.run_till_serving()
     scene.links.isolate("h0", ["a", "b"])
@@ -222,11 +223,11 @@
     assert answers == [None]
 
 
-def test_floor_with_all_replies_is_what_a_majority_holds(scene):
-    """Replicas serve no reads of an accepted age while the primary is isolated.
+def test_floor_from_replies_of_all_members_is_what_a_majority_holds(scene):
+    """Replicas serve no reads with an accepted age while the primary is isolated.
 
     The primary accepts a write that is never acknowledged. If all members have
-    answered, the floor must not be the highest reply.
+    answered, the floor must not be the highest position among the replies.
     """
     scene.run_till_serving()
     scene.links.isolate("a", ["b", "c"])
@@ -288,8 +289,8 @@
 def test_floor_above_the_start_of_a_later_term_is_lost(scene):
     """A session that saw dropped data goes on reading as if nothing was dropped.
 
-    It read position 3 of term 1 on an isolated primary; term 2 starts at 2. Positions
-    of different terms must not be compared by number.
+    The session read position 3 of term 1 on an isolated primary; term 2 starts at 2.
+    Positions of different terms must not be compared by number.
     """
     scene.run_till_serving()
     scene.links.isolate("a", ["b", "c"])
@@ -305,12 +306,12 @@
     assert liveness.has_reached(row.primary_row, LogPosition(1, 1))
 
 
-def test_floor_that_a_term_never_seen_dropped_is_lost(scene):
+def test_floor_dropped_by_a_term_that_the_host_never_saw_is_lost(scene):
     """A session that saw dropped data goes on reading as if nothing was dropped.
 
-    It read positions of term 1 on an isolated primary. Term 2 starts below them while
-    this host is cut off too, and term 3 starts above them. All terms of the log must
-    count.
+    The session read positions of term 1 on an isolated primary. Term 2 starts below
+    these positions while this host is cut off too, and term 3 starts above them. All
+    terms of the log must count.
     """
     scene.run_till_serving()
     scene.links.isolate("a", ["b", "c"])
@@ -332,7 +333,7 @@
 
 
 def test_age_floor_holds_no_entry_that_a_promotion_dropped(scene):
-    """Reads of an accepted age find no member until that time has passed.
+    """Reads with an accepted age find no member until that age has passed.
 
     The primary is cut off from the others and accepts entries. A round gets answers
     from the primary and b, then b is promoted without those entries, so no log reaches
@@ -371,9 +372,9 @@
 
 
 def test_late_reply_of_a_replaced_stream_is_dropped(scene):
-    """What a host knows of a member goes back in time.
+    """A host replaces the newest report of a member with an older one.
 
-    A stream is replaced, and a report that was delayed on the old one arrives
+    A stream is replaced, and a report that was delayed on the old stream arrives
     afterwards. Only reports of the current stream must count.
     """
     scene.run_till_serving()
@@ -386,8 +387,8 @@
 def test_own_pause_is_not_taken_for_silence(scene):
     """A host that was suspended suspects every primary when it resumes.
 
-    It is paused for 5 s, and its timers run before the reports are read. Its own pause
-    must not count as silence of the endpoints.
+    The host is paused for 5 s, and its timers run before the reports are read. The
+    host's own pause must not count as silence of the endpoints.
     """
     scene.run_till_serving()
     address = scene.row().primary
--- a/tests/core/systems/test_loans.py
+++ b/tests/core/systems/test_loans.py
@@ -1,4 +1,4 @@
-"""Tests of mallowpass.core.systems.loans."""
+"""Loans: slots of the connection limit that one host lends to another."""
 
 from __future__ import annotations
 
@@ -70,7 +70,8 @@
     return calls[0]
 
 
-def _borrow_one(host: PoolHost, loan: str = "x") -> LoanAnswer:
+def _ask_for_one(host: PoolHost, loan: str = "x") -> LoanAnswer:
+    """Deliver another host's call for a loan of one slot; return the host's answer."""
     _deliver(host, "tanger-ksar-0", LoanCall(loan, ADDRESS, 1, 7))
     ((_, answer),) = _sent(host, LoanAnswer)
     host.membership.sent.clear()
@@ -105,10 +106,10 @@
 
 
 def test_a_long_statement_on_a_borrowed_connection_is_kept_alive():
-    """Long statements on borrowed connections failed after a second or two.
+    """Long statements on borrowed connections fail after a second or two.
 
-    They took longer than a borrowed connection's time to live. No call was sent on the
-    connection in the meantime, so the endpoint closed it.
+    The statements take longer than a borrowed connection's time to live. Unless a
+    keep-alive is sent on the connection in the meantime, the endpoint closes it.
     """
     host = _host()
     host.report(connections=0, limit=LIMIT, keep_alive_while_busy=True)
@@ -130,10 +131,10 @@
 
 
 def test_time_of_a_loan_counts_from_the_sending_of_its_call():
-    """Borrower and lender used the same slots for a while.
+    """Borrower and lender use the same slots for a while.
 
-    The answer to the call was late by most of the loan's time, and the borrower counted
-    the time from the answer.
+    The answer to the call is late by most of the loan's time. The borrower must not
+    count the time from the answer.
     """
     host = _host()
     name, call = _use_whole_share(host)
@@ -145,10 +146,10 @@
 
 
 def test_answer_to_an_earlier_call_does_not_extend_a_loan():
-    """A borrower used slots after the loan had ended for the lender.
+    """A borrower uses slots after the loan has ended for the lender.
 
-    The answer to the renewal was lost, and the answer to the first call arrived again.
-    Answers were matched by their loan only.
+    The answer to the renewal is lost, and the answer to the first call arrives again.
+    Answers must be matched by their call, not by their loan only.
     """
     host = _host()
     name, call = _use_whole_share(host)
@@ -168,10 +169,10 @@
 
 
 def test_nothing_is_sent_on_a_borrowed_connection_after_a_pause():
-    """A statement ran in a slot that the lender used again.
+    """A statement runs in a slot that the lender uses again.
 
-    The borrower had been paused until after the end of the loan, which only its timers
-    checked.
+    The borrower is paused until after the end of the loan. The end of the loan must be
+    checked before each call, not by timers only.
     """
     host = _host()
     name, call = _use_whole_share(host)
@@ -203,10 +204,10 @@
 
 
 def test_loan_that_was_returned_in_a_drain_is_not_renewed():
-    """A timer raised KeyError at a draining host.
+    """A timer raises KeyError at a draining host.
 
-    A borrowed connection could not be opened, and the drain returned its loan. The
-    maintenance of the loan continued, and renewed it since requests were queued.
+    A borrowed connection can't be opened, and the drain returns its loan. The
+    maintenance of the loan must not continue and renew it for queued requests.
     """
     host = _host()
     name, call = _use_whole_share(host)
@@ -236,7 +237,7 @@
 
 def test_lender_reserves_the_slots_for_longer_than_the_loan_lasts():
     host = _host()
-    answer = _borrow_one(host)
+    answer = _ask_for_one(host)
     assert (answer.connections, answer.call) == (1, 7)
     assert host.pooling.share(host.endpoint) == 3
     host.wait(host.node.tuning.loan + LENDER_MARGIN - 0.1)
@@ -246,13 +247,13 @@
 
 
 def test_returned_slot_is_not_used_until_borrowed_connections_have_expired():
-    """An endpoint refused a connection to the lender within its share.
+    """An endpoint refuses a connection to the lender within its share.
 
-    The borrower was cut off from the endpoint when it returned its loan, so the close
-    had not reached the endpoint. The lender used the slot at once.
+    The borrower is cut off from the endpoint when it returns its loan, so the close
+    does not reach the endpoint. The lender must not use the slot at once.
     """
     host = _host()
-    _borrow_one(host)
+    _ask_for_one(host)
     _deliver(host, "tanger-ksar-0", LoanReturn("x", ADDRESS))
     host.wait(host.node.tuning.loan / 4)
     assert host.pooling.share(host.endpoint) == 3
@@ -266,14 +267,15 @@
         host.request()
         host.open_all()
     host.reply_all()
-    assert [_borrow_one(host, name).connections for name in "ab"] == [1, 0]
+    assert [_ask_for_one(host, name).connections for name in "ab"] == [1, 0]
 
 
 def test_lender_keeps_the_slots_that_it_needed_recently():
-    """A busy host borrowed slots right after it had lent some.
+    """A busy host borrows slots right after it has lent some.
 
-    Three connections had been in use at the same time and were then closed for a while.
-    Their slots were lent because they were not in use at that moment.
+    Three connections were in use at the same time and are then closed for a while. The
+    slots of these connections must not be lent only because they are not in use at that
+    moment.
     """
     host = _host()
     for _ in range(3):
@@ -283,7 +285,7 @@
     host.pooling.close_idle(host.pool, 3)
     host.wait(1.0)
     host.report(connections=0, limit=LIMIT)
-    assert [_borrow_one(host, name).connections for name in "ab"] == [1, 0]
+    assert [_ask_for_one(host, name).connections for name in "ab"] == [1, 0]
 
 
 def test_host_lends_at_most_what_it_withholds_after_a_restart():
@@ -302,22 +304,22 @@
     for _ in range(100):
         host.wait(0.1)
         host.reply_all()
-    assert _borrow_one(host, "a").connections == 0
+    assert _ask_for_one(host, "a").connections == 0
     host.wait(1.0)
-    assert _borrow_one(host, "b").connections == 0
+    assert _ask_for_one(host, "b").connections == 0
     host.report(connections=0, limit=LIMIT)
-    assert _borrow_one(host, "c").connections == 1
+    assert _ask_for_one(host, "c").connections == 1
 
 
 def test_restarted_lender_withholds_the_slots_that_it_may_have_lent():
-    """The connections to an endpoint exceeded its limit after a restart of a host.
+    """The connections to an endpoint exceed its limit after a restart of a host.
 
-    The host had made a loan, and restarted within the loan's time. Loans are kept in
-    memory only, and the restarted host used its whole share.
+    The host makes a loan, and restarts within the loan's time. Loans are kept in memory
+    only, so the restarted host must not use its whole share.
     """
     host = _host(warmed=False)
     assert host.pooling.share(host.endpoint) == 2
-    assert _borrow_one(host).connections == 0
+    assert _ask_for_one(host).connections == 0
     host.wait(host.node.tuning.loan + LENDER_MARGIN + 0.1)
     assert host.pooling.share(host.endpoint) == 4
 
@@ -325,7 +327,7 @@
 # -- Several hosts, one endpoint ---------------------------------------------
 
 
-class Fleet(RuleBasedStateMachine):
+class LoanMachine(RuleBasedStateMachine):
     """Hosts that share an endpoint, with faults of messages, hosts and network."""
 
     def __init__(self) -> None:
@@ -538,15 +540,15 @@
         )
 
     @invariant()
-    def the_limit_holds(self) -> None:
-        """The endpoint refused connections to hosts within their share.
+    def no_limit_or_share_is_exceeded(self) -> None:
+        """An endpoint refuses connections to hosts within their shares.
 
-        Two hosts used the same slot.
+        Two hosts use the same slot.
         """
         assert len(self.open) <= LIMIT
         taken = Counter(self.owners[key] for key in self.open)
         assert max(taken.values(), default=0) <= LIMIT // len(SEATS), taken
 
 
-TestFleet = Fleet.TestCase
-TestFleet.settings = settings(stateful_step_count=30)
+TestLoans = LoanMachine.TestCase
+TestLoans.settings = settings(stateful_step_count=30)
--- a/tests/core/systems/test_membership.py
+++ b/tests/core/systems/test_membership.py
@@ -24,7 +24,7 @@
 ALIVE, DEAD, LEAVING = HostState.ALIVE, HostState.DEAD, HostState.LEAVING
 
 
-def started(sizes=(3, 3, 2), **options) -> Fleet:
+def start_fleet(sizes=(3, 3, 2), **options) -> Fleet:
     fleet = Fleet(sizes, **options)
     fleet.start_all()
     fleet.run(4)
@@ -38,7 +38,7 @@
 
 
 def watch_states(fleet: Fleet) -> list[tuple[str, str, str]]:
-    """Collect (by, host, state) of all changes of state from now on."""
+    """Collect all changes of state from now on: observing host, host and state."""
     seen: list[tuple[str, str, str]] = []
 
     def on_effect(host, effect):
@@ -61,7 +61,7 @@
 
 
 def test_all_hosts_find_each_other_over_few_links():
-    fleet = started((30, 30, 20))
+    fleet = start_fleet((30, 30, 20))
     tuning = fleet.tuning
     wanted = tuning.peers_in_domain + tuning.peers_elsewhere
     fleet.run(20)
@@ -79,7 +79,7 @@
     """Two hosts lose their link repeatedly, and notices with it.
 
     The hosts dial each other at once, and greetings arrive in a different order at each
-    end. Each end kept the link of the last greeting.
+    end. Both ends must keep the same link, not that of the last greeting.
     """
     fleet = Fleet((1, 1))
     dialled: list[int] = []
@@ -104,7 +104,7 @@
 
 
 def test_a_silently_crashed_host_is_dead_everywhere():
-    fleet = started()
+    fleet = start_fleet()
     fleet.kill(OTHER, silent=True)
     tuning = fleet.tuning
     limit = 2 * tuning.death
@@ -116,10 +116,10 @@
 def test_a_cut_link_between_two_hosts_leaves_both_alive():
     """A healthy host gets no more work from the whole fleet.
 
-    The path between two hosts is cut, and one of them declares the other dead. That
-    declaration was accepted without a chance for the other host to refute it.
+    The path between two hosts is cut, and one of them suspects the other. The other
+    host must have a chance to refute the suspicion before it is declared dead.
     """
-    fleet = started()
+    fleet = start_fleet()
     seen = watch_states(fleet)
     for name in (h.name for h in fleet.alive if h.name != FIRST):
         if name in fleet.hosts[FIRST].node.system(Membership).linked_hosts:
@@ -136,9 +136,9 @@
     """A host that was paused declares all other hosts dead.
 
     A host is stopped for 20 s, and runs its timers before it reads its messages. The
-    time of its own pause was counted as silence of its peers.
+    host's own pause must not count as silence of its peers.
     """
-    fleet = started()
+    fleet = start_fleet()
     fleet.pause(FIRST)
     fleet.run(20)
     assert states(fleet, FIRST) == {DEAD}
@@ -153,10 +153,10 @@
 def test_two_sides_of_a_partition_reconnect():
     """The fleet stays divided after a partition.
 
-    A failure domain is cut off for a minute, and each side declares the other dead. No
-    host dialled dead hosts.
+    A failure domain is cut off for a minute, and each side declares the other dead.
+    Hosts must continue to dial dead hosts.
     """
-    fleet = started()
+    fleet = start_fleet()
     fleet.isolate(DOMAINS[0])
     fleet.run(60)
     assert DEAD in states(fleet, FIRST)
@@ -170,9 +170,9 @@
     """A host that has drained gets work again.
 
     The host says goodbye to its neighbours, and the platform's list still shows the
-    host. The goodbye was not relayed, or the lagging list restored the host.
+    host. The goodbye must be relayed, and the lagging list must not restore the host.
     """
-    fleet = started((12, 12, 12))
+    fleet = start_fleet((12, 12, 12))
     listed = fleet.platform.hosts[OTHER]
     fleet.feed(OTHER, inn.ShutdownRequested(30.0))
     fleet.run_until(lambda: states(fleet, OTHER) == {LEAVING}, 3)
@@ -187,10 +187,10 @@
 def test_a_drain_longer_than_rows_are_kept_fails_no_host():
     """Hosts fail at each heartbeat of a host that drains for long.
 
-    A host drains for an hour, and its row is removed after 15 minutes, although the
-    host still has a link.
+    A host drains for an hour, and rows of hosts are removed after 15 minutes. The row
+    of a host that still has a link must be kept.
     """
-    fleet = started((2, 1))
+    fleet = start_fleet((2, 1))
     host = fleet.hosts[FIRST]
     host.node.publish(DrainBegan(fleet.now + 3_600))
     fleet._carry_out(host, host.node._take_effects())
@@ -199,7 +199,7 @@
 
 
 def test_the_platforms_list_does_not_override_direct_contact():
-    fleet = started()
+    fleet = start_fleet()
     fleet.run(10)
     listed = fleet.platform.hosts[OTHER]
     fleet.platform._RegisterHost = lambda request: HostRegistered()
@@ -216,9 +216,9 @@
     """An endpoint that is leaving still gets work from some hosts.
 
     One host receives the endpoint's report, and others have no control stream to the
-    endpoint. The report was not relayed, or not beyond the neighbours.
+    endpoint. The report must be relayed, also beyond the neighbours.
     """
-    fleet = started((12, 12, 12))
+    fleet = start_fleet((12, 12, 12))
     fleet.answer(FIRST, fleet.change(FIRST, make_service(), 0, "c1"))
     fleet.run(2)
     address = next(iter(fleet.hosts[FIRST].node.tables.endpoints))
@@ -240,10 +240,10 @@
 def test_conflicting_notices_are_not_relayed_for_ever():
     """Hosts relay two notices to each other for ever.
 
-    An endpoint leaves and returns at once, and different hosts report this. Each notice
-    counted as new again after the other one.
+    An endpoint leaves and returns at once, and different hosts report this. A notice
+    must not count as new again after the other one.
     """
-    fleet = started((12, 12, 12))
+    fleet = start_fleet((12, 12, 12))
     fleet.answer(FIRST, fleet.change(FIRST, make_service(), 0, "c1"))
     fleet.run(2)
     address = next(iter(fleet.hosts[FIRST].node.tables.endpoints))
@@ -261,7 +261,7 @@
 def test_idle_traffic_does_not_grow_with_the_fleet():
     rates = []
     for sizes in ((8, 8, 8), (40, 40, 40)):
-        fleet = started(sizes, tuning=Tuning())
+        fleet = start_fleet(sizes, tuning=Tuning())
         fleet.run(20)
         before = sum(h.bytes_sent for h in fleet.alive)
         fleet.run(10)
@@ -271,7 +271,7 @@
 
 
 def test_a_host_with_this_hosts_name_is_refused():
-    fleet = started()
+    fleet = start_fleet()
     fleet.feed(FIRST, inn.PeerConnected(-99, "10.9.9.9:1"))
     greeting = Greeting(FIRST, DOMAINS[0], 0, "10.9.9.9:7000", 99)
     fleet.feed(FIRST, inn.PeerMessageReceived(-99, greeting))
--- a/tests/core/systems/test_operators.py
+++ b/tests/core/systems/test_operators.py
@@ -31,7 +31,7 @@
         callback(member == "m1", 5, f"{key} {member}")
 
 
-def started() -> Fleet:
+def start_fleet() -> Fleet:
     fleet = Fleet()
     fleet.start_all()
     for host in fleet.alive:
@@ -48,7 +48,7 @@
 
 
 def test_status_reports_what_a_host_knows():
-    fleet = started()
+    fleet = start_fleet()
     status = ask(fleet, OTHER, StatusRequest())
     assert status.code == "" and not status.draining
     assert status.services == (("claims-core", 1),)
@@ -61,7 +61,7 @@
 
 
 def test_services_are_listed():
-    fleet = started()
+    fleet = start_fleet()
     listed = ask(fleet, OTHER, ListServicesRequest())
     assert [version.name for version in listed.services] == ["claims-core"]
     unknown = ask(fleet, OTHER, ListServicesRequest(name="no-such"))
@@ -71,10 +71,10 @@
 def test_decisions_of_the_whole_fleet_are_collected_for_an_operator():
     """An explanation of a refused request finds no decisions.
 
-    The request arrived at another host than the operator's. Only the journal of the
-    operator's host was searched.
+    The request arrived at another host than the operator's. The journals of all hosts
+    must be searched, not only that of the operator's host.
     """
-    fleet = started()
+    fleet = start_fleet()
     fleet.hosts[LAST].node.record_decision("refusal", "caller-1/r17", "queue full")
     request = ExplainRequest(subject="request", name="r17")
     found = ask(fleet, FIRST, request).decisions
@@ -86,14 +86,14 @@
 
 
 def test_an_explanation_does_not_wait_for_silent_hosts():
-    fleet = started()
+    fleet = start_fleet()
     fleet.pause(LAST)
     answer = ask(fleet, FIRST, ExplainRequest(subject="database", name=KEY))
     assert LAST in answer.message
 
 
 def test_promotions_are_ordered_and_recorded():
-    fleet = started()
+    fleet = start_fleet()
     request = {"operator": "amina", "service": "claims-core", "database": "db-0"}
     done = ask(fleet, FIRST, PromoteRequest(**request, member="m1"))
     assert done.accepted and done.term == 5
@@ -105,4 +105,4 @@
 
 
 def test_unknown_requests_are_answered():
-    assert ask(started(), FIRST, OperatorRequest()).code.startswith("MP-3")
+    assert ask(start_fleet(), FIRST, OperatorRequest()).code.startswith("MP-3")
--- a/tests/core/systems/test_platformclient.py
+++ b/tests/core/systems/test_platformclient.py
@@ -94,7 +94,7 @@
 def test_a_read_is_not_coalesced_with_one_in_flight():
     """A read-back after a lost answer does not show the write.
 
-    An equal read was sent before the write, and the read-back was answered with the
+    An equal read was sent before the write. The read-back must not be answered with the
     reply to that read.
     """
     client = Client()
@@ -118,7 +118,8 @@
 def test_every_call_is_answered_once_and_late_replies_are_dropped():
     """An operator waits for ever, or a call gets the late reply of another call.
 
-    The adapter never replies, or replies after the timeout of the call.
+    The adapter never replies, or replies after the timeout of the call. The timeout
+    must answer the call, and a later reply must be dropped.
     """
     client = Client()
     client.call(WRITE)
@@ -132,8 +133,8 @@
 def test_an_outage_opens_the_circuit_and_a_probe_closes_it():
     """A recovering platform is overloaded, or each call waits for its timeout.
 
-    The platform is down while polls and operators continue to call. Each call was sent,
-    although the calls before it had failed.
+    The platform is down while polls and operators continue to call. After several
+    failures, calls must fail at once, and only probes must be sent.
     """
     client = Client()
     client.fail_until_open()
--- a/tests/core/systems/test_pooling.py
+++ b/tests/core/systems/test_pooling.py
@@ -1,4 +1,4 @@
-"""Tests of mallowpass.core.systems.pooling."""
+"""Connection pools: statements, openings, silence and expiry, limits and drains."""
 
 from __future__ import annotations
 
@@ -63,10 +63,10 @@
 
 
 def test_late_crossed_and_repeated_replies_reach_nobody():
-    """A caller received rows of another caller's statement.
+    """A caller receives rows of another caller's statement.
 
-    Replies arrived with an old sequence, on a closed connection and twice, and were
-    forwarded to the user of their connection.
+    Replies arrive with an old sequence, on a closed connection and twice. Such replies
+    must not be forwarded to the user of their connection.
     """
     host = PoolHost()
     _warm(host, 1)
@@ -88,10 +88,10 @@
 
 
 def test_connection_of_a_cancelled_statement_is_not_reused_before_the_reply():
-    """A caller received the reply to a request that another caller had cancelled.
+    """A caller receives the reply to a request that another caller has cancelled.
 
-    The request was cancelled after it had been sent, and its connection was granted to
-    the next request before the reply.
+    The request is cancelled after it was sent. The request's connection must not be
+    granted to the next request before the reply.
     """
     host = PoolHost(limit=4)
     _warm(host, 1)
@@ -117,10 +117,10 @@
 
 
 def test_statements_of_a_transaction_keep_its_connection_to_themselves():
-    """Statements of two transactions ran in one.
+    """Statements of two transactions run in one.
 
-    A transaction was between two statements when another request came. Its pinned
-    connection was treated as idle.
+    A transaction is between two statements when another request comes. The
+    transaction's pinned connection must not be treated as idle.
     """
     host = PoolHost(limit=4)
     (number,) = _warm(host, 1)
@@ -151,10 +151,10 @@
 
 
 def test_statement_during_a_keep_alive_is_sent_after_the_reply():
-    """A transaction failed with BAD_CALL although its caller had made no error.
+    """A transaction fails with BAD_CALL although its caller made no error.
 
-    A statement was sent while a keep-alive was in flight on the connection, which takes
-    one call at a time.
+    A statement comes while a keep-alive is in flight on the connection, which takes one
+    call at a time.
     """
     host = PoolHost(limit=4)
     (number,) = _warm(host, 1)
@@ -178,10 +178,10 @@
 def test_connection_that_ends_during_an_internal_call_is_not_counted_active(
     ending: str,
 ):
-    """A host ran fewer and fewer statements at the same time, in the end none.
+    """A host runs fewer and fewer statements at the same time, in the end none.
 
-    The connection expired before its reset, or was lost with a deferred call. The count
-    of active connections was then lowered twice or not at all.
+    The connection expires before its reset, or is lost with a deferred call. The count
+    of active connections must be lowered once, not twice or not at all.
     """
     host = PoolHost(limit=4)
     (number,) = _warm(host, 1)
@@ -211,10 +211,10 @@
 
 
 def test_many_queued_requests_open_few_connections_at_a_time():
-    """An endpoint that came back was flooded with connections.
+    """An endpoint that comes back is flooded with connections.
 
-    One connection was opened for each of fifty queued requests, up to the host's share
-    of sixteen.
+    Fifty requests are queued, and the host's share is sixteen. Connections must not be
+    opened for all of them at once.
     """
     host = PoolHost(limit=64)
     for _ in range(50):
@@ -240,10 +240,10 @@
 
 
 def test_one_connection_is_opened_ahead_of_demand():
-    """Whenever the load rose, single statements waited for a connection to be opened.
+    """Whenever the load rises, single statements wait for a connection to be opened.
 
-    All connections were in use when one more request came, and only then another
-    connection was opened.
+    All connections are in use when one more request comes. A spare connection must be
+    open before that request comes.
     """
     host = PoolHost(limit=64)
     assert _in_use_with_spares(host, 3) == 4
@@ -300,10 +300,10 @@
 
 @pytest.mark.parametrize("full", [False, True])
 def test_no_spare_connection_is_opened_during_the_backoff(full: bool):
-    """Each statement opened a connection to an endpoint that refused connections.
+    """Each statement opens a connection to an endpoint that refuses connections.
 
-    The endpoint had refused a spare connection, and the backoff applied only to
-    connections for queued requests.
+    The endpoint has refused a spare connection. The backoff must apply to spare
+    connections as well as to those for queued requests.
     """
     host = PoolHost(limit=64)
     spare = _open_first(host)
@@ -317,10 +317,10 @@
 
 
 def test_no_connection_is_opened_for_a_while_after_the_limit_was_reached():
-    """Hosts kept opening connections to an endpoint that had reached its limit.
+    """Hosts keep opening connections to an endpoint that has reached its limit.
 
-    Requests were queued after a refusal, and since the host was within its share it
-    tried again at once.
+    Requests are queued after a refusal. The host must not try again at once although it
+    is within its share.
     """
     host = PoolHost(limit=16)
     _warm(host, 2)
@@ -359,10 +359,10 @@
 
 
 def test_a_paused_host_does_not_use_connections_that_ran_out_meanwhile():
-    """A statement was sent on a connection whose slot already belonged to another host.
+    """A statement is sent on a connection whose slot already belongs to another host.
 
-    The host had been paused for longer than the time to live, and used its idle
-    connections without a check of their expiry.
+    The host is paused for longer than the time to live. Idle connections must not be
+    used without a check of their expiry.
     """
     host = PoolHost()
     numbers = _warm(host, 2)
@@ -388,10 +388,10 @@
 
 
 def test_transaction_whose_connection_expires_between_its_calls_is_ended():
-    """The next statement of a transaction raised KeyError and was not answered.
+    """The next statement of a transaction raises KeyError and is not answered.
 
-    The host had been paused for the connection's time to live. When it was about to
-    send the transaction's keep-alive, it closed the connection as an unused one.
+    The host is paused for the connection's time to live. When the transaction's
+    keep-alive is due, the connection must not be closed like an unused one.
     """
     host = PoolHost()
     (number,) = _warm(host, 1)
@@ -404,10 +404,10 @@
 
 
 def test_silent_connection_is_replaced_and_others_of_its_age_are_checked():
-    """Several requests in turn timed out on dead connections.
+    """Several requests in turn time out on dead connections.
 
-    A network device dropped the state of its connections; new ones worked. After the
-    first silent connection, the others of the same age were used without a check.
+    A network device drops the state of the host's connections; new ones work. After the
+    first silent connection, the others of the same age must be checked before use.
     """
     host = PoolHost(limit=16)
     numbers = _warm(host, 3)
@@ -425,10 +425,10 @@
 
 
 def test_old_idle_connections_are_checked_once_a_connection_is_silent():
-    """Each old connection cost one more request its full timeout.
+    """Each old connection costs one more request its full timeout.
 
-    As in the previous test, but the first silent connection was detected before any
-    keep-alive was due.
+    A network device drops the state of the host's connections, and the first silent
+    connection is detected before any keep-alive is due.
     """
     host = PoolHost(limit=16)
     numbers = _warm(host, 3)
@@ -444,10 +444,10 @@
 
 
 def test_connections_are_kept_during_a_short_pause_of_the_endpoint():
-    """Hosts reopened all connections after each short pause of an endpoint.
+    """Hosts reopen all connections after each short pause of an endpoint.
 
-    For a while the endpoint replied on no connection and no stream, and each unanswered
-    keep-alive was treated as the loss of its connection.
+    For a while the endpoint replies on no connection and no stream. An unanswered
+    keep-alive must not be treated as the loss of its connection.
     """
     host = PoolHost(limit=16)
     host.report(connections=2, limit=16)
@@ -458,9 +458,9 @@
 
 
 def test_slot_of_a_silent_connection_is_not_reused_while_the_endpoint_counts_it():
-    """An endpoint refused a connection to another host within its share.
+    """An endpoint refuses a connection to another host within its share.
 
-    This host replaced a silent connection that the endpoint still counted.
+    This host must not replace a silent connection that the endpoint still counts.
     """
     host = PoolHost(limit=4)
     (number,) = _warm(host, 1)
@@ -474,10 +474,10 @@
 
 
 def test_short_pause_of_a_host_does_not_make_its_connections_silent():
-    """Statements were lost when a host was paused for some seconds.
+    """Statements are lost when a host is paused for some seconds.
 
-    The pause was longer than the limit of silence. After the pause, the host ran its
-    timers before it read the replies.
+    The pause is longer than `Tuning.silence`. After the pause, the host runs its timers
+    before it reads the replies.
     """
     host = PoolHost()
     _warm(host, 1)
@@ -529,10 +529,10 @@
 
 
 def test_patient_class_runs_but_leaves_the_last_connection_to_others():
-    """A request waited for a whole statement of a patient class.
+    """A request waits for a whole statement of a patient class.
 
-    The patient class had more requests than there were connections, and took the last
-    free connection.
+    The patient class has more requests than there are connections. The last free
+    connection must be left to other classes.
     """
     host = PoolHost(limit=8)
     _warm(host, 2)
@@ -544,10 +544,10 @@
 
 
 def test_patient_class_runs_where_there_is_only_one_connection():
-    """Requests of a patient class never ran at hosts with a share of one.
+    """Requests of a patient class never run at hosts with a share of one.
 
-    The only connection was free, and no other class had requests. The last free
-    connection was kept for other classes even when no statement ran.
+    The only connection is free, and no other class has requests. The last free
+    connection must not be kept for other classes when no statement runs.
     """
     host = PoolHost(limit=4)
     _warm(host, 1)
--- a/tests/core/systems/test_pooling_machine.py
+++ b/tests/core/systems/test_pooling_machine.py
@@ -22,7 +22,7 @@
 CLASSES = st.sampled_from(["caseworker", "portal", "reconciliation"])
 
 
-class Pool(RuleBasedStateMachine):
+class PoolMachine(RuleBasedStateMachine):
     """A pool whose replies arrive late, twice or on other connections, with faults."""
 
     def __init__(self) -> None:
@@ -86,7 +86,7 @@
 
     @precondition(lambda self: self.rows)
     @rule(pick=PICK)
-    def give_up(self, pick: int) -> None:
+    def cancel(self, pick: int) -> None:
         row = list(self.rows.values())[pick % len(self.rows)]
         self.host.pooling.cancel(row)
         self.take_sends()
@@ -99,9 +99,9 @@
         if action == "pin":
             self.host.requests.hold = not self.host.requests.hold
             for connection in list(pool.connections.values()):
-                held = connection.state is ConnectionState.BUSY
-                idle_statement = connection.number not in pool.in_flight
-                if held and connection.request and idle_statement:
+                is_busy = connection.state is ConnectionState.BUSY
+                has_no_call = connection.number not in pool.in_flight
+                if is_busy and connection.request and has_no_call:
                     pooling.pin(connection, f"t{connection.number}")
         elif pinned:
             connection = pinned[pick % len(pinned)]
@@ -121,7 +121,7 @@
         return row
 
     @rule(pick=PICK)
-    def lose(self, pick: int) -> None:
+    def lose_connection(self, pick: int) -> None:
         numbers = list(self.host.node.tables.connections)
         if numbers and pick % 3 == 0:
             self.host.handle(ConnectionLost(numbers[pick % len(numbers)], "lost"))
@@ -167,5 +167,5 @@
         assert pool.own_count <= pool.own_share
 
 
-TestPool = Pool.TestCase
+TestPool = PoolMachine.TestCase
 TestPool.settings = settings(stateful_step_count=60)
--- a/tests/core/systems/test_positionawaits.py
+++ b/tests/core/systems/test_positionawaits.py
@@ -1,4 +1,4 @@
-"""Tests of mallowpass.core.systems.positionawaits."""
+"""Calls that ask members to report when they reach a position."""
 
 from __future__ import annotations
 
@@ -80,10 +80,10 @@
     "fields", [{"term": 2}, {"code": EndpointCode.ALREADY_RUN}, {"sequence": 7}]
 )
 def test_only_a_reply_to_the_write_in_its_term_counts_as_a_report(scene, fields):
-    """An acknowledged write was lost in a promotion.
+    """An acknowledged write is lost in a promotion.
 
-    A reply that proves less than a report counted as a report: one of a primary that
-    had promised a higher term, or a late one to another call.
+    A reply proves less than a report if its primary has promised a higher term, or if
+    it is a late reply to another call. Such a reply must not count as a report.
     """
     scene.links.cut("h0", "a")
     scene.links.cut("h0", "c")
@@ -96,10 +96,10 @@
 
 
 def test_writes_of_other_hosts_cause_no_traffic_to_a_writing_host(scene):
-    """A host that wrote once a second received 27 KB/s of reports.
+    """A host that writes once a second receives 27 KB/s of reports.
 
-    Other hosts wrote 100 times a second to the same group, and the host watched each
-    change of the log position to acknowledge its own writes.
+    Other hosts write 100 times a second to the same group. To acknowledge its own
+    writes, the host must not watch each change of the log position.
     """
     spent = []
     for others in (0, 100):
@@ -132,9 +132,9 @@
 
 
 def test_number_of_unanswered_calls_to_a_member_is_limited(scene):
-    """A replica that was cut off ran out of memory.
+    """A replica that is cut off runs out of memory.
 
-    Hosts wrote for hours. Each write left a call at the replica, which never reached
+    Hosts write for hours. Each write leaves a call at the replica, which never reaches
     the position.
     """
     scene.links.cut("a", "b")
@@ -161,9 +161,9 @@
 
 
 def test_members_are_watched_where_asking_takes_longer():
-    """Acknowledgements came 16 ms later than with watching.
+    """Acknowledgements come 16 ms later than with watching.
 
-    Of five members, only one was near this host, and the primary was not: calls to the
+    Of five members, only one is near this host, and the primary is not: calls to the
     other members leave when the primary has replied.
     """
     scene = Scene(hosts=3, members=5, between=0.008)
@@ -190,10 +190,10 @@
 
 
 def test_members_are_asked_for_positions_that_were_watched_before(scene, monkeypatch):
-    """A write was acknowledged half a second after the next one.
+    """A write is acknowledged half a second after the next one.
 
-    It waited by watching, then the members were asked for a lower position: that of
-    the newest wait, not the highest.
+    The write waits by watching; then the members are asked for positions, and the
+    newest wait is for a lower one. The call must name the highest position.
     """
     calls = record_calls(scene, monkeypatch)
     low, high = write(scene), write(scene)
--- a/tests/core/systems/test_reads.py
+++ b/tests/core/systems/test_reads.py
@@ -127,7 +127,8 @@
     """A read is DONE and lacks what its session has seen.
 
     The session saw (1, 9) and term 2 starts at 7. The read accepts an age, for which
-    the floor (2, 8) is known or learnt. Only the highest floor was checked.
+    the floor (2, 8) is known or learnt. All floors must be checked, not only the
+    highest.
     """
     path = _path(floor=(1, 9))
     path.promote("m2", term=2, start=7)
@@ -142,8 +143,8 @@
     """A read is DONE and lacks what its session has seen.
 
     The session saw (1, 9) and term 2 starts at 7, which the host does not know before
-    the answer comes. The position of the answer was compared with the highest floor
-    only.
+    the answer comes. The position of the answer must be compared with both floors, not
+    only with the highest.
     """
     path = _path(floor=(1, 9))
     path.report("m2", (2, 8))
@@ -157,8 +158,8 @@
 def test_age_shorter_than_a_round_trip_is_met_by_a_floor_learnt_for_the_read():
     """A read with an accepted age of 0 s is NOT_RUN at its deadline.
 
-    A floor that was learnt for the read was older than the age as soon as it was known,
-    so the floor was learnt again until the deadline.
+    A floor that is learnt for the read is older than the age as soon as it is known.
+    The floor must not be learnt again and again until the deadline.
     """
     path = _path()
     path.read(1, "look", accepted_age=0.0)
@@ -243,8 +244,8 @@
 def test_members_that_are_behind_are_tried_again_for_a_while():
     """All reads right after a write are sent to the primary.
 
-    Both replicas lag some milliseconds more than predicted, and the primary was used
-    although a replica would have reached the floor soon.
+    Both replicas lag some milliseconds more than predicted. The primary must not be
+    used while a replica will reach the floor soon.
     """
     path = _path()
     path.read(1, "look")
@@ -318,8 +319,8 @@
 def test_long_report_is_left_to_finish(patient, runs):
     """A long report runs at every member in turn and finishes at none.
 
-    A statement that is slow by itself was taken for a slow member each time, and was
-    restarted at the next one.
+    A statement that is slow by itself must not be taken for a slow member and restarted
+    at the next member.
     """
     path = _path()
     path.pooling.answering = True
@@ -355,7 +356,7 @@
     """Reads are refused for a full queue while other members are idle.
 
     The queue of the best replica is too long for the deadline, that of the primary is
-    not. The refusal of one member was taken for the final answer.
+    not. The refusal of one member must not be taken for the final answer.
     """
     path = _path()
     path.pooling.full = {"127.0.0.1:2": 0.4, "127.0.0.1:3": 0.2}
@@ -365,7 +366,7 @@
     assert path.answer().outcome is Outcome.DONE
 
 
-def test_read_with_full_queues_at_all_members_is_refused_with_the_least_time():
+def test_read_with_full_queues_at_all_members_gets_the_shortest_retry_time():
     path = _path()
     path.pooling.full = {f"127.0.0.1:{n}": s for n, s in ((1, 0.3), (2, 0.1), (3, 0.2))}
     path.read(1, "look")
--- a/tests/core/systems/test_requestreuse.py
+++ b/tests/core/systems/test_requestreuse.py
@@ -1,4 +1,4 @@
-"""Tests of mallowpass.core.systems.requestreuse."""
+"""Reuse of request ids: digests of requests, and the ids that are kept."""
 
 from __future__ import annotations
 
--- a/tests/core/systems/test_sessions.py
+++ b/tests/core/systems/test_sessions.py
@@ -52,7 +52,7 @@
 
     The caller saw (1, 9), term 2 starts at 7, and the write is at (2, 8). The caller
     reads through a host for which m1 of term 1 is still the primary, then through a
-    third host. The discarded floor, which is kept for FLOOR_LOST, had replaced the
+    third host. The discarded floor, which is kept for FLOOR_LOST, must not replace the
     newest one.
     """
     path = RequestPath()
@@ -197,7 +197,7 @@
             path.open(1)
 
     @invariant()
-    def floors_hold_what_was_seen(self):
+    def no_floor_is_above_the_log(self):
         for path in self.paths:
             floor = path.node.tables.sessions[1].floors.get(KEY, LogPosition(1, 0))
             assert floor.position <= self.log
--- a/tests/core/systems/test_shares.py
+++ b/tests/core/systems/test_shares.py
@@ -1,4 +1,4 @@
-"""Tests of mallowpass.core.systems.shares."""
+"""Shares: each seat's part of an endpoint's connection limit."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 def test_the_shares_of_all_seats_are_the_limit_and_differ_by_one(
     limit: int, domains: list[FailureDomain], address: str
 ):
-    """An endpoint refused a connection to a host within its share.
+    """An endpoint refuses a connection to a host within its share.
 
-    Each host computes its share by itself. The shares overlapped because of rounding,
-    ties or a domain that was listed twice.
+    Each host computes its share by itself. The shares must not overlap because of
+    rounding, ties or a domain that is listed twice.
     """
     shares = _all_shares(limit, domains, address)
     if shares:
--- a/tests/core/systems/test_tokens.py
+++ b/tests/core/systems/test_tokens.py
@@ -16,7 +16,7 @@
 
 
 @given(FLOORS)
-def test_token_gives_its_floors_back(floors):
+def test_decoded_token_has_the_encoded_floors(floors):
     assert decode_token(KEY, encode_token(KEY, floors)) == floors
 
 
@@ -28,16 +28,16 @@
     source of a session's floors.
     """
     token = bytearray(encode_token(KEY, floors))
-    place = data.draw(st.integers(0, len(token) - 1))
-    token[place] ^= data.draw(st.integers(1, 255))
+    index = data.draw(st.integers(0, len(token) - 1))
+    token[index] ^= data.draw(st.integers(1, 255))
     with pytest.raises(AuthenticationError):
         decode_token(KEY, bytes(token))
 
 
 @given(st.binary(max_size=100))
-def test_noise_is_refused(noise):
+def test_random_bytes_are_refused(token):
     with pytest.raises(AuthenticationError):
-        decode_token(KEY, noise)
+        decode_token(KEY, token)
 
 
 def test_token_of_another_fleet_is_refused():
--- a/tests/core/systems/test_transactions.py
+++ b/tests/core/systems/test_transactions.py
@@ -1,4 +1,4 @@
-"""Tests of mallowpass.core.systems.transactions and transactioncalls."""
+"""Transactions: one connection each, and commits whose outcome is looked up."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
 
 
 def test_statements_run_one_at_a_time_on_one_connection(path):
-    """Statements of a transaction ran in the wrong order.
+    """Statements of a transaction run in the wrong order.
 
-    The caller sent three without waiting for the answers, and they were in flight on
-    the connection at the same time.
+    The caller sends three statements without waiting for the answers. Only one of these
+    statements may be in flight on the connection at a time.
     """
     name = path.begin(1, "t")
     connection = path.sent.connection.number
@@ -54,9 +54,9 @@
 
 
 def test_commit_is_acknowledged_once_a_majority_holds_it(path):
-    """An acknowledged transaction was lost in a failover.
+    """An acknowledged transaction is lost in a failover.
 
-    The primary failed after it had replied to the commit and before a replica had
+    The primary fails after it has replied to the commit and before a replica has
     received it. A commit needs a majority, like any write.
     """
     name = path.begin(1, "t")
@@ -77,9 +77,9 @@
     ],
 )
 def test_lost_commit_is_looked_up_by_the_id_of_its_begin(path, state, outcome, code):
-    """A committed transaction was answered NOT_RUN, and its caller ran it again.
+    """A committed transaction is answered NOT_RUN, and its caller runs it again.
 
-    The connection was lost between the commit and the reply. The endpoint rolls back a
+    The connection is lost between the commit and the reply. The endpoint rolls back a
     transaction without a commit, but this commit may have arrived.
     """
     name = path.begin(1, "t")
@@ -93,10 +93,10 @@
 
 
 def test_commit_on_a_silent_connection_is_looked_up_early(path):
-    """Single commits took three seconds while the primary replied to others.
+    """Single commits take three seconds while the primary replies to others.
 
-    A network device dropped the state of the commit's connection. The commit was
-    looked up only after the full timeout of silent connections.
+    A network device drops the state of the commit's connection. The commit must be
+    looked up before the full timeout of silent connections.
     """
     transaction = path.begin(1, "t")
     path.commit(1, "c", transaction)
@@ -112,10 +112,10 @@
 
 @pytest.mark.parametrize("answering", [False, True])
 def test_commit_at_a_paused_or_busy_primary_is_not_fenced(path, answering):
-    """A short pause of the primary rolled back all commits in flight.
+    """A short pause of the primary rolls back all commits in flight.
 
-    They were fenced as overdue: the primary handled the outcome calls first when it
-    continued, and a fenced commit is not sent again.
+    Overdue commits must not be fenced: the primary handles the outcome calls first when
+    it continues, and a fenced commit is not sent again.
     """
     transaction = path.begin(1, "t")
     path.commit(1, "c", transaction)
@@ -140,10 +140,10 @@
 
 
 def test_transaction_of_another_session_is_refused(path):
-    """A statement of a caller ran in a transaction of another caller.
+    """A statement of a caller runs in a transaction of another caller.
 
-    The caller guessed or copied the name of the transaction, and the name alone
-    determined the connection.
+    The caller guesses or copies the name of the transaction. The name alone must not
+    determine the connection.
     """
     name = path.begin(1, "t")
     path.open_known(2)
@@ -155,7 +155,7 @@
 
 
 def test_transaction_of_a_caller_that_disconnects_is_rolled_back(path):
-    """A connection and its locks stayed in use after their caller had disconnected.
+    """A connection and its locks stay in use after their caller has disconnected.
 
     No other caller can end the transaction. Without a reset, statements of the
     connection's next user would run in the transaction.
@@ -178,10 +178,10 @@
 
 
 def test_idle_transaction_is_rolled_back_with_its_own_code(path):
-    """All writers waited although no statement ran.
+    """All writers wait although no statement runs.
 
-    A caller began a transaction, wrote, and then neither ended the transaction nor
-    disconnected. The transaction kept its locks and one of the few connections.
+    A caller begins a transaction, writes, and then neither ends the transaction nor
+    disconnects. The transaction keeps its locks and one of the few connections.
     """
     name = path.begin(1, "t")
     idle = path.node.tuning.transaction_idle
@@ -216,9 +216,9 @@
 
 
 def test_promotion_ends_the_transactions_of_the_previous_term(path):
-    """Statements waited on a primary that had been replaced.
+    """Statements wait on a primary that has been replaced.
 
-    m1 became silent during a transaction, and m2 was promoted. Commits of the previous
+    m1 becomes silent during a transaction, and m2 is promoted. Commits of the previous
     term can no longer be acknowledged.
     """
     name = path.begin(1, "t")
@@ -229,10 +229,10 @@
 
 
 def test_commit_of_an_unknown_transaction_is_answered_unknown(path):
-    """A committed transaction was answered NOT_RUN.
+    """A committed transaction is answered NOT_RUN.
 
-    A host failed after the commit, and the caller repeated the commit at another host,
-    which did not know the transaction and its outcome.
+    A host fails after the commit, and the caller repeats the commit at another host,
+    which does not know the transaction and its outcome.
     """
     path.commit(1, "c", "dead-host.1.7")
     code = ErrorCode.UNKNOWN_TRANSACTION.code
@@ -251,9 +251,9 @@
 
 
 def test_begin_with_the_id_of_a_statement_is_refused(path):
-    """A commit was answered DONE, but the transaction had not been committed.
+    """A commit is answered DONE, but the transaction has not been committed.
 
-    A caller used the id of an earlier statement for its begin, and the endpoint found
+    A caller uses the id of an earlier statement for its begin, and the endpoint finds
     the record of the statement under the id of the transaction.
     """
     path.write(1, "t")
@@ -282,11 +282,11 @@
 
 
 def test_begin_on_a_primary_below_the_floor_is_not_used(path):
-    """A transaction did not read the session's own previous write.
+    """A transaction does not read the session's own previous write.
 
-    The session had written in term 2 through another host. This host, and m1 itself,
-    assumed that m1 was still the primary of term 1. Only the begin of a transaction
-    checks the floor of its reads.
+    The session wrote in term 2 through another host. This host, and m1 itself, assume
+    that m1 is still the primary of term 1. Only the begin of a transaction checks the
+    floor of its reads.
     """
     path.open_known(2, floor=(2, 8))
     path.ask(2, BeginRequest(request_id="t", database=DATABASE, access=Access.WRITE))
@@ -297,11 +297,11 @@
 
 
 def test_connection_of_a_read_only_begin_below_the_floor_is_reset(path):
-    """A transaction began on a connection on which another one was open.
+    """A transaction begins on a connection on which another one is open.
 
-    A replica that had restarted from an older log began a read-only transaction at
-    (1, 4) for a session that had seen (1, 5). The connection was released without a
-    reset, as after a statement.
+    A replica has restarted from an older log and begins a read-only transaction at
+    (1, 4) for a session that has seen (1, 5). The connection must not be released
+    without a reset, as after a statement.
     """
     path.report("m2", (1, 5))
     path.open_known(2, floor=(1, 5))
--- a/tests/core/systems/test_waitqueue.py
+++ b/tests/core/systems/test_waitqueue.py
@@ -1,4 +1,4 @@
-"""Tests of mallowpass.core.systems.waitqueue."""
+"""The queue for connections: turns of callers and weights of classes."""
 
 from __future__ import annotations
 
@@ -32,9 +32,10 @@
 
 
 def test_callers_take_turns_regardless_of_their_number_of_requests():
-    """A burst of one caller delayed the requests of all others of its class.
+    """A burst of one caller delays the requests of all others of its class.
 
-    They were served in order of arrival, without turns.
+    Requests of a class must not be served in order of arrival, without turns of
+    callers.
     """
     queue = WaitQueue(WEIGHTS)
     for number, caller in enumerate("aaaabc"):
@@ -43,9 +44,9 @@
 
 
 def test_classes_share_by_weight_and_none_is_starved():
-    """A class of low weight was not served while another one always had requests.
+    """A class of low weight is not served while another one always has requests.
 
-    Classes were served in strict order of priority.
+    Classes must not be served in strict order of priority.
     """
     queue = WaitQueue(WEIGHTS)
     for number in range(80):
@@ -56,10 +57,10 @@
 
 
 def test_classes_share_connection_time_not_the_number_of_requests():
-    """A class of slow statements used the connections most of the time.
+    """A class of slow statements uses the connections most of the time.
 
-    Its statements took thirty times as long, and each class got the same number of
-    requests.
+    The statements of that class take thirty times as long. Classes must not get equal
+    numbers of requests.
     """
     queue = WaitQueue({"caseworker": 1, "reconciliation": 1})
     for _ in range(200):
@@ -73,9 +74,9 @@
 
 
 def test_idle_class_accumulates_no_credit():
-    """A class that had been idle took all connections when its requests came.
+    """A class that was idle takes all connections when its requests come.
 
-    The turns that it had not used while the other class was served were saved up.
+    Turns that a class does not use while another one is served must not be saved up.
     """
     queue = WaitQueue({"caseworker": 1, "reconciliation": 1})
     for number in range(120):
@@ -89,10 +90,10 @@
 
 
 def test_cancelled_requests_are_neither_counted_nor_kept():
-    """Memory grew while an endpoint gave no connection.
+    """Memory grows while an endpoint gives no connection.
 
-    Thousands of requests were queued and cancelled, and none was taken. Cancelled
-    entries were dropped only when their turn came.
+    Thousands of requests are queued and cancelled, and none is taken. Cancelled entries
+    must be dropped before their turn comes.
     """
     queue = WaitQueue(WEIGHTS)
     for number in range(5_000):
--- a/tests/core/systems/test_writes.py
+++ b/tests/core/systems/test_writes.py
@@ -87,8 +87,8 @@
 
     A duplicate ran in term 1 through another host. m2 leads term 2, of which no
     majority holds anything; this attempt is sent there, lost and not recorded. Term 3
-    starts from the log of term 1. The look-up in the term of sending was taken for
-    proof by itself.
+    starts from the log of term 1. A look-up in the term of sending must not be taken
+    for proof by itself.
     """
     path.promote("m2", term=2, start=7)
     path.write(1, "file")
@@ -182,7 +182,7 @@
     """Each retry of a caller is refused.
 
     Another host abandoned and fenced the first attempt. The attempt number of the
-    caller's retry started below the fence.
+    caller's retry must start above the fence.
     """
     path.write(1, "file")
     path.reply(EndpointCode.FENCED, attempt=3)
@@ -237,7 +237,7 @@
 
 
 def test_ids_of_two_callers_never_collide(path):
-    """A caller's write is answered with another caller's, and never runs.
+    """A caller gets the answer to another caller's write, and its own write never runs.
 
     Caller "a/b" sends request "c" and caller "a" sends request "b/c". The endpoint
     records caller and request id as one text.
@@ -252,7 +252,8 @@
 def test_writes_are_held_without_a_primary_and_run_in_order(path):
     """Callers get errors during a failover.
 
-    The primary is lost, writes arrive, and m2 is promoted before their deadlines.
+    The primary is lost, writes arrive, and m2 is promoted before their deadlines. The
+    writes must wait for the promotion.
     """
     path.lose_primary()
     for name in ("a", "b", "c"):
@@ -327,7 +328,8 @@
 def test_connection_granted_after_the_deadline_is_released(path):
     """A write that was answered NOT_RUN is recorded.
 
-    The pool grants a connection to the write just after the write's deadline.
+    The pool grants a connection to the write just after the write's deadline. The write
+    must not be sent.
     """
     path.pooling.granting = False
     path.write(1, "file", deadline=1.0)
@@ -389,8 +391,8 @@
 def test_slow_write_is_not_fenced_while_its_connection_answers(path):
     """A long write never finishes, or is answered NOT_RUN.
 
-    The write takes eight times the usual latency, and is fenced and sent again. Each
-    attempt is as slow as the first and was fenced as well.
+    The write takes eight times the usual latency. If it were fenced and sent again,
+    each attempt would be as slow as the first and would be fenced as well.
     """
     path.pooling.answering = True
     path.write(1, "reconcile", deadline=60.0)
@@ -404,8 +406,8 @@
 def test_pause_of_the_primary_does_not_cause_refusals(path):
     """Writes are refused with RETRY_BUDGET_SPENT after a pause of the primary.
 
-    More writes in flight are overdue than the budget has retries. Each write was fenced
-    before it was certain that the write could be sent again.
+    More writes in flight are overdue than the budget has retries. A write must not be
+    fenced before it is certain that the write can be sent again.
     """
     path.retries._budget("claims-core").left = 2.0
     for name in ("a", "b", "c"):
