--- a/tests/core/systems/test_busychecks.py
+++ b/tests/core/systems/test_busychecks.py
@@ -208,7 +208,7 @@
     assert host.pool.concurrency.baseline > 1.0
 
 
-def _give_up_unanswered(host: PoolHost) -> None:
+def _cancel_unanswered(host: PoolHost) -> None:
     """Cancel a statement whose connection does not answer a keep-alive."""
     request = host.request()
     host.wait(0.1)
@@ -238,7 +238,7 @@
     host.requests.hold = False
     host.wait(0.1)
     (older, _) = host.pool.idle
-    _give_up_unanswered(host)
+    _cancel_unanswered(host)
     assert {sent.connection for sent in host.calls(KeepAliveCall)} >= {older}
     assert not host.pool.idle
 
@@ -253,7 +253,7 @@
     host = _host()
     _start(host)
     host.reply_all()
-    _give_up_unanswered(host)
+    _cancel_unanswered(host)
     host.endpoint.last_reply_at = host.now + 1.0
     host.wait(0.6)
     assert not host.pool.connections
@@ -263,7 +263,7 @@
     host = _host()
     _start(host)
     host.reply_all()
-    _give_up_unanswered(host)
+    _cancel_unanswered(host)
     host.endpoint.last_reply_at = host.now + 1.0
     host.reply(host.calls(KeepAliveCall)[-1])
     host.wait(0.6)
--- a/tests/core/systems/test_configuration_machine.py
+++ b/tests/core/systems/test_configuration_machine.py
@@ -146,19 +146,20 @@
                 assert [host.accepted(service)] == (newest or [None]), host.name
         self._check_answers({v.change_id: v.version for v in written})
 
-    def _check_answers(self, winners):
+    def _check_answers(self, written):
+        """Check all answers against the written version of each change id."""
         for host, call, request in self.asked:
             answer = host.answers.get(call)
             if answer is None:
                 assert not host.alive, "a call was never answered"
             elif answer.accepted:
-                assert winners[request.change_id] == request.from_version + 1
-            elif answer.code in NOT_SENT_CODES and request.change_id in winners:
+                assert written[request.change_id] == request.from_version + 1
+            elif answer.code in NOT_SENT_CODES and request.change_id in written:
                 assert self._may_have_succeeded_otherwise(call, request), answer
-            elif answer.code not in AMBIGUOUS_CODES and request.change_id in winners:
+            elif answer.code not in AMBIGUOUS_CODES and request.change_id in written:
                 # Only the newest changes are recorded; the answer says so.
                 newest = answer.current.version
-                assert newest - winners[request.change_id] >= HISTORY_LENGTH, answer
+                assert newest - written[request.change_id] >= HISTORY_LENGTH, answer
                 assert "too long ago" in answer.message
 
     def _may_have_succeeded_otherwise(self, call, request):
--- a/tests/core/systems/test_failover.py
+++ b/tests/core/systems/test_failover.py
@@ -72,6 +72,7 @@
 
 
 def promote(scene: Scene, member: str, host: str = "h0") -> list:
+    """Order a promotion on a host; return a list for the answer to the operator."""
     answers: list = []
     node = scene.world.hosts[host]
     node.do(node.system(Failover).promote, KEY, member, lambda *a: answers.append(a))
@@ -86,8 +87,8 @@
 def test_crash_promotes_the_furthest_log(members, tell):
     """Acknowledged writes are missing after the primary crashes.
 
-    b lags behind c when a crashes. No member may be promoted that lacks what a majority
-    held.
+    b lags behind c when a crashes. A member that lacks entries held by a majority must
+    not be promoted.
     """
     scene = make_scene(members=members)
     scene.links.cut("a", "b")
@@ -410,7 +411,7 @@
 # -- Failures during a failover ----------------------------------------------
 
 
-def test_chosen_member_crashes_after_its_promise():
+def test_new_attempt_follows_if_the_chosen_member_crashes():
     """A group stays without a primary though a majority is running.
 
     Of five members, the one with the furthest log promises and crashes. A new attempt
@@ -466,7 +467,7 @@
 
 
 @pytest.mark.parametrize("lost", [1, 3])
-def test_answer_lost_after_the_promotion_took_effect(lost):
+def test_lost_answer_to_promote_causes_no_second_promotion(lost):
     """A second promotion follows, or hosts do not learn of the first one.
 
     The new primary's answers to Promote are lost, once or every time. A lost answer
@@ -482,7 +483,7 @@
     assert scene.counted("promotions") == 1
 
 
-def test_call_to_promote_is_lost():
+def test_lost_call_to_promote_is_repeated():
     """A failover takes longer by a whole attempt.
 
     A majority has promised, and the call to promote is lost once. The call is
@@ -803,6 +804,7 @@
 
 
 def inject_fault(scene: Scene, random) -> None:
+    """Cause or heal a random fault, or do nothing."""
     group, links = scene.group, scene.links
     names = sorted(group.members)
     down = [name for name in names if group.members[name].crashed]
@@ -828,6 +830,7 @@
 
 
 def settle(scene: Scene) -> None:
+    """Heal all faults, and wait until all hosts serve the group."""
     scene.links.heal()
     scene.links.loss = 0.0
     for name in scene.group.members:
--- a/tests/core/systems/test_isolation.py
+++ b/tests/core/systems/test_isolation.py
@@ -99,7 +99,7 @@
     scene.world.run_till(lambda: scene.row(name).primary == "", limit)
 
 
-def test_primary_is_stalled_only_while_a_write_waits():
+def test_group_is_stalled_only_while_a_write_waits():
     scene = make_scene()
     liveness, row = scene.host.system(Liveness), scene.row()
     for name in "bc":
@@ -181,7 +181,7 @@
     assert_no_promotion(scene)
 
 
-def test_blocked_primary_that_is_the_most_distant_member_returns():
+def test_blocked_primary_that_is_the_most_distant_member_is_unblocked():
     """A host sends no writes to a healthy primary.
 
     A blocked primary recovers. The other members answer this host's probes sooner than
--- a/tests/core/systems/test_pooling.py
+++ b/tests/core/systems/test_pooling.py
@@ -231,7 +231,7 @@
     assert len(host.opened()) == 1
 
 
-def _in_use_with_spares(host: PoolHost, statements: int) -> int:
+def _start_statements(host: PoolHost, statements: int) -> int:
     """Start statements one after another; return the number of open connections."""
     for _ in range(statements):
         host.request()
@@ -246,7 +246,7 @@
     open before that request comes.
     """
     host = PoolHost(limit=64)
-    assert _in_use_with_spares(host, 3) == 4
+    assert _start_statements(host, 3) == 4
     assert len(host.pool.idle) == 1
     host.reply_all()
     host.request()
@@ -254,13 +254,13 @@
 
 
 def test_no_spare_connection_is_opened_beyond_the_statement_limit():
-    assert _in_use_with_spares(PoolHost(limit=64, concurrent=8), 2) == 2
+    assert _start_statements(PoolHost(limit=64, concurrent=8), 2) == 2
 
 
 def test_no_spare_connection_is_opened_in_the_lendable_share():
     host = PoolHost(limit=16)
     kept = host.pool.own_share - host.pool.lendable_share
-    assert _in_use_with_spares(host, kept) == kept
+    assert _start_statements(host, kept) == kept
 
 
 def _open_first(host: PoolHost) -> int:
--- a/tests/core/systems/test_positionawaits.py
+++ b/tests/core/systems/test_positionawaits.py
@@ -17,7 +17,7 @@
 from tests.core.systems.test_failover import write
 from tests.fakes.scenes import KEY, Scene
 
-NEAR = 0.001
+NEAR = 0.001  # seconds between failure domains
 
 
 @pytest.fixture
@@ -30,6 +30,7 @@
 
 
 def answer(scene: Scene, position: LogPosition, **fields) -> None:
+    """Answer the write at a position as the primary would."""
     reply = EndpointReply(
         sequence=1, code=EndpointCode.OK, applied=position, term=position.term
     )
