--- a/mallowpass/core/systems/requests.py
+++ b/mallowpass/core/systems/requests.py
@@ -349,7 +349,7 @@
             if request.state in _WAITING_STATES or request.access is Access.READ:
                 self._cancel_queued(request)
                 self.answer_not_run(
-                    request, ErrorCode.UNKNOWN_SESSION, "the caller disconnected"
+                    request, ErrorCode.UNKNOWN_SESSION, "the session ended"
                 )
 
     def answer_done(
--- a/mallowpass/core/systems/transactions.py
+++ b/mallowpass/core/systems/transactions.py
@@ -191,7 +191,7 @@
         if session is None:
             self._pooling.release(connection, reset=True)
             code = ErrorCode.UNKNOWN_SESSION
-            self._requests.answer_not_run(request, code, "the caller disconnected")
+            self._requests.answer_not_run(request, code, "the session ended")
             return
         transaction = self._create(request, connection)
         session.transactions.add(transaction.name)
@@ -246,8 +246,8 @@
             transaction = self.tables.transactions[name]
             if transaction.state is TransactionState.ENDING:
                 continue  # its commit or rollback is in flight
-            self._node.record_decision("rollback", name, "the caller disconnected")
-            self.end(transaction, _ROLLED_BACK, "the caller disconnected")
+            self._node.record_decision("rollback", name, "the session ended")
+            self.end(transaction, _ROLLED_BACK, "the session ended")
             self.release(transaction, reset=True)
 
     def end(
