--- a/mallowpass/core/systems/hostlist.py
+++ b/mallowpass/core/systems/hostlist.py
@@ -25,7 +25,7 @@
 
 __all__ = ["HostList"]
 
-POLLERS = 2  # hosts that poll the list, in each failure domain
+POLLERS_PER_DOMAIN = 2  # hosts that poll the list
 UNKNOWN_SEAT = -1
 # For thousands of hosts, a list has hundreds of kilobytes, and the registrations of the
 # fleet are hundreds of writes. So both intervals grow with the number of seats.
@@ -97,7 +97,7 @@
 
     def _poll(self) -> None:
         domain = self._node.identity.failure_domain
-        if self._hosts.rank("host-list", domain) < POLLERS:
+        if self._hosts.rank("host-list", domain) < POLLERS_PER_DOMAIN:
             self._client.call(ListHosts(), self._on_listed)
 
     def _on_listed(self, reply: PlatformReply) -> None:
--- a/mallowpass/core/systems/promotionturn.py
+++ b/mallowpass/core/systems/promotionturn.py
@@ -11,7 +11,7 @@
 
 __all__ = ["PromotionTurn"]
 
-TURN_MAX = 8  # stewards from this rank on share one turn, spread by jitter
+RANK_MAX = 8  # stewards from this rank on share one turn, spread by jitter
 # Seconds before another attempt. The maximum is for the first steward; it grows with
 # the steward's rank.
 RETRY_MIN = 0.03
@@ -67,12 +67,12 @@
 
     @property
     def _rank(self) -> int:
-        return min(self._liveness.steward_rank(self._row), TURN_MAX)
+        return min(self._liveness.steward_rank(self._row), RANK_MAX)
 
     @property
     def _delay(self) -> float:
         rank, stagger = self._rank, self._node.tuning.steward_stagger
-        if rank < TURN_MAX:
+        if rank < RANK_MAX:
             return rank * stagger
-        spread = TURN_MAX * stagger
+        spread = RANK_MAX * stagger
         return spread + self._node.random.uniform(spread / 2, spread)
--- a/mallowpass/core/systems/servicepoll.py
+++ b/mallowpass/core/systems/servicepoll.py
@@ -26,7 +26,7 @@
 
 __all__ = ["ServicePoll"]
 
-POLLERS_PER_DOMAIN = 2
+POLLERS_PER_DOMAIN = 2  # hosts that poll the services table
 JITTER = 0.2  # fraction of the poll interval
 FIRST_POLL_DELAY_MIN = 0.05  # seconds
 # Seconds per host of the fleet over which first polls are spread. Thousands of hosts
--- a/mallowpass/core/systems/switchover.py
+++ b/mallowpass/core/systems/switchover.py
@@ -14,7 +14,7 @@
 
 __all__ = ["SwitchoverPlanner"]
 
-RANK_MAX = 8
+RANK_MAX = 8  # stewards from this rank on share one turn
 RETRY_DELAY_MAX = 4.0  # seconds
 
 
