--- a/mallowpass/core/signals.py
+++ b/mallowpass/core/signals.py
@@ -65,7 +65,11 @@
 
 @record
 class EndpointStateChanged(Signal):
-    """An endpoint began to leave, or is back."""
+    """An endpoint began to leave, or does not leave any more.
+
+    Published when a report or a notice changes `EndpointRow.is_leaving`. Ejections and
+    lost connections do not publish it.
+    """
 
     address: str
 
--- a/mallowpass/core/tables.py
+++ b/mallowpass/core/tables.py
@@ -75,7 +75,7 @@
 
 @record
 class FloorRecord:
-    """A floor: `position` covers every write that was acknowledged before `at`."""
+    """A floor: `position` covers all writes that were acknowledged before `at`."""
 
     at: float
     position: LogPosition
@@ -93,7 +93,7 @@
     watch_sequence: int = 0  # sequence number of the WatchCall
     report: Report | None = None  # newest
     last_report_at: float = float("-inf")
-    last_reply_at: float = float("-inf")  # of any kind, on any connection or stream
+    last_reply_at: float = float("-inf")  # any reply, on any connection or stream
     misses: int = 0
     is_leaving: bool = False  # finishes the work in flight, and gets no new work
     # Changed by routing and pooling.
@@ -177,7 +177,7 @@
 class SessionRow:
     """A caller's session.
 
-    The session's token holds its floors, so that it can go on at another host.
+    The session's token contains its floors, so that it can continue at another host.
     """
 
     stream: int  # number of the caller's stream
@@ -220,7 +220,7 @@
     floor: LogPosition = ZERO_POSITION
     # Positions that its session has seen. A read must see all of them.
     session_positions: tuple[LogPosition, ...] = ()
-    needs_fresh_floor: bool = False  # a majority is to be asked for the floor first
+    needs_fresh_floor: bool = False  # the floor must first be looked up at a majority
     floor_requested_at: float = 0.0  # when a majority was last asked for the floor
     floor_lookups: int = 0  # times that a majority was asked for the floor
     idempotent: bool = False
@@ -235,18 +235,18 @@
     parts_sent: int = 0  # parts of the answer that were sent to the caller
     transaction: str = ""
     timer: Timer | None = None
-    detail: str = ""  # latest reason for waiting or failing; for journal and answer
-    extra: dict[str, Any] | None = None  # of the system that owns the present state
+    detail: str = ""  # latest reason for waiting or failing, for journal and answer
+    extra: dict[str, Any] | None = None  # data of the system that owns the state
     record_id: str = ""  # id under which the endpoint records the write
     repeated: bool = False  # the write had run already, for an earlier request
-    waiter: Any = None  # wait for a majority or for an outcome; has a cancel() method
+    waiter: Any = None  # waits for a majority or an outcome; has a cancel() method
     avoided_addresses: set[str] | None = None  # of endpoints that could not serve it
     duplicates: list[tuple[int, str]] | None = None  # (stream, id) of each copy
     behind_count: int = 0  # times that a member had not reached its floor
     is_retry_prepaid: bool = False  # the budget has been charged for its next retry
     queued_at: float = 0.0  # when it was queued for the endpoint at `address`
     retry_after: float = float("inf")  # shortest wait advised by a full queue, seconds
-    was_moved: bool = False  # sent again, from a slow member to another one
+    was_moved: bool = False  # sent again to another member, as the first was slow
 
 
 class TransactionState(Enum):
@@ -300,7 +300,7 @@
     address: str
     incarnation: int = 0
     state: HostState = HostState.ALIVE
-    last_contact_at: float = float("-inf")  # when its last message came
+    last_contact_at: float = float("-inf")  # when its latest message arrived
     beat: int = 0  # number of its latest heartbeat
     link: int = 0  # 0: none
 
