--- a/mallowpass/core/systems/groupview.py
+++ b/mallowpass/core/systems/groupview.py
@@ -84,9 +84,9 @@
 
     # -- Terms ---------------------------------------------------------------
 
-    def dropped_by(self, position: LogPosition) -> LogPosition | None:
+    def discarded_by(self, position: LogPosition) -> LogPosition | None:
         """Return the start of the term that dropped a position from the newest log."""
-        return self.history.dropped_by(position, self.row.term)
+        return self.history.discarded_by(position, self.row.term)
 
     def contains(self, end: LogPosition, position: LogPosition) -> bool:
         """Return whether a log that ends at `end` is proven to contain a position."""
@@ -96,7 +96,7 @@
             return end.position >= position.position
         if end.term < position.term or not self.history.has_start_of(end.term):
             return False
-        return self.history.dropped_by(position, end.term) is None
+        return self.history.discarded_by(position, end.term) is None
 
     # -- Held by a majority --------------------------------------------------
 
--- a/mallowpass/core/systems/liveness.py
+++ b/mallowpass/core/systems/liveness.py
@@ -133,7 +133,7 @@
         # The recorded position may include entries that no majority had and that a
         # promotion dropped. The log contains all acknowledged writes at the position
         # at which the next term starts.
-        return view.dropped_by(floor) or floor
+        return view.discarded_by(floor) or floor
 
     def wait_for_majority(
         self,
@@ -203,7 +203,7 @@
     def is_floor_lost(self, database: DatabaseRow, position: LogPosition) -> bool:
         """Return whether a promotion dropped a position from the log."""
         view = self._views.get(database.key)
-        return view is not None and view.dropped_by(position) is not None
+        return view is not None and view.discarded_by(position) is not None
 
     def contains(
         self, database: DatabaseRow, end: LogPosition, position: LogPosition
--- a/mallowpass/core/systems/termhistory.py
+++ b/mallowpass/core/systems/termhistory.py
@@ -42,7 +42,7 @@
         """Return whether the start of a term is known."""
         return term in self._starts
 
-    def dropped_by(self, position: LogPosition, end_term: int) -> LogPosition | None:
+    def discarded_by(self, position: LogPosition, end_term: int) -> LogPosition | None:
         """Return the start of the term that dropped a position from a log.
 
         The log ends in `end_term`. Return None if the log contains the position, or
@@ -52,7 +52,7 @@
             return None
         older = self._older.get(end_term)
         if older is None:
-            return self._dropped_by_any(position, end_term)
+            return self._discarded_by_any(position, end_term)
         following = LogPosition(end_term, self._starts[end_term])
         for start in older:
             if start.term <= position.term:
@@ -65,7 +65,7 @@
             return following
         return None
 
-    def _dropped_by_any(
+    def _discarded_by_any(
         self, position: LogPosition, end_term: int
     ) -> LogPosition | None:
         """Compare with all terms ever reported, for members that report no older ones.
--- a/tests/core/systems/test_termhistory.py
+++ b/tests/core/systems/test_termhistory.py
@@ -35,7 +35,7 @@
 def test_position_is_dropped_by_the_next_term_of_the_log(position, dropped):
     history = TermHistory()
     history.add(report((4, 6), (2, 2), (1, 1)))
-    assert history.dropped_by(LogPosition(*position), 4) == dropped
+    assert history.discarded_by(LogPosition(*position), 4) == dropped
 
 
 def test_term_that_no_log_has_any_more_drops_nothing():
@@ -48,20 +48,20 @@
     history = TermHistory()
     history.add(report((3, 3), (2, 2), (1, 1)))
     history.add(report((4, 7), (2, 2), (1, 1)))
-    assert history.dropped_by(LogPosition(2, 6), 4) is None
-    assert history.dropped_by(LogPosition(2, 6), 3) == (3, 3)
+    assert history.discarded_by(LogPosition(2, 6), 4) is None
+    assert history.discarded_by(LogPosition(2, 6), 3) == (3, 3)
 
 
 def test_all_reported_terms_count_if_members_report_no_older_ones():
     history = TermHistory()
     history.add(report((2, 2)))
     history.add(report((4, 7)))
-    assert history.dropped_by(LogPosition(1, 1), 4) is None
-    assert history.dropped_by(LogPosition(1, 3), 4) == (2, 2)
+    assert history.discarded_by(LogPosition(1, 1), 4) is None
+    assert history.discarded_by(LogPosition(1, 3), 4) == (2, 2)
 
 
 def test_position_older_than_all_reported_terms_is_compared_with_the_oldest():
     history = TermHistory()
     history.add(report((9, 50), (8, 40)))
-    assert history.dropped_by(LogPosition(1, 39), 9) is None
-    assert history.dropped_by(LogPosition(1, 40), 9) == (8, 40)
+    assert history.discarded_by(LogPosition(1, 39), 9) is None
+    assert history.discarded_by(LogPosition(1, 40), 9) == (8, 40)
--- a/tests/test_findings.py
+++ b/tests/test_findings.py
@@ -227,7 +227,7 @@
 
     Sequence: a session sees (2, 6); a primary of term 3 starts at 3 and is replaced
     before a majority holds anything of it; term 4 goes on from (2, 6).
-    Cause: GroupView.dropped_by counts the start of any higher term ever reported,
+    Cause: GroupView.discarded_by counts the start of any higher term ever reported,
     also of one that is in no log any more.
     """
     machine = WholeSystem()
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -483,7 +483,7 @@
     ),
     "lost_floor_is_told": Guard(
         "read_your_writes",
-        replace(termhistory.TermHistory, "dropped_by", lambda *arguments: None),
+        replace(termhistory.TermHistory, "discarded_by", lambda *arguments: None),
         read_again_what_a_promotion_dropped,
     ),
     "floor_is_lost_only_where_a_term_began_below": Guard(
