--- a/mallowpass/core/systems/groupview.py
+++ b/mallowpass/core/systems/groupview.py
@@ -85,7 +85,7 @@
     # -- Terms ---------------------------------------------------------------
 
     def discarded_by(self, position: LogPosition) -> LogPosition | None:
-        """Return the start of the term that dropped a position from the newest log."""
+        """Return the start of the term that discarded a position of the newest log."""
         return self.history.discarded_by(position, self.row.term)
 
     def contains(self, end: LogPosition, position: LogPosition) -> bool:
--- a/mallowpass/core/systems/liveness.py
+++ b/mallowpass/core/systems/liveness.py
@@ -131,7 +131,7 @@
         if floor is None:
             return None
         # The recorded position may include entries that no majority had and that a
-        # promotion dropped. The log contains all acknowledged writes at the position
+        # promotion discarded. The log contains all acknowledged writes at the position
         # at which the next term starts.
         return view.discarded_by(floor) or floor
 
@@ -201,7 +201,7 @@
         return None if view is None else view.predict(self.now, endpoint, position)
 
     def is_floor_lost(self, database: DatabaseRow, position: LogPosition) -> bool:
-        """Return whether a promotion dropped a position from the log."""
+        """Return whether a promotion discarded a position from the log."""
         view = self._views.get(database.key)
         return view is not None and view.discarded_by(position) is not None
 
--- a/mallowpass/core/systems/termhistory.py
+++ b/mallowpass/core/systems/termhistory.py
@@ -43,7 +43,7 @@
         return term in self._starts
 
     def discarded_by(self, position: LogPosition, end_term: int) -> LogPosition | None:
-        """Return the start of the term that dropped a position from a log.
+        """Return the start of the term that discarded a position from a log.
 
         The log ends in `end_term`. Return None if the log contains the position, or
         if the start of `end_term` is unknown.
@@ -71,7 +71,7 @@
         """Compare with all terms ever reported, for members that report no older ones.
 
         Terms whose entries no log contains count as well, so a position that is still
-        in the log may be reported as dropped.
+        in the log may be reported as discarded.
         """
         for term, start in self._starts.items():
             if position.term < term <= end_term and start <= position.position:
--- a/mallowpass/core/systems/writes.py
+++ b/mallowpass/core/systems/writes.py
@@ -341,8 +341,8 @@
         """Acknowledge a write once a majority holds it in the primary's term.
 
         A replaced primary answers OK as well until it learns of its replacement, and
-        the write is dropped later. Only the reports of a majority show whether a write
-        is durable.
+        the write is discarded later. Only the reports of a majority show whether a
+        write is durable.
         """
         database = self.tables.databases.get(request.database)
         if database is None:
--- a/tests/core/systems/test_isolation.py
+++ b/tests/core/systems/test_isolation.py
@@ -154,7 +154,7 @@
 
 
 def test_all_members_are_asked_to_promise_after_a_crash():
-    """A promotion drops writes though a running member has them.
+    """A promotion discards writes though a running member has them.
 
     e is ahead of b, c and d, and e's answers to probes are lost when a crashes. All
     members must be asked to promise, not only those that confirmed the failure.
--- a/tests/core/systems/test_liveness.py
+++ b/tests/core/systems/test_liveness.py
@@ -287,7 +287,7 @@
 
 
 def test_floor_above_the_start_of_a_later_term_is_lost(scene):
-    """A session that saw dropped data goes on reading as if nothing was dropped.
+    """A session that saw discarded data goes on reading as if nothing was discarded.
 
     The session read position 3 of term 1 on an isolated primary; term 2 starts at 2.
     Positions of different terms must not be compared by number.
@@ -306,8 +306,8 @@
     assert liveness.has_reached(row.primary_row, LogPosition(1, 1))
 
 
-def test_floor_dropped_by_a_term_that_the_host_never_saw_is_lost(scene):
-    """A session that saw dropped data goes on reading as if nothing was dropped.
+def test_floor_discarded_by_a_term_that_the_host_never_saw_is_lost(scene):
+    """A session that saw discarded data goes on reading as if nothing was discarded.
 
     The session read positions of term 1 on an isolated primary. Term 2 starts below
     these positions while this host is cut off too, and term 3 starts above them. All
@@ -332,7 +332,7 @@
     assert not liveness.is_floor_lost(row, LogPosition(1, 1))
 
 
-def test_age_floor_holds_no_entry_that_a_promotion_dropped(scene):
+def test_age_floor_holds_no_entry_that_a_promotion_discarded(scene):
     """Reads with an accepted age find no member until that age has passed.
 
     The primary is cut off from the others and accepts entries. A round gets answers
--- a/tests/core/systems/test_termhistory.py
+++ b/tests/core/systems/test_termhistory.py
@@ -25,20 +25,20 @@
     ("position", "dropped"),
     [
         ((1, 1), None),
-        ((1, 2), (2, 2)),  # term 2 drops it, though term 4 starts above it
+        ((1, 2), (2, 2)),  # term 2 discards it, though term 4 starts above it
         ((2, 5), None),
         ((2, 6), (4, 6)),
         ((3, 4), (4, 6)),  # the log has no entries of term 3
         ((4, 9), None),
     ],
 )
-def test_position_is_dropped_by_the_next_term_of_the_log(position, dropped):
+def test_position_is_discarded_by_the_next_term_of_the_log(position, dropped):
     history = TermHistory()
     history.add(report((4, 6), (2, 2), (1, 1)))
     assert history.discarded_by(LogPosition(*position), 4) == dropped
 
 
-def test_term_that_no_log_has_any_more_drops_nothing():
+def test_term_that_no_log_has_any_more_discards_nothing():
     """FLOOR_LOST is answered though the newest log contains all that a session saw.
 
     A session sees (2, 6). A primary of term 3 starts at 3 and is replaced before any
--- a/tests/test_guards.py
+++ b/tests/test_guards.py
@@ -158,7 +158,7 @@
     fleet.run(1.0)
 
 
-def read_again_what_a_promotion_dropped() -> None:
+def read_again_what_a_promotion_discarded() -> None:
     fleet = Fleet()
     session = fleet.open("h0", "hind")
     fleet.read(session)
@@ -484,7 +484,7 @@
     "lost_floor_is_told": Guard(
         "read_your_writes",
         replace(termhistory.TermHistory, "discarded_by", lambda *arguments: None),
-        read_again_what_a_promotion_dropped,
+        read_again_what_a_promotion_discarded,
     ),
     "floor_is_lost_only_where_a_term_began_below": Guard(
         "floor_lost_is_true",
