--- a/mallowpass/core/proxy/control.py
+++ b/mallowpass/core/proxy/control.py
@@ -39,7 +39,7 @@
         "calls",
         "connection",
         "endpoint",
-        "expires",
+        "expires_at",
         "handler",
         "timer",
         "via",
@@ -50,14 +50,14 @@
         endpoint: EndpointRow,
         calls: list[EndpointCall],
         handler: RepliesHandler,
-        expires: float,
+        expires_at: float,
         via: HostRow | None,
     ) -> None:
         self.endpoint = endpoint
         self.via = via  # host that must forward the statements; None: any path
         self.calls = calls
         self.handler: RepliesHandler | None = handler
-        self.expires = expires
+        self.expires_at = expires_at
         self.connection: ConnectionRow | None = None
         self.timer: Timer | None = None
 
@@ -99,7 +99,7 @@
         request = ControlRequest(endpoint, calls, handler, self.now + timeout, via)
         request.timer = self.timers.after(timeout, self._finish, request, None)
         self._waiting.append(request)
-        self._try_send(request)
+        self._try_to_send(request)
         return request
 
     def cancel_forwarded(self, endpoint: EndpointRow, host: str) -> None:
@@ -112,7 +112,7 @@
     def _on_connection_freed(self, signal: ConnectionFreed) -> None:
         for request in list(self._waiting):
             if request.endpoint is signal.endpoint:
-                self._try_send(request)
+                self._try_to_send(request)
 
     def _on_restarted(self, signal: EndpointRestarted) -> None:
         """End requests to an endpoint that restarted before they were sent.
@@ -124,7 +124,7 @@
             if request.endpoint is signal.previous:
                 self._finish(request, None)
 
-    def _try_send(self, request: ControlRequest) -> None:
+    def _try_to_send(self, request: ControlRequest) -> None:
         if request.handler is None or request not in self._waiting:
             return
         connection = self._take_connection(request)
@@ -161,9 +161,9 @@
         can_retry = request.via is None and any(
             reply.code in _RETRIED_CODES for reply in replies
         )
-        if can_retry and self.now + RETRY_DELAY < request.expires:
+        if can_retry and self.now + RETRY_DELAY < request.expires_at:
             self._waiting.append(request)
-            self.timers.after(RETRY_DELAY, self._try_send, request)
+            self.timers.after(RETRY_DELAY, self._try_to_send, request)
             return
         self._finish(request, replies)
 
--- a/mallowpass/core/proxy/holders.py
+++ b/mallowpass/core/proxy/holders.py
@@ -221,12 +221,12 @@
         """
         statement_limit = self.statement_limit(service)
         if cached is None or cached.statement_limit != statement_limit:
-            plan = self._make(service, statement_limit)
+            plan = self._make_plan(service, statement_limit)
         else:
             plan = cached.plan
         return _CachedPlan(plan, statement_limit, self.tables.endpoints_version)
 
-    def _make(self, service: str, statement_limit: int) -> Plan:
+    def _make_plan(self, service: str, statement_limit: int) -> Plan:
         configuration = self.tables.configuration
         limits = configuration.services.get(service) if configuration else None
         if limits is None:
--- a/mallowpass/core/proxy/links.py
+++ b/mallowpass/core/proxy/links.py
@@ -217,7 +217,7 @@
             self._waiting.append(link)
             self._waiting.sort(key=lambda link: (link.priority, link.waiting_since))
             self.timers.after(WAIT_TIMEOUT, self._check_wait, link, self.now)
-            self._try(link)
+            self._try_to_send(link)
 
     def _is_outdated(self, link: LinkRow) -> bool:
         """Return whether waiting writes may have outlived their timeout in a pause."""
@@ -289,10 +289,10 @@
         for link in list(self._waiting):
             if link.endpoint is not signal.endpoint or link.customer in blocked:
                 continue
-            if not self._try(link):
+            if not self._try_to_send(link):
                 blocked.add(link.customer)
 
-    def _try(self, link: LinkRow) -> bool:
+    def _try_to_send(self, link: LinkRow) -> bool:
         """Send a link's waiting calls if a connection is available; return success."""
         if not self._load.has_room(link.endpoint):
             return False
--- a/mallowpass/core/proxy/members.py
+++ b/mallowpass/core/proxy/members.py
@@ -103,7 +103,7 @@
             self._put(entry, row.version)
         else:
             self._mark_removed(name)
-            self._hold(row)
+            self._defer(row)
 
     def _is_configured(self, entry: EndpointEntry) -> bool:
         """Return whether the service of an entry is, or was, configured."""
@@ -113,7 +113,7 @@
         configuration = self.tables.configuration
         return configuration is not None and entry.service in configuration.services
 
-    def _hold(self, row: Row) -> None:
+    def _defer(self, row: Row) -> None:
         """Hold an entry until a configuration names its service."""
         self._unconfigured[row.key.key] = row
         if self.tables.configuration is not None:
--- a/mallowpass/core/proxy/requests.py
+++ b/mallowpass/core/proxy/requests.py
@@ -132,7 +132,7 @@
             route = transaction.route
         else:
             route = self.tables.configuration.routes[session.database]
-        expires = self.now + route.statement_timeout - ANSWER_MARGIN
+        expires_at = self.now + route.statement_timeout - ANSWER_MARGIN
         request = RequestRow(
             session=session,
             request_id=request_id,
@@ -140,7 +140,7 @@
             access=access,
             route=route,
             arrived_at=self.now,
-            expires_at=expires,
+            expires_at=expires_at,
             transaction=transaction,
             prepared=prepared,
         )
@@ -153,7 +153,9 @@
             )
             self._answers.refuse(request, Code.BUSY, why)
             return
-        request.timers.append(self.timers.at(expires, self._timeouts.expire, request))
+        request.timers.append(
+            self.timers.at(expires_at, self._timeouts.expire, request)
+        )
         if transaction is not None and transaction.connection is not None:
             self._transactions.send(request)
         else:
--- a/mallowpass/core/proxy/sampling.py
+++ b/mallowpass/core/proxy/sampling.py
@@ -46,8 +46,8 @@
     primary: EndpointRow
     asked_at: float
     reply: EndpointReply | None = None
-    proven: bool | None = None  # whether it is the only primary; None: not known yet
-    answered: bool = False
+    is_proven: bool | None = None  # whether it is the only primary; None: not known yet
+    is_answered: bool = False
 
 
 class Sampling(ProxySystem):
@@ -100,12 +100,12 @@
         self._node.count("floors_asked", service=service)
 
         def on_replies(replies: list[EndpointReply] | None) -> None:
-            probe.answered = True
+            probe.is_answered = True
             probe.reply = replies[0] if replies else None
             self._on_result(probe)
 
-        def on_proof(proven: bool) -> None:
-            probe.proven = proven
+        def on_proof(is_proven: bool) -> None:
+            probe.is_proven = is_proven
             self._on_result(probe)
 
         self._control.send(primary, (Begin(), Rollback()), on_replies, ANSWER_TIMEOUT)
@@ -115,13 +115,13 @@
         group, reply = probe.group, probe.reply
         if self._probes.get(group.service) is not probe:
             return
-        if not probe.answered or probe.proven is None:
+        if not probe.is_answered or probe.is_proven is None:
             return
         del self._probes[group.service]
         if reply is not None and reply.code is Code.NOT_PRIMARY:
             self._members.note_not_primary(probe.primary)
         accepted = reply is not None and reply.code is Code.DONE
-        if accepted and probe.proven and reply.position is not None:
+        if accepted and probe.is_proven and reply.position is not None:
             self._floors.record_sample(group, reply.position, probe.asked_at)
         else:
             self._next_probe_at[group.service] = self.now + FAILURE_BACKOFF
--- a/mallowpass/core/proxy/sessions.py
+++ b/mallowpass/core/proxy/sessions.py
@@ -63,7 +63,7 @@
 # any other idle session after this many seconds without activity. A caller that has
 # just opened a session, or set a value, is about to send a statement: if the session
 # were closed, the caller would lose an operation in progress.
-QUIET_TIMEOUT = 0.3
+IDLE_SESSION_TIMEOUT = 0.3
 
 _ENDING_STATEMENTS = (Commit, Rollback)
 
@@ -171,9 +171,9 @@
                 self._record_loss(session, why)
 
     def _close_if_idle(self, session: SessionRow) -> None:
-        quiet_time = self.now - session.last_active_at
+        idle_time = self.now - session.last_active_at
         is_busy = session.request is not None or bool(session.received)
-        is_idle = session.has_ended_operation or quiet_time >= QUIET_TIMEOUT
+        is_idle = session.has_ended_operation or idle_time >= IDLE_SESSION_TIMEOUT
         if session.state is SessionState.IDLE and is_idle and not is_busy:
             self.tables.sessions.pop(session.stream, None)
             session.closed = True
