--- a/mallowpass/core/proxy/floors.py
+++ b/mallowpass/core/proxy/floors.py
@@ -44,7 +44,8 @@
 BEHIND_BACKOFF_MIN = 0.05
 BEHIND_BACKOFF_MAX = 0.8
 # A replica that has refused all reads for this long is reported as stuck: it may have
-# stopped receiving the log. Doubled with each report, as it may only be lagging.
+# stopped receiving the log. The time doubles with each report, as the replica may only
+# be lagging.
 STUCK_TIMEOUT = 9.0
 # A group whose replicas have all refused all reads for this long is reported, as the
 # primary has to serve these reads.
--- a/mallowpass/core/proxy/members.py
+++ b/mallowpass/core/proxy/members.py
@@ -114,7 +114,7 @@
         return configuration is not None and entry.service in configuration.services
 
     def _defer(self, row: Row) -> None:
-        """Hold an entry until a configuration names its service."""
+        """Defer an entry until a configuration names its service."""
         self._unconfigured[row.key.key] = row
         if self.tables.configuration is not None:
             self._unreadable.note(row.key, f"no such service: {row.value.service}")
--- a/mallowpass/core/proxy/policy/admission.py
+++ b/mallowpass/core/proxy/policy/admission.py
@@ -15,7 +15,7 @@
 __all__ = ["held_until", "is_turned_away"]
 
 # Share of the objective after which a statement that waits for a full endpoint is
-# refused. It bounds the wait of the statements that are served as well, and leaves a
+# refused. This bounds the wait of the statements that are served as well, and leaves a
 # refused caller time for another attempt. With waits up to the timeout, all statements
 # were answered late, or ran after their callers had given up.
 HOLD_SHARE = 0.25
--- a/mallowpass/core/proxy/ratelimits/allowances.py
+++ b/mallowpass/core/proxy/ratelimits/allowances.py
@@ -1,8 +1,8 @@
 """Grants that this host acquires for operations of customers with a limit.
 
-Keepers are asked for as many operations as wait, nearest keeper first, and for some
-ahead of need. If no keeper has tokens left for a customer, its operations are refused
-at once, with the delay after which its callers may try again.
+Keepers, the nearest first, are asked for as many operations as wait, and for some ahead
+of need. If no keeper has tokens left for a customer, the customer's operations are
+refused at once, with the delay after which its callers may try again.
 """
 
 from __future__ import annotations
--- a/mallowpass/core/proxy/relays.py
+++ b/mallowpass/core/proxy/relays.py
@@ -38,7 +38,7 @@
     __slots__ = ("_failed", "_plan", "_plan_version")
 
     def start(self) -> None:
-        """Start without a plan or failed relays."""
+        """Start without a plan, and with all relays usable."""
         self._failed: dict[str, float] = {}  # time until which to skip it, by host
         self._plan: dict[str, list[HostRow]] = {}  # by failure domain
         self._plan_version = -1
--- a/mallowpass/core/proxy/requests.py
+++ b/mallowpass/core/proxy/requests.py
@@ -459,7 +459,8 @@
         elif request.access is Access.WRITE:
             self._answers.answer_in_doubt(request, why)
             return
-        # A read, or a transaction that has not begun: nothing of it was committed.
+        # The statement is a read, or its transaction has not begun: nothing was
+        # committed.
         request.tries += 1
         request.avoided_endpoints.add(endpoint.name)
         request.detail = f"{endpoint.name}: {why}"
--- a/mallowpass/core/proxy/sampling.py
+++ b/mallowpass/core/proxy/sampling.py
@@ -11,7 +11,7 @@
 probe is also sent before the newest floor is too old, since a lagging replica has more
 often reached an older floor than a new one.
 
-There is one probe at a time for a group. After a failed probe there is none for a
+At most one probe of a group is in progress. After a failed probe none is sent for a
 short time, in which reads go to the primary.
 """
 
--- a/mallowpass/core/proxy/sessions.py
+++ b/mallowpass/core/proxy/sessions.py
@@ -218,7 +218,7 @@
         finally:
             session.is_running_next = False
         # While draining, a session is closed after any operation: a session that is
-        # never quiet would otherwise be cut off at the end of the grace period.
+        # never idle would otherwise be cut off at the end of the grace period.
         if self._closing and not session.closed:
             self._close_if_idle(session)
 
