--- a/mallowpass/core/proxy/demotion.py
+++ b/mallowpass/core/proxy/demotion.py
@@ -7,7 +7,7 @@
 while its replicas are paused, nor once it has stepped down.
 
 The order to step down names a term, and changes nothing at a primary of that term or a
-newer one. An order that is carried out late is harmless therefore, whether or not the
+newer one. An order that is carried out late is therefore harmless, whether or not the
 platform checks fencing tokens. The order never names a term above the successor's, so a
 host that mistakes which of two endpoints is primary cannot make the newer one step
 down. Where that is unclear, both endpoints are asked for their terms.
@@ -67,22 +67,22 @@
     term: int  # a primary of a lower term steps down
     began_at: float
     handlers: list[DoneHandler] = field(default_factory=list)
-    is_released: bool = False  # handlers are no longer kept waiting
+    is_released: bool = False  # handlers were called; new ones are called at once
     tries: int = 0
     is_unreachable: bool = False  # this host failed to connect after `began_at`
     is_forwarded: bool = False  # other hosts were asked to forward the order
-    # Of these hosts, the ones that have not answered yet.
+    # Hosts that were asked to forward the order and have not answered yet.
     unanswered: set[str] = field(default_factory=set)
 
 
 class Demotion(ProxySystem):
-    """Order replaced primaries to step down, until each has done so or is gone."""
+    """Order replaced primaries to step down, until each has done so or is removed."""
 
     __slots__ = (
         "_conflicts",
         "_connections",
         "_forwarded_orders",
-        "_orders",
+        "_replica_orders",
         "_pending_orders",
         "_tasks",
     )
@@ -92,11 +92,11 @@
         self._tasks: dict[str, _Task] = {}  # by endpoint
 
     def start(self) -> None:
-        """Subscribe to endpoints that are unreachable, restarted or gone."""
+        """Subscribe to endpoints that are unreachable, restarted or removed."""
         node = self._node
         self._connections = node.system(Connections)
         self._forwarded_orders = node.system(ForwardedOrders)
-        self._orders = node.system(ReplicaOrders)
+        self._replica_orders = node.system(ReplicaOrders)
         self._conflicts = node.system(PrimaryConflicts)
         self._pending_orders = node.system(PendingOrders)
         node.subscribe(EndpointUnreachable, self._on_unreachable)
@@ -126,7 +126,7 @@
     # -- Forwarding by other hosts -------------------------------------------
 
     def _begin_forwarding(self, task: _Task) -> None:
-        """Forward the order: at once if this host has no connection, else soon."""
+        """Forward the order: at once if this host has no connection, else later."""
         if self.tables.promotion_fences_primary:
             return
         endpoint = task.endpoint
@@ -179,7 +179,9 @@
         task.tries += 1
         self._make_room(task.endpoint)
         order = Demote(task.term)
-        self._orders.send(task.endpoint, order, lambda r: self._on_reply(task, r))
+        self._replica_orders.send(
+            task.endpoint, order, lambda r: self._on_reply(task, r)
+        )
 
     def _is_undisputed_primary(self, endpoint: EndpointRow) -> bool:
         """Return whether an endpoint is primary, and no promotion order is pending."""
@@ -250,17 +252,17 @@
             self._retry(task)
             return
 
-        def on_leader(leader: str) -> None:
+        def on_primary(primary_name: str) -> None:
             if not self._is_current(task):
                 return
-            if leader == task.endpoint.name:
+            if primary_name == task.endpoint.name:
                 self._end(task, "it is primary of a newer term")
                 return
-            if leader == successor.name:
+            if primary_name == successor.name:
                 task.term = max(task.term, term + 1)
             self._retry(task)
 
-        self._conflicts.resolve(group, successor, task.endpoint, on_leader)
+        self._conflicts.resolve(group, successor, task.endpoint, on_primary)
 
     def _on_unreachable(self, signal: EndpointUnreachable) -> None:
         task = self._tasks.get(signal.endpoint.name)
--- a/mallowpass/core/proxy/members.py
+++ b/mallowpass/core/proxy/members.py
@@ -28,19 +28,20 @@
 
 __all__ = ["Members"]
 
-# Seconds for which an endpoint is kept after its entry vanished. Entries that lapsed
-# during an outage of the store are back about two seconds after the outage.
+# Seconds for which an endpoint is kept after its entry was removed. Entries that
+# expired during an outage of the store are back about two seconds after the outage.
 ENTRY_LAPSE_GRACE = 2.5
 # The same for a primary that has not been replaced. The limit ensures that statements
-# to an endpoint stop within seconds of the end of its entry.
+# to an endpoint stop within seconds of the removal of its entry.
 PRIMARY_GRACE = 5.0
 # Seconds for which a leaving primary is still used while it has no successor. No
 # statement may reach the primary after its time to leave is over.
 LEAVING_TIMEOUT = 6.0
-# The same for an endpoint that was already leaving when this host first learnt of it.
-# Its entry does not say since when, so a restarted host that waited as long as others
-# would send statements to the endpoint until its end. The promised bounds allow a host
-# that has just started at least four seconds to learn the current state.
+# The same for an endpoint that was already leaving when this host first read its entry.
+# The entry does not say since when the endpoint is leaving: with the longer timeout, a
+# restarted host would send statements to the endpoint until the endpoint stops. The
+# guaranteed bounds allow a host that has just started at least four seconds to learn
+# the current state.
 LEAVING_AT_START_TIMEOUT = 3.5
 
 
@@ -83,9 +84,9 @@
                     self._mark_removed(name)
 
     def _apply(self, row: Row) -> None:
-        """Apply a row; an unreadable or unusable entry counts as vanished.
+        """Apply a row; an unreadable or unusable entry counts as removed.
 
-        Such an entry may have overwritten a good one. If the good entry stayed in
+        Such an entry may have overwritten a valid one. If the valid entry stayed in
         force, statements would go to an endpoint that no entry names any more.
         """
         entry = row.value
@@ -102,7 +103,7 @@
             self._put(entry, row.version)
         else:
             self._mark_removed(name)
-            self._hold(row)
+            self._defer(row)
 
     def _is_configured(self, entry: EndpointEntry) -> bool:
         """Return whether the service of an entry is, or was, configured."""
@@ -112,8 +113,8 @@
         configuration = self.tables.configuration
         return configuration is not None and entry.service in configuration.services
 
-    def _hold(self, row: Row) -> None:
-        """Hold an entry until a configuration names its service."""
+    def _defer(self, row: Row) -> None:
+        """Defer an entry until a configuration names its service."""
         self._unconfigured[row.key.key] = row
         if self.tables.configuration is not None:
             self._unreadable.note(row.key, f"no such service: {row.value.service}")
@@ -127,12 +128,12 @@
         is_new = endpoint is None
         if endpoint is None:
             endpoint = self._add(entry, version)
-        elif version < endpoint.version or _is_of_earlier_start(entry, endpoint):
+        elif version < endpoint.version or _is_of_earlier_run(entry, endpoint):
             return
         elif self._is_outdated(entry, endpoint):
             self._restored[entry.name] = (entry, version)
             return
-        elif _is_of_another_start(entry, endpoint):
+        elif _is_of_another_run(entry, endpoint):
             endpoint = self._replace_row(endpoint, entry, version)
         elif entry.started_at == UNKNOWN_START_TIME:
             entry = replace(entry, started_at=endpoint.entry.started_at)
@@ -164,20 +165,20 @@
         """
         known = endpoint.entry
         is_older = entry.heartbeats < known.heartbeats
-        is_same_start = (
+        is_same_run = (
             entry.started_at == known.started_at and entry.service == known.service
         )
-        return is_same_start and is_older and not self._store.is_settled
+        return is_same_run and is_older and not self._store.is_settled
 
     def _on_era_changed(self, signal: EraChanged) -> None:
         self._restored.clear()
         self.timers.after(SETTLE_TIME, self._apply_restored)
 
     def _apply_restored(self) -> None:
-        """Apply outdated entries that were not written again.
+        """Apply the entries that seemed outdated and were not written again.
 
-        Such an entry may be current after all, as that of a new start of an endpoint
-        whose entries do not name their start.
+        Such an entry may be current: if its endpoint does not state a start time, the
+        entry may be of a later run of the endpoint, with fewer heartbeats.
         """
         if not self._store.is_settled:
             return
@@ -197,8 +198,9 @@
     ) -> EndpointRow:
         """Replace the row of an endpoint that restarted under its name.
 
-        The new start may have an empty log. With the old row it would count as a
-        replica that has applied all that the earlier start had, or as the primary.
+        The log of the restarted endpoint may be empty. With the old row, the endpoint
+        would count as a replica that has applied all that the earlier run had applied,
+        or as the primary.
         """
         self._node.log(
             "info",
@@ -283,17 +285,17 @@
             return
         if endpoint.is_retired:
             return
-        version = self._lead_version(endpoint)
+        version = self._version_as_primary(endpoint)
         if group.primary == endpoint.name or version > group.primary_version:
             group.primary_version = endpoint.version
             self._set_primary(group, endpoint.name, "its entry says primary")
 
-    def _lead_version(self, endpoint: EndpointRow) -> int:
+    def _version_as_primary(self, endpoint: EndpointRow) -> int:
         """Return the version by which entries that name a primary are compared.
 
         A replaced primary that does not know its successor may write its entry after
         the successor has written its own entry. So the version that counts is that of
-        the first entry that named the endpoint primary without a break.
+        the first of the consecutive entries that name the endpoint primary.
         """
         if self.tables.promotion_fences_primary:
             return endpoint.version
@@ -312,7 +314,8 @@
         """Assume that an endpoint is primary before its entry says so.
 
         `position` is the position of its log, if known. A restarted endpoint with an
-        empty log may still claim to be primary; reads there would miss all commits.
+        empty log may still report that it is primary; reads there would miss all
+        commits.
         """
         if endpoint.is_retired:
             return
@@ -378,13 +381,13 @@
     return sorted(newest.values(), key=lambda row: row.version, reverse=True)
 
 
-def _is_of_earlier_start(entry: EndpointEntry, endpoint: EndpointRow) -> bool:
-    # The store may apply a write of an earlier start after the writes of a later start.
+def _is_of_earlier_run(entry: EndpointEntry, endpoint: EndpointRow) -> bool:
+    # The store may apply a write of an earlier run after the writes of a later run.
     return UNKNOWN_START_TIME < entry.started_at < endpoint.entry.started_at
 
 
-def _is_of_another_start(entry: EndpointEntry, endpoint: EndpointRow) -> bool:
-    """Return whether an entry is of a later start, or of another service's endpoint."""
+def _is_of_another_run(entry: EndpointEntry, endpoint: EndpointRow) -> bool:
+    """Return whether an entry is of a later run, or of another service's endpoint."""
     if entry.service != endpoint.entry.service:
         return True
     return entry.started_at > endpoint.entry.started_at
--- a/mallowpass/core/proxy/ratelimits/allowances.py
+++ b/mallowpass/core/proxy/ratelimits/allowances.py
@@ -1,8 +1,8 @@
 """Grants that this host acquires for operations of customers with a limit.
 
-Keepers are asked for as many operations as wait, nearest keeper first, and for some
-ahead of need. If no keeper has tokens left for a customer, its operations are refused
-at once, with the delay after which its callers may try again.
+Keepers, the nearest first, are asked for as many operations as wait, and for some ahead
+of need. If no keeper has tokens left for a customer, the customer's operations are
+refused at once, with the delay after which its callers may try again.
 """
 
 from __future__ import annotations
@@ -39,24 +39,24 @@
 # Longest time for which a keeper without tokens is not asked again, in seconds: short,
 # so that a raised limit takes effect soon.
 EMPTY_BACKOFF_MAX = 0.5
-# Number of customers that have a metric label of their own, those with the highest
-# rates, and the label of all others.
+# Number of customers that have a metric label of their own, namely those with the
+# highest rates, and the label of all others.
 LABELLED_CUSTOMERS_MAX = 20
 OTHER_CUSTOMERS = "other"
-# When a caller may try again if no keeper answers, in seconds: failed keepers are being
-# replaced meanwhile.
+# Delay after which a caller may try again if no keeper answers, in seconds: failed
+# keepers are replaced meanwhile.
 NO_KEEPER_RETRY_AFTER = 1.0
 
 # Called with the time until which an operation may begin, or with None and the reason
 # why it may not.
-Handler = Callable[[float | None, str], None]
+GrantHandler = Callable[[float | None, str], None]
 
 
 @dataclass(slots=True, eq=False)
 class _Waiter:
     """An operation that waits for a grant."""
 
-    handler: Handler
+    handler: GrantHandler
     timer: Timer | None = None
 
 
@@ -119,7 +119,7 @@
 
     # -- Operations ----------------------------------------------------------
 
-    def acquire(self, customer: str | None, handler: Handler) -> None:
+    def acquire(self, customer: str | None, handler: GrantHandler) -> None:
         """Call a handler once an operation is granted or refused, maybe at once."""
         if not self._is_limited(customer):
             handler(math.inf, "")
@@ -271,6 +271,6 @@
         """Probe the keepers that this host is a candidate to replace."""
         for part, host in self._keepers.nearest_keepers():
             is_own = host.name == self._node.identity.name
-            if not is_own and self._keepers.is_candidate(part):
+            if not is_own and self._keepers.is_probing_candidate(part):
                 request = _GrantRequest(None, part, host.name, 0, self.now)
                 self._send_request(request, host, 0)
--- a/mallowpass/core/proxy/requests.py
+++ b/mallowpass/core/proxy/requests.py
@@ -67,7 +67,7 @@
 # finds none requests one, and no more connections than this are opened at once.
 MISSES_MAX = 4
 
-ENDPOINT_FULL_MESSAGE = "its endpoint has too much to do; try again in a moment"
+ENDPOINT_FULL_MESSAGE = "its endpoint is overloaded; try again in a moment"
 
 
 class Requests(ProxySystem):
@@ -132,7 +132,7 @@
             route = transaction.route
         else:
             route = self.tables.configuration.routes[session.database]
-        expires = self.now + route.statement_timeout - ANSWER_MARGIN
+        expires_at = self.now + route.statement_timeout - ANSWER_MARGIN
         request = RequestRow(
             session=session,
             request_id=request_id,
@@ -140,7 +140,7 @@
             access=access,
             route=route,
             arrived_at=self.now,
-            expires_at=expires,
+            expires_at=expires_at,
             transaction=transaction,
             prepared=prepared,
         )
@@ -153,7 +153,9 @@
             )
             self._answers.refuse(request, Code.BUSY, why)
             return
-        request.timers.append(self.timers.at(expires, self._timeouts.expire, request))
+        request.timers.append(
+            self.timers.at(expires_at, self._timeouts.expire, request)
+        )
         if transaction is not None and transaction.connection is not None:
             self._transactions.send(request)
         else:
@@ -209,8 +211,8 @@
         for request in list(group.waiting):
             if request.finished or request.retry_at > self.now:
                 continue
-            # Further statements of the customer would find no connection either. One
-            # that may have to be refused is tried nevertheless.
+            # Further statements of the customer would find no connection either. A
+            # statement that may have to be refused is tried nevertheless.
             is_missed = dispatch_pass.miss_count(request.customer) >= MISSES_MAX
             may_wait = not any_full or self.now < held_until(request)
             if is_missed and may_wait and not self._routing.has_idle_connection(group):
@@ -292,7 +294,7 @@
         group = self.tables.group(request.route.service)
         if is_read and connection.endpoint.name == group.primary:
             # An empty transaction checks that the endpoint is still the primary: a
-            # replaced one answers reads like any replica, from a log that lacks the
+            # replaced primary answers reads like any replica, from a log that lacks the
             # commits of its successor.
             calls.append(EndpointCall(Begin()))
             calls.append(EndpointCall(Rollback()))
@@ -347,7 +349,7 @@
     def _answer_if_proven(
         self, request: RequestRow, endpoint: EndpointRow, reply: EndpointReply
     ) -> None:
-        """Answer a read at the primary once the primary is proven to lead alone."""
+        """Answer a read at the primary once it is proven to be the only primary."""
 
         def on_proof(is_proven: bool) -> None:
             if request.finished:
@@ -457,7 +459,8 @@
         elif request.access is Access.WRITE:
             self._answers.answer_in_doubt(request, why)
             return
-        # A read, or a transaction that has not begun: nothing of it was committed.
+        # The statement is a read, or its transaction has not begun: nothing was
+        # committed.
         request.tries += 1
         request.avoided_endpoints.add(endpoint.name)
         request.detail = f"{endpoint.name}: {why}"
--- a/mallowpass/core/proxy/resumption.py
+++ b/mallowpass/core/proxy/resumption.py
@@ -41,8 +41,9 @@
 # no order of that claim can still be carried out: the last one is sent within 1.5 s of
 # the claim and expires after 8 s.
 STUCK_CLAIM_AGE_MIN = 10.0
-# Rounds before an unreachable replica is given up: claims for its sake keep other hosts
-# from promoting. Once it is back, the hosts that find it stuck resume it.
+# Rounds before an unreachable replica is given up: the claims under which it is ordered
+# to resume keep other hosts from promoting. Once it returns, the hosts that find it
+# stuck resume it.
 ROUNDS_MAX = 8
 
 
@@ -58,8 +59,8 @@
     primaries: set[str] = field(default_factory=set)
     demoted: set[str] = field(default_factory=set)  # primaries ordered to step down
     target: str = ""  # of the attempt that paused the replicas
-    term: int = 0  # least term that `target` leads, if it leads
-    for_stuck_replica: bool = False  # found stuck, not paused by this host
+    term: int = 0  # least term of `target`, if it is primary
+    is_for_stuck_replica: bool = False  # found stuck, not paused by this host
     has_ordered: bool = False  # a promotion was ordered under the claim
     outstanding: int = 0  # orders of this round without a reply
     is_waiting: bool = False  # until no order is pending
@@ -90,9 +91,9 @@
         self._demotion = self._node.system(Demotion)
         self._replica_orders = self._node.system(ReplicaOrders)
         self._pending_orders = self._node.system(PendingOrders)
-        self._node.subscribe(EndpointChanged, self._on_endpoint)
+        self._node.subscribe(EndpointChanged, self._on_endpoint_changed)
         self._node.subscribe(EndpointRestarted, self._on_restarted)
-        self._node.subscribe(PrimaryChanged, self._on_primary)
+        self._node.subscribe(PrimaryChanged, self._on_primary_changed)
 
     def resume(self, attempt: Replacement, names: Iterable[str]) -> None:
         """Resume the replicas that were paused in an attempt that has ended."""
@@ -116,7 +117,7 @@
         """Resume a stuck replica, unless a task for its group is under way."""
         group = self.tables.group(endpoint.entry.service)
         if group.service not in self._tasks:
-            self._begin(_Task(group, None, {endpoint.name}, for_stuck_replica=True))
+            self._begin(_Task(group, None, {endpoint.name}, is_for_stuck_replica=True))
 
     def suspend(self, service: str) -> None:
         """Suspend the task of a service, as this host begins to compare replicas."""
@@ -151,7 +152,7 @@
 
     # -- While an order is pending -------------------------------------------
 
-    def _on_primary(self, signal: PrimaryChanged) -> None:
+    def _on_primary_changed(self, signal: PrimaryChanged) -> None:
         """Start the next round at once if the task waits for a pending order."""
         task = self._find_task(signal.group.service)
         if task is not None and signal.group.primary:
@@ -162,7 +163,7 @@
     def _find_task(self, service: str) -> _Task | None:
         return self._tasks.get(service) or self._suspended.get(service)
 
-    def _on_endpoint(self, signal: EndpointChanged) -> None:
+    def _on_endpoint_changed(self, signal: EndpointChanged) -> None:
         task = self._find_task(signal.endpoint.entry.service)
         if task is not None and signal.endpoint.name not in task.names:
             self._keep_paused(task, signal.endpoint)
@@ -175,7 +176,7 @@
             self._keep_paused(task, signal.endpoint)
 
     def _keep_paused(self, task: _Task, endpoint: EndpointRow) -> None:
-        """Pause a replica if an order for another one is pending."""
+        """Pause a replica if an order to promote another replica is pending."""
         if self._find_task(task.group.service) is not task:
             return
         if not self.tables.is_current(endpoint):
@@ -213,7 +214,7 @@
             self._run_round(task)
 
     def _resumable_names(self, task: _Task) -> list[str]:
-        """Return the replicas that may receive, as no order for another is pending."""
+        """Return the replicas that may receive, given the pending promotion orders."""
         group = task.group
         return sorted(
             n for n in task.names if self._pending_orders.may_receive(group, n)
@@ -230,7 +231,7 @@
         task.demoted.add(name)
         endpoint = task.group.endpoints[name]
         # The term is never above that of the successor. If this host is wrong about
-        # which of the two leads, the order has no effect on the newer primary.
+        # which of the two is primary, the order has no effect on the newer primary.
         is_target = task.target == task.group.primary
         term = task.term if is_target else task.group.term
         self._demotion.demote(endpoint, term, lambda: self._run_round(task))
@@ -244,18 +245,18 @@
                 task.group.service,
                 task.group.primary,
                 lambda claim: self._on_claim(task, claim),
-                min_age=STUCK_CLAIM_AGE_MIN if task.for_stuck_replica else 0.0,
+                min_age=STUCK_CLAIM_AGE_MIN if task.is_for_stuck_replica else 0.0,
             )
 
     def _on_claim(self, task: _Task, claim: Claim | None) -> None:
         if not self._is_current(task):
             return
         task.claim = claim
-        if claim is None and task.for_stuck_replica:
+        if claim is None and task.is_for_stuck_replica:
             task.names.clear()
             self._end(task)
         elif claim is None:
-            # The host that holds the claim resumes all replicas in the end.
+            # The host that holds the claim resumes all replicas when it has finished.
             self.timers.after(ROUND_INTERVAL, self._run_round, task)
         else:
             self._send_orders(task)
--- a/mallowpass/core/proxy/sampling.py
+++ b/mallowpass/core/proxy/sampling.py
@@ -7,11 +7,11 @@
 
 A probe is an empty transaction at the primary, which takes no slot of an endpoint
 however busy the endpoint is, together with a request to the other members to prove that
-the primary leads alone. It gives all waiting reads a floor within one round trip. A
+the primary is the only one. It gives all waiting reads a floor within one round trip. A
 probe is also sent before the newest floor is too old, since a lagging replica has more
 often reached an older floor than a new one.
 
-There is one probe at a time for a group. After a failed probe there is none for a
+At most one probe of a group is in progress. After a failed probe none is sent for a
 short time, in which reads go to the primary.
 """
 
@@ -40,14 +40,14 @@
 
 @dataclass(slots=True, eq=False)
 class _Probe:
-    """Hold one probe of a primary and the results that have arrived."""
+    """One probe of a primary, and the results that have arrived."""
 
     group: GroupRow
     primary: EndpointRow
     asked_at: float
     reply: EndpointReply | None = None
-    proven: bool | None = None  # whether the primary leads alone; None: not known yet
-    answered: bool = False
+    is_proven: bool | None = None  # whether it is the only primary; None: not known yet
+    is_answered: bool = False
 
 
 class Sampling(ProxySystem):
@@ -64,7 +64,7 @@
 
     def __init__(self, node: Node) -> None:
         super().__init__(node)
-        self._probes: dict[str, _Probe] = {}  # under way, by service
+        self._probes: dict[str, _Probe] = {}  # in progress, by service
         self._next_probe_at: dict[str, float] = {}  # earliest time, by service
 
     def start(self) -> None:
@@ -76,7 +76,7 @@
         self._node.subscribe(PrimaryChanged, self._on_primary_changed)
 
     def is_coming(self, group: GroupRow) -> bool:
-        """Return whether a floor is being probed for; begin a probe if need be."""
+        """Begin a probe unless one is in progress; return whether one is now."""
         if group.service not in self._probes:
             self._send_probe(group)
         return group.service in self._probes
@@ -100,12 +100,12 @@
         self._node.count("floors_asked", service=service)
 
         def on_replies(replies: list[EndpointReply] | None) -> None:
-            probe.answered = True
+            probe.is_answered = True
             probe.reply = replies[0] if replies else None
             self._on_result(probe)
 
-        def on_proof(proven: bool) -> None:
-            probe.proven = proven
+        def on_proof(is_proven: bool) -> None:
+            probe.is_proven = is_proven
             self._on_result(probe)
 
         self._control.send(primary, (Begin(), Rollback()), on_replies, ANSWER_TIMEOUT)
@@ -115,13 +115,13 @@
         group, reply = probe.group, probe.reply
         if self._probes.get(group.service) is not probe:
             return
-        if not probe.answered or probe.proven is None:
+        if not probe.is_answered or probe.is_proven is None:
             return
         del self._probes[group.service]
         if reply is not None and reply.code is Code.NOT_PRIMARY:
             self._members.note_not_primary(probe.primary)
         accepted = reply is not None and reply.code is Code.DONE
-        if accepted and probe.proven and reply.position is not None:
+        if accepted and probe.is_proven and reply.position is not None:
             self._floors.record_sample(group, reply.position, probe.asked_at)
         else:
             self._next_probe_at[group.service] = self.now + FAILURE_BACKOFF
