--- a/tests/core/proxy/policy/test_placement.py
+++ b/tests/core/proxy/policy/test_placement.py
@@ -15,31 +15,39 @@
     return row
 
 
-def near(row: EndpointRow, is_primary: bool = False, is_avoided: bool = False) -> float:
+def local_cost(
+    row: EndpointRow, is_primary: bool = False, is_avoided: bool = False
+) -> float:
     """Return the cost of an endpoint in the host's region."""
     return cost(row, is_primary=is_primary, is_avoided=is_avoided, is_same_region=True)
 
 
 def test_reads_stay_in_their_region_under_normal_load():
-    far = cost(endpoint(0.02), is_primary=False, is_avoided=False, is_same_region=False)
-    assert near(endpoint(0.02, in_flight=4)) < far
+    remote_cost = cost(
+        endpoint(0.02), is_primary=False, is_avoided=False, is_same_region=False
+    )
+    assert local_cost(endpoint(0.02, in_flight=4)) < remote_cost
 
 
 def test_reads_leave_an_endpoint_that_is_five_times_slower():
     """Guard against late reads for as long as the endpoint of a region is slow."""
-    far = cost(
+    remote_cost = cost(
         endpoint(0.045), is_primary=False, is_avoided=False, is_same_region=False
     )
-    assert near(endpoint(0.1, in_flight=4)) > far
+    assert local_cost(endpoint(0.1, in_flight=4)) > remote_cost
 
 
 def test_reads_leave_the_primary_to_writes():
-    assert near(endpoint(0.02), is_primary=True) > near(endpoint(0.02))
+    assert local_cost(endpoint(0.02), is_primary=True) > local_cost(endpoint(0.02))
 
 
 def test_endpoint_that_did_not_serve_a_statement_is_the_last_choice():
-    assert near(endpoint(0.01), is_avoided=True) > near(endpoint(0.3, in_flight=4))
+    assert local_cost(endpoint(0.01), is_avoided=True) > local_cost(
+        endpoint(0.3, in_flight=4)
+    )
 
 
 def test_unanswered_statements_count_as_load():
-    assert near(endpoint(0.02, overdue=2)) > near(endpoint(0.02, in_flight=2))
+    assert local_cost(endpoint(0.02, overdue=2)) > local_cost(
+        endpoint(0.02, in_flight=2)
+    )
--- a/tests/core/proxy/ratelimits/test_limits.py
+++ b/tests/core/proxy/ratelimits/test_limits.py
@@ -114,8 +114,8 @@
     assert answer.code is Code.BUSY
     assert world.timers.now - asked_at < 0.1
     assert "acme is at its limit" in answer.message
-    pause = float(answer.message.split()[-2])
-    world.run(pause + 0.1)
+    retry_delay = float(answer.message.split()[-2])
+    world.run(retry_delay + 0.1)
     assert world.caller(0, "own", "key-a").run(Write("a 1")).code is Code.DONE
 
 
@@ -243,7 +243,7 @@
 
 
 def test_frozen_keeper_grants_nothing_by_an_expired_right(world):
-    """Guard against a keeper that thaws after a successor has taken over its part."""
+    """Guard against grants by a keeper that was frozen until its successor began."""
     load = _Load(world, "key-a", FLOOD)
     part, index = next(iter(_keepers(world).items()))
     host = world.hosts[index]
--- a/tests/core/proxy/test_claims.py
+++ b/tests/core/proxy/test_claims.py
@@ -1,4 +1,4 @@
-"""Malformed claims do not keep hosts from claiming; when a claim proves a lead."""
+"""Malformed claims and reports block no promotion; claims that confirm a lead."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     ],
 )
 def test_malformed_claim_does_not_prevent_a_newer_one(text: str):
-    """A crashed primary is never replaced.
+    """Guard against a crashed primary that is never replaced.
 
     The store holds a claim in the format of an earlier version, or other text. Hosts
     ignored it without recording its version, so each of their claims was refused.
@@ -62,8 +62,8 @@
         ("-", "", (), True),
         ("host-1", "db-casa", (), False),  # an order may be sent at any moment
         ("host-1", "", (), False),
-        ("host-1", "db-old", ("db-casa",), True),  # db-casa was promoted under it
-        ("-", "db-new", (), False),  # to replace the successor, and released
+        ("host-1", "db-old", ("db-casa",), True),  # db-casa promoted under the claim
+        ("-", "db-new", (), False),  # made to replace the successor, then released
         ("host-1", "db-new", (), False),
         ("host-1", "db-old", ("db-casa", "db-new"), False),
         ("host-1", "db-old", ("db-new",), False),
--- a/tests/core/proxy/test_connections.py
+++ b/tests/core/proxy/test_connections.py
@@ -1,4 +1,4 @@
-"""Connections: limits, borrowing, and those on which no replies come."""
+"""Connections: limits, borrowing, and connections without replies."""
 
 from __future__ import annotations
 
@@ -122,8 +122,8 @@
     """After a loss of power, one host refused most statements for two seconds.
 
     The load balancer finds one host of a region ready first, and sends all callers of
-    the region to it. Open transactions pin its two connections to the primary. It could
-    not use the idle connections that other hosts had to the same endpoint.
+    the region to it. Open transactions pin its two connections to the primary. The host
+    could not use the idle connections of other hosts to the same endpoint.
     """
     world = ProxyWorld(hosts=7)
     callers = _open_transactions(world, 6)
--- a/tests/core/proxy/test_customers.py
+++ b/tests/core/proxy/test_customers.py
@@ -202,13 +202,13 @@
     world = ProxyWorld(hosts=MANY_HOSTS)
     world.configure(identified(ACME, BERTH))
     world.run(4.0)
-    entry = _non_holder(world)
-    busy_callers = [world.caller(entry, "strict", "key-a") for _ in range(6)]
+    client = _non_holder(world)
+    busy_callers = [world.caller(client, "strict", "key-a") for _ in range(6)]
     for caller in busy_callers:
         caller.send(Begin())
         caller.send(Write("a 1"))
     world.run(0.1)
-    answer = world.caller(_non_holder(world, other_than=entry), "strict", "key-c").run(
+    answer = world.caller(_non_holder(world, other_than=client), "strict", "key-c").run(
         Write("b 1"), within=0.6
     )
     assert answer.code is Code.DONE
@@ -220,19 +220,19 @@
     world = ProxyWorld(hosts=MANY_HOSTS)
     world.configure(identified(ACME, BERTH))
     world.run(4.0)
-    entry = _non_holder(world)
+    client = _non_holder(world)
     holder = next(h for h in world.hosts if h.connections)
     # Only one holder stays reachable, and it can open no connections itself any more.
     for index, host in enumerate(world.hosts):
         if host.connections and host is not holder:
             caller = world.caller(index, "strict", "key-a")
             assert caller.run(Read("a")).code is Code.DONE
-            world.hosts[entry].cut_from.add(host.name)
+            world.hosts[client].cut_from.add(host.name)
     for connection in list(holder.connections):
         holder.lose(connection, "reset")
     for row in holder.tables.endpoints.values():
         row.connect_backoff_until = world.timers.now + 10.0
-    caller = world.caller(entry, "strict", "key-c")
+    caller = world.caller(client, "strict", "key-c")
     for _ in range(3):
         caller.run(Write("b 1"))
     assert any(host == holder.name for host, _ in world.links)
@@ -240,21 +240,21 @@
 
 
 def test_calls_that_arrive_in_two_batches_keep_their_customer():
-    """Guard against a second batch without a customer that clears the first one's."""
+    """Guard against a second batch, without a customer, that clears the customer."""
     world = ProxyWorld(hosts=MANY_HOSTS)
     world.configure(identified(ACME, BERTH))
     world.run(4.0)
-    entry = _non_holder(world)
-    assert world.caller(entry, "strict", "key-a").run(Read("a")).code is Code.DONE
+    client = _non_holder(world)
+    assert world.caller(client, "strict", "key-a").run(Read("a")).code is Code.DONE
     (link,) = [
-        link for link in world.links.values() if link.host.name == f"host-{entry}"
+        link for link in world.links.values() if link.host.name == f"host-{client}"
     ]
     on_behalf_of = OnBehalfOf("berth", 2)
     read = EndpointCall(Read("a"), "r-1", on_behalf_of=on_behalf_of)
     world.judge.sent("r-1", "r-1", next(iter(BERTH.credentials)), False, 0.0)
-    guard = (EndpointCall(Begin()), EndpointCall(Rollback()))
+    calls_without_customer = (EndpointCall(Begin()), EndpointCall(Rollback()))
     link.holder.deliver(LinkCalled(link.number, (read,)))
-    link.holder.deliver(LinkCalled(link.number, guard))
+    link.holder.deliver(LinkCalled(link.number, calls_without_customer))
     world.run(0.5)
     assert world.judge.runs["berth"] == 1
     assert world.judge.breaches == []
--- a/tests/core/proxy/test_durability.py
+++ b/tests/core/proxy/test_durability.py
@@ -13,7 +13,7 @@
         assert caller.run(Write(f"{prefix} {number}")).code is Code.DONE
 
 
-def _lose(world: ProxyWorld, name: str) -> None:
+def _crash_and_remove(world: ProxyWorld, name: str) -> None:
     world.crash(name)
     world.remove_entry(name)
 
@@ -30,45 +30,46 @@
     world.timers.after(0.1, _keep_reading, world)
 
 
-def _receive_again(world: ProxyWorld, name: str) -> None:
+def _restore_replication(world: ProxyWorld, name: str) -> None:
     world.group.replicas[name].deaf = False
     world.group.start(name)
 
 
-def test_commit_known_to_a_host_that_does_not_promote():
+def test_commit_known_to_another_host_is_preserved():
     """Guard against the loss of twenty acknowledged commits without a primary failure.
 
     The commits ran through one host, and were acknowledged by a replica that was then
-    lost. Two other hosts saw writes stall and promoted the replica that lacked them.
+    lost. Two other hosts saw writes stall and promoted the replica that lacked the
+    commits.
     """
     world = ProxyWorld()
     _write(world, 5)
     world.group.replicas["db-tanger"].deaf = True
     _write(world, 20, host=2)
-    _lose(world, "db-agadir")
+    _crash_and_remove(world, "db-agadir")
     _keep_writing(world, (0, 1))
     world.run(12.0)
     assert world.group.lost == []
     assert world.primary.name == "db-casa"
 
 
-def test_commit_known_to_a_host_that_can_not_report():
-    """Guard against the same loss where the first host cannot report to the store."""
+def test_commit_known_to_a_host_without_the_store_is_preserved():
+    """Guard against the loss of twenty commits if their host cannot report them."""
     world = ProxyWorld()
     _write(world, 5)
     world.group.replicas["db-tanger"].deaf = True
     world.hosts[2].cut_from.add("store")
     _write(world, 20, host=2)
-    _lose(world, "db-agadir")
+    _crash_and_remove(world, "db-agadir")
     _keep_writing(world, (0, 1))
     world.run(12.0)
     assert world.group.lost == []
 
 
-def test_commit_of_a_host_that_knew_an_old_position_only():
+def test_commit_above_the_position_that_its_host_knows_is_preserved():
     """Guard against the loss of one acknowledged commit.
 
-    Its host had the last reply of the primary long before it sent the commit, so the
+    The host got its last reply from the primary long before it sent the commit, so the
     position in that reply is far below the position of the commit.
     """
     world = ProxyWorld()
@@ -77,13 +78,13 @@
     world.run(1.0)
     world.group.replicas["db-tanger"].deaf = True
     _write(world, 1, host=2, prefix="c")
-    _lose(world, "db-agadir")
+    _crash_and_remove(world, "db-agadir")
     _keep_writing(world)
     world.run(12.0)
     assert world.group.lost == []
 
 
-def test_hosts_that_lost_power_before_they_could_report():
+def test_commits_are_preserved_when_hosts_lose_power_before_reporting():
     """Guard against the loss of twenty acknowledged commits after a power failure.
 
     A replica is lost, then all hosts, before any of them has reported to the store. The
@@ -93,7 +94,7 @@
     _write(world, 1)
     world.group.replicas["db-tanger"].deaf = True
     _write(world, 20)
-    _lose(world, "db-agadir")
+    _crash_and_remove(world, "db-agadir")
     world.lose_power(down=1.0, linger=0.5, started=lambda host: None)
     _keep_writing(world)
     world.run(15.0)
@@ -101,7 +102,7 @@
     assert world.primary.name == "db-casa"
 
 
-def test_replica_that_restarts_empty_after_a_replacement_without_loss():
+def test_replica_that_restarts_empty_after_a_replacement_is_not_promoted():
     """Guard against the promotion of an empty member, which loses twenty commits.
 
     Both replicas had all commits when one was promoted, so no position was written to
@@ -125,7 +126,7 @@
     world.run(0.2)
     world.restart(other)
     world.lose_power(down=1.0, linger=0.5, started=lambda host: None)
-    _lose(world, successor)
+    _crash_and_remove(world, successor)
     _keep_writing(world)
     world.run(15.0)
     assert world.group.lost == []
@@ -136,13 +137,14 @@
 def test_commits_that_no_replica_received_are_not_required():
     """Guard against a group that stays without a primary though it lost no commit.
 
-    The old primary returns with commits that no replica ever received, before it
-    follows its successor, which has not committed yet. Its position counts as received
-    by replicas. Then its log is rolled back, and the successor is lost.
+    The old primary returns with commits that no replica ever received. It does not yet
+    follow its successor, which has committed nothing. The position of the old primary
+    counted as received by replicas. Then the log of the old primary is rolled back, and
+    the successor is lost.
     """
     world = ProxyWorld()
     _write(world, 5)
-    casa = world.group.replicas["db-casa"]
+    old_primary = world.group.replicas["db-casa"]
     for name in ("db-tanger", "db-agadir"):
         world.group.replicas[name].deaf = True
     for _ in range(3):
@@ -150,14 +152,14 @@
     world.run(0.1)
     world.crash("db-casa")
     for name in ("db-tanger", "db-agadir"):
-        _receive_again(world, name)
+        _restore_replication(world, name)
     world.remove_entry("db-casa")
     for host in range(3):
         world.caller(host, "strict").send(Read("a"))
     world.run_until(lambda: world.group.promotions == 1, 6.0)
     successor = world.primary.name
     world.run(6.0)
-    casa.deaf = True
+    old_primary.deaf = True
     world.restart("db-casa")
     world.run(1.0)
     kinds = ("strict", "bounded", "own")
@@ -166,19 +168,19 @@
         for caller in callers:
             caller.send(Read("a"))
         world.run(0.1)
-    _receive_again(world, "db-casa")
+    _restore_replication(world, "db-casa")
     world.run(0.2)
-    _lose(world, successor)
+    _crash_and_remove(world, successor)
     _keep_writing(world)
     world.run(30.0)
     assert world.group.promotions == 2
 
 
-def test_primary_cut_from_its_replicas_is_replaced_all_the_same():
+def test_primary_cut_off_from_its_replicas_is_replaced():
     """Guard against a group that cannot write while its primary is cut off.
 
     Reads at the primary show commits that no replica has. If a successor had to hold
-    them, the primary that cannot commit would never be replaced.
+    these commits, the primary that cannot commit would never be replaced.
     """
     world = ProxyWorld()
     _write(world, 5)
--- a/tests/core/proxy/test_eras.py
+++ b/tests/core/proxy/test_eras.py
@@ -157,7 +157,7 @@
     assert all(len(host.tables.hosts) == 3 for host in world.hosts)
 
 
-def _calls_of(world: ProxyWorld, disrupt: Callable[[], None]) -> int:
+def _store_calls_after(world: ProxyWorld, disrupt: Callable[[], None]) -> int:
     world.run(10.0)
     before = world.store.calls
     disrupt()
@@ -166,7 +166,7 @@
 
 
 def test_new_era_takes_no_more_calls_than_an_outage():
-    """Guard against lists by all hosts at once: calls are charged and rate limited."""
+    """Guard against all hosts listing at once: calls are charged and rate limited."""
     outage, restored = ProxyWorld(hosts=60), ProxyWorld(hosts=60)
 
     def disrupt() -> None:
@@ -174,9 +174,9 @@
         outage.run(0.3)
         outage.store.faults.refusing = False
 
-    outage_calls = _calls_of(outage, disrupt)
+    outage_calls = _store_calls_after(outage, disrupt)
     assert (
-        _calls_of(restored, lambda: restored.come_back(restored.store.copy()))
+        _store_calls_after(restored, lambda: restored.come_back(restored.store.copy()))
         <= outage_calls
     )
 
@@ -213,7 +213,7 @@
 @pytest.mark.parametrize("age", AGES)
 @pytest.mark.parametrize("backup_at", BACKUPS)
 def test_backup_at_any_moment_of_a_replacement(backup_at, age, fences):
-    """Guard against lost claims, orders and reports, whichever writes are lost."""
+    """Guard against broken guarantees when claims, orders or reports are lost."""
     times = GroupTimes(promotion=0.6)
     world = ProxyWorld(hosts=4, fences=fences, goes_on=not fences, times=times)
     _keep_sending(world)
@@ -303,10 +303,10 @@
     world.come_back(copy)
     world.run(40.0)
     assert world.judge.breaches == []
-    kept = [
+    kept_parts = [
         part
         for host in world.hosts
         for part in range(PART_COUNT)
         if not host.exited and host.node.system(Keepers).is_sole_keeper(part)
     ]
-    assert sorted(kept) == list(range(PART_COUNT))
+    assert sorted(kept_parts) == list(range(PART_COUNT))
--- a/tests/core/proxy/test_idle_connections.py
+++ b/tests/core/proxy/test_idle_connections.py
@@ -46,8 +46,8 @@
 def test_endpoints_without_connections_are_not_checked(monkeypatch):
     """Hosts of a fleet with many services were busy without any callers.
 
-    A host knows hundreds of endpoints and is connected to three of them. It looked for
-    idle connections at every endpoint that it knew, several times a second.
+    A host knows hundreds of endpoints and is connected to three of them. The host
+    looked for idle connections at all known endpoints, several times a second.
     """
     world = ProxyWorld(hosts=3)
     _register_services(world)
--- a/tests/core/proxy/test_links.py
+++ b/tests/core/proxy/test_links.py
@@ -201,7 +201,7 @@
     """In a large fleet, all reads went to the primaries.
 
     A host runs few statements of a service, and none recently that proves the primary's
-    log position. It had no floor, although other hosts in its domain had one.
+    log position. Such a host had no floor, although others in its domain had one.
     """
     index = _non_holder(world)
     domain = world.hosts[index].domain
@@ -246,8 +246,8 @@
 def test_holder_serves_calls_by_priority(world):
     """Under overload, urgent statements were late and refused as often as others.
 
-    Calls of other hosts wait at a holder. They did not carry their priority, so that
-    the holder served them in order of arrival.
+    Calls of other hosts wait at a holder. These calls carried no priority, so that the
+    holder served them in order of arrival.
     """
     routes = {
         "urgent": route("urgent", Consistency.PRIMARY, priority=1),
@@ -346,7 +346,7 @@
 
 
 def test_write_waiting_at_a_holder_is_not_in_doubt_when_the_endpoint_restarts():
-    """A caller was told that a write was in doubt which the holder had never sent.
+    """A caller got IN_DOUBT for a write that the holder had never sent.
 
     Calls wait at a holder for a connection when the endpoint restarts. The holder
     closed the link without answering the calls.
@@ -413,12 +413,11 @@
 
 @pytest.mark.parametrize("database", ["strict", "own", "bounded"])
 def test_holder_that_can_not_reach_an_endpoint_is_not_used_for_it(world, database):
-    """A sixth of a large fleet had its reads refused, though two of three endpoints
-    were idle.
+    """A sixth of a large fleet refused reads while two of three endpoints were idle.
 
     One holder can't reach the primary. Calls forwarded to it waited for 0.2 s and were
     refused, as no connection was free, and were sent there again: the holder gave the
-    same answer as one that is full.
+    same answer as a holder whose connections are all in use.
     """
     holder = next(host for host in world.hosts if _is_holder(host))
     clients = [
@@ -453,9 +452,10 @@
 
 
 def test_unreachable_from_an_endpoint_does_not_mean_not_run():
-    """A write refused so by an endpoint itself would be sent again, and run twice.
+    """A write that an endpoint itself answers with UNREACHABLE would run twice.
 
-    Only holders send this code, which means that the endpoint did not get the call.
+    Only holders send this code. It means that the endpoint did not get the call, so
+    that the call is sent again.
     """
     world = ProxyWorld()
     world.run(4.0)
@@ -476,7 +476,8 @@
     """Hosts that were cut off from other hosts refused most statements.
 
     A third of the hosts can't reach the others, but can reach their callers and the
-    endpoints. They tried one holder after the other, and never connected directly.
+    endpoints. These hosts tried one holder after the other, and never connected
+    directly.
     """
     index = _non_holder(world)
     host = world.hosts[index]
@@ -522,7 +523,7 @@
 def test_holders_are_not_chosen_again_when_endpoints_register(world, monkeypatch):
     """300 hosts with as many services were busy for their first seconds.
 
-    Hundreds of endpoints register one after the other. With each of them, each host
+    Hundreds of endpoints register one after the other. For each endpoint, each host
     chose the holders of all services again.
     """
     calls = []
--- a/tests/core/proxy/test_load.py
+++ b/tests/core/proxy/test_load.py
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def world() -> ProxyWorld:
-    """Return a primary of 3 slots to which 9 hosts have 72 connections."""
+    """Return a world whose primary has 3 slots, and 72 connections of 9 hosts."""
     world = ProxyWorld(hosts=9)
     routes = {
         "strict": route("strict", Consistency.PRIMARY),
--- a/tests/core/proxy/test_members.py
+++ b/tests/core/proxy/test_members.py
@@ -1,4 +1,4 @@
-"""Endpoints that restart under their names: what is known of one start ends with it."""
+"""Endpoints that restart under their names: state of an earlier start is not kept."""
 
 from __future__ import annotations
 
@@ -188,10 +188,10 @@
         world.dark.add(name)
     caller.send(Read("a"))
     world.run(0.01)
-    asked = next(r.name for r in _rows(world) if r.in_flight)
-    before = _row(world, asked)
+    used = next(r.name for r in _rows(world) if r.in_flight)
+    before = _row(world, used)
     world.dark.clear()
-    _enter_restart(world, asked)
+    _enter_restart(world, used)
     world.run(0.2)
     assert caller.answers[-1].rows == (b"1",)
     assert before.in_flight == 0
@@ -246,7 +246,7 @@
     assert len(world.hosts[0].logged("endpoint_restarted")) == 1
 
 
-def test_entry_without_a_start_is_of_the_known_start(world):
+def test_entry_without_a_start_time_is_of_the_known_start(world):
     endpoint = _row(world)
     entry = world.entry(REPLICA)
     world.put_entry(replace(entry, started_at=UNKNOWN_START_TIME, slots=4))
@@ -256,7 +256,7 @@
     assert _row(world) is endpoint
 
 
-def test_unknown_starts_are_no_restart(world):
+def test_entries_without_a_start_time_show_no_restart(world):
     for slots in (4, 5):
         entry = replace(
             world.entry(REPLICA), name="db-old", started_at=UNKNOWN_START_TIME
@@ -307,8 +307,8 @@
 def test_timers_of_the_earlier_start_do_not_end_the_new_one(world):
     """Guard against an endpoint that has just started but is forgotten or unused.
 
-    Its earlier start was leaving or gone. Timers of the earlier start must not end
-    the new one.
+    The earlier start of the endpoint was leaving or had ended. Timers of that start
+    must not end the new one.
     """
     world.enter(world.group.replicas[REPLICA], draining=True)
     world.run(0.3)
@@ -339,7 +339,7 @@
 
 
 def test_control_request_to_the_earlier_start_has_no_reply(world):
-    """Guard against taking the log of a new start for that of the start asked."""
+    """Guard against a reply of the new start that counts for the earlier start."""
     before = _row(world)
     world.dark.add(REPLICA)
     replies = []
@@ -374,8 +374,8 @@
 def test_leaving_primary_is_primary_after_its_restart(world):
     """Guard against a primary that has just started but is not used.
 
-    Its entry says that it is leaving, and it restarts before it is replaced. The
-    leaving timeout of its earlier start must not apply.
+    A primary whose entry says that it is leaving restarts before it is replaced. The
+    leaving timeout of the earlier start must not apply.
     """
     for host in world.hosts:
         host.cut_from.add("orders")
--- a/tests/core/proxy/test_overload_switchover.py
+++ b/tests/core/proxy/test_overload_switchover.py
@@ -76,11 +76,11 @@
 
 
 def test_lagging_replicas_do_not_leave_all_reads_to_the_primary(world):
-    """One in six statements is refused for forty seconds.
+    """Guard against one in six statements being refused for forty seconds.
 
-    Both replicas apply what they receive a minute late, long after the cause of the
-    lag, and the primary alone has too few slots for the reads. Without a switchover,
-    only time brings a replica up to date.
+    Both replicas apply what they receive a minute late, and still do long after the
+    cause of the lag. The primary alone has too few slots for the reads. Without a
+    switchover, only time brings a replica up to date.
     """
     write_repeatedly(world)
     codes = read_repeatedly(world, READ_RATE)
@@ -114,9 +114,9 @@
 
 
 def test_replicas_that_receive_nothing_are_not_paused(world):
-    """Writes of a busy service repeatedly wait for half a second.
+    """Guard against writes that repeatedly wait for half a second.
 
-    No replica has the floor, since none receives. Each host in turn attempts a
+    No replica has reached the floor, since none receives. Each host in turn attempted a
     switchover, and paused the other replicas before it knew whether the target
     receives.
     """
@@ -138,10 +138,10 @@
 
 
 def test_leaving_member_does_not_prevent_a_switchover(world):
-    """A service stays overloaded until a leaving member has ended, seconds later.
+    """Guard against an overload that lasts until a leaving member has ended.
 
-    A member leaves while both other replicas are far behind. The leaving member gets no
-    reads, so it was never found to be behind.
+    A member leaves, which takes seconds, while both other replicas are far behind. The
+    leaving member gets no reads, so it was never found to be behind.
     """
     write_repeatedly(world)
     codes = read_repeatedly(world, READ_RATE)
@@ -157,7 +157,7 @@
 
 
 def test_planned_replacement_keeps_the_replica_that_serves_reads(world):
-    """Reads of a service are refused for nine seconds after a planned replacement.
+    """Guard against reads refused for nine seconds after a planned replacement.
 
     Two replicas are far behind, a new member is up to date, and the primary leaves. The
     new member was promoted, as its log was the furthest, so no replica could serve
@@ -179,11 +179,11 @@
 
 
 def test_few_holders_replace_an_overloaded_primary():
-    """A tenth of all statements is refused while the replicas are behind.
+    """Guard against a tenth of statements refused while the replicas are behind.
 
     In a large fleet few hosts hold the connections and keep a full endpoint's queue
-    short: statements wait, and are rejected, at the holders. The holders took the
-    primary to have free slots, and knew only from the reads of their own callers that
+    short: statements wait, and are rejected, at the holders. The holders assumed that
+    the primary had free slots, and knew only from the reads of their own callers that
     its replicas were behind.
     """
     times = GroupTimes(work=0.009)
--- a/tests/core/proxy/test_pauses.py
+++ b/tests/core/proxy/test_pauses.py
@@ -46,7 +46,7 @@
 
 
 def test_transaction_that_waited_during_a_pause_is_rolled_back():
-    """A late COMMIT can overwrite a newer value as well as a late write."""
+    """A late COMMIT, like a late write, can overwrite a newer value."""
     world = ProxyWorld()
     world.run(1.0)
     early = world.caller(0, "own")
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize(("duration", "later"), [(0.5, 0.0), (3.0, 0.3)])
-def test_writes_that_can_not_have_waited_for_long_run(duration, later):
+def test_writes_run_if_they_can_not_have_waited_for_long(duration, later):
     """Writes are run after a short pause, and soon after the end of a long one."""
     world = ProxyWorld()
     world.run(1.0)
--- a/tests/core/proxy/test_pending_orders.py
+++ b/tests/core/proxy/test_pending_orders.py
@@ -1,7 +1,7 @@
 """Acknowledged commits survive a promotion order that is carried out late.
 
 The simulated platform takes up to one second to carry out an order, does not check
-fencing tokens, and lets a replaced primary go on until it is demoted.
+fencing tokens, and lets a replaced primary go on as primary until it is demoted.
 """
 
 from __future__ import annotations
@@ -10,13 +10,19 @@
 
 from mallowpass.standins.proxied.replicas import GroupTimes
 from mallowpass.standins.proxied.virtual.world import ProxyWorld
-from tests.core.proxy.test_replaced import OLD, OTHERS, keep_working, kept, weak_world
+from tests.core.proxy.test_replaced import (
+    OLD,
+    OTHERS,
+    check_guarantees,
+    keep_working,
+    weak_world,
+)
 
 PROMOTION_TIMES = [0.3, 1.0]  # seconds that the platform takes for an order
 
 
 def world_with_promotion_time(promotion: float, hosts: int = 3) -> ProxyWorld:
-    """Return a world in which promotions take `promotion` s, after one second."""
+    """Return a world under load for 1 s whose promotions take `promotion` seconds."""
     times = GroupTimes(promotion=promotion)
     world = weak_world(hosts=hosts, times=times)
     keep_working(world, *range(hosts))
@@ -30,7 +36,7 @@
     assert world.orders
 
 
-def none_is_paused(world: ProxyWorld) -> bool:
+def no_member_is_paused(world: ProxyWorld) -> bool:
     """Return whether no member is paused."""
     return all(not replica.paused_for for replica in world.group.replicas.values())
 
@@ -41,13 +47,13 @@
 def test_primary_that_returns_while_an_order_is_pending_loses_nothing(
     promotion: float, delay: float, successor: str
 ):
-    """An acknowledged commit is missing on the promoted endpoint.
+    """Guard against a promoted endpoint that lacks an acknowledged commit.
 
-    A primary crashes and a replica is ordered to lead. Before the order is carried out
-    the primary is back with its log, under the same or another name, and its entry
-    names it as primary. The entry ended the attempt and resumed all replicas. A commit
-    was then acknowledged through the other replica, just before the target led without
-    it. Here the target is cut off from the returned primary.
+    A primary crashes and a promotion is ordered. Before the order is carried out the
+    primary is back with its log, under the same or another name, and its entry names it
+    as primary. The entry ended the attempt and resumed all replicas. A commit was then
+    acknowledged through the other replica, just before the target led without that
+    commit. Here the target is cut off from the returned primary.
     """
     world = world_with_promotion_time(promotion)
     world.crash(OLD)
@@ -63,16 +69,16 @@
     world.group.heal()
     world.run(4.0)
     assert world.group.promotions == 1
-    assert none_is_paused(world)
-    kept(world)
+    assert no_member_is_paused(world)
+    check_guarantees(world)
 
 
 @pytest.mark.parametrize("promotion", PROMOTION_TIMES)
 def test_primary_that_returns_serves_writes_until_its_successor_leads(promotion):
-    """Writes wait for the whole time of a promotion, though the primary is back.
+    """Guard against writes that wait for a whole promotion while the primary is back.
 
     All replicas were paused, so the primary that was back could not have a commit
-    acknowledged. The target of the order has to receive.
+    acknowledged. The target of the order must go on receiving.
     """
     world = world_with_promotion_time(promotion)
     world.crash(OLD)
@@ -85,11 +91,11 @@
     first = min(times, default=world.timers.now)
     assert first - ordered_at < 0.6
     world.run(3.0)
-    kept(world)
+    check_guarantees(world)
 
 
 def test_failure_of_the_host_that_ordered_loses_nothing():
-    """An acknowledged commit is missing on the promoted endpoint.
+    """Guard against a promoted endpoint that lacks an acknowledged commit.
 
     A primary crashes, and the host that ordered the promotion of a replica fails. The
     primary returns with its log and crashes again. Another host, which did not know the
@@ -113,12 +119,12 @@
     world.group.heal()
     world.run(9.0)
     assert {order.endpoint for order in world.orders} == {target}
-    assert none_is_paused(world)
-    kept(world)
+    assert no_member_is_paused(world)
+    check_guarantees(world)
 
 
 def test_orders_are_sent_under_a_fresh_claim_only():
-    """An order is sent with an older fencing token than an earlier order.
+    """Guard against an order with an older fencing token than an earlier order.
 
     The platform accepts an order and does not carry it out. The host that sent the
     order waits for two seconds before the next one, and another host claims meanwhile.
@@ -135,7 +141,7 @@
 
 
 def test_replica_that_restarts_while_an_order_is_pending_is_paused():
-    """An acknowledged commit is missing on the promoted endpoint.
+    """Guard against a promoted endpoint that lacks an acknowledged commit.
 
     The return of the primary ends the attempt. A replica restarts before the order is
     carried out, which ends its pause, and acknowledged commits that the target did not
@@ -154,5 +160,5 @@
     world.run(0.3)
     assert world.group.replicas[other].paused_for
     world.run(5.0)
-    assert none_is_paused(world)
-    kept(world)
+    assert no_member_is_paused(world)
+    check_guarantees(world)
--- a/tests/core/proxy/test_promotion.py
+++ b/tests/core/proxy/test_promotion.py
@@ -49,9 +49,9 @@
 
 
 def test_primary_that_one_host_cannot_reach_is_not_replaced():
-    """A healthy primary is replaced.
+    """Guard against the replacement of a healthy primary.
 
-    One host is cut off from it, and replaces it without a quorum of hosts.
+    One host was cut off from the primary, and replaced it without a quorum of hosts.
     """
     world = ProxyWorld(hosts=4)
     host = world.hosts[0]
@@ -91,10 +91,10 @@
 
 
 def test_primary_whose_entry_returns_soon_is_not_replaced():
-    """A healthy primary is replaced when the store returns.
+    """Guard against the replacement of a healthy primary when the store returns.
 
     Entries expire while the store is unreachable, and are back two seconds after its
-    return. Hosts took the missing entry for the loss of the endpoint.
+    return. Hosts treated the missing entry as the loss of the endpoint.
     """
     world = ProxyWorld()
     world.remove_entry("db-casa")
@@ -106,7 +106,7 @@
 
 
 def test_replica_that_received_more_is_promoted():
-    """An acknowledged commit is lost after a promotion.
+    """Guard against the loss of an acknowledged commit after a promotion.
 
     One replica receives nothing for a while, the other one acknowledges, and the
     primary crashes. The replica that lacks commits was promoted.
@@ -124,10 +124,10 @@
 
 
 def test_nothing_is_promoted_while_a_replica_is_unreachable():
-    """An acknowledged commit is lost after a promotion.
+    """Guard against the loss of an acknowledged commit after a promotion.
 
     The only replica that has the commit is unreachable when the primary crashes. A
-    majority without that replica was taken to be sufficient.
+    majority without that replica counted as sufficient.
     """
     world = ProxyWorld()
     world.group.replicas["db-tanger"].deaf = True
@@ -146,10 +146,10 @@
 
 
 def test_claim_whose_answer_was_lost_is_used():
-    """A crashed primary is not replaced while answers of the store are lost.
+    """Guard against a crashed primary that is not replaced if store answers are lost.
 
     The store carries out each claim, and the answer is lost. The host reads the claim
-    back, and took it for the claim of another host, since the stored time is rounded.
+    back, and treated it as the claim of another host, since the stored time is rounded.
     """
     world = ProxyWorld()
     world.run(0.1234567)
@@ -202,7 +202,7 @@
 
 
 def test_draining_primary_without_a_successor_is_no_longer_used():
-    """Statements reach an endpoint long after it began to drain.
+    """Guard against statements at an endpoint long after it began to drain.
 
     A primary drains while a replica is unreachable, so no replica may be promoted. The
     primary was used as long as it led.
@@ -244,13 +244,13 @@
 
 
 def test_replica_without_commits_of_an_earlier_primary_is_not_promoted():
-    """Acknowledged commits are lost after a second replacement.
+    """Guard against the loss of acknowledged commits after a second replacement.
 
     One replica receives nothing, and the other one acknowledges all commits and leads
     after the loss of the primary. Writes get no answer, since the only replica left
-    receives nothing, and hosts took that for a failure. Four seconds later the entry of
-    the first primary expired, so the replica that lacks the commits was the only one to
-    compare, and was promoted. The position from the first comparison was not kept.
+    receives nothing, and hosts treated that as a failure. Four seconds later the entry
+    of the first primary expired, so the replica that lacks the commits was the only one
+    to compare, and was promoted. The position from the first comparison was not kept.
     """
     world = ProxyWorld()
     _lose_primary_and_leave_a_lagging_replica(world)
@@ -264,7 +264,7 @@
 
 
 def test_restarted_hosts_know_the_commits_of_an_earlier_primary():
-    """An acknowledged commit is lost after a second replacement by other hosts.
+    """Guard against the loss of a commit in a second replacement by other hosts.
 
     All hosts lose power after the first replacement. After their restart they have no
     result of a comparison, and find only a replica that lacks commits.
@@ -279,10 +279,10 @@
 
 
 def test_replica_without_commits_of_a_lost_replica_is_not_promoted():
-    """An acknowledged commit is lost though the primary never failed.
+    """Guard against the loss of an acknowledged commit without a primary failure.
 
     One replica receives nothing; the other one acknowledges alone, serves reads, and is
-    then lost for good. Writes stall, which hosts take for a failure of the primary. The
+    then lost for good. Writes stall, which hosts treat as a failure of the primary. The
     replica that lacks the commits is the only one to compare.
     """
     world = ProxyWorld()
@@ -307,7 +307,7 @@
 
 
 def test_member_that_joins_during_a_replacement_is_paused():
-    """A commit that was acknowledged during a replacement is lost.
+    """Guard against the loss of a commit acknowledged during a replacement.
 
     A member joins after all replicas were compared and paused, and before the target
     leads. The old primary still reaches the new member, and commits that it
@@ -331,7 +331,7 @@
 
 
 def test_commits_count_as_acknowledged_though_no_replica_was_read():
-    """Ten acknowledged commits are lost after the loss of a replica.
+    """Guard against the loss of ten acknowledged commits when a replica is lost.
 
     All reads ran on the primary, so no host had seen the log of the only replica that
     received when that replica was lost. Writes stalled, and a replica without the
--- a/tests/core/proxy/test_relays.py
+++ b/tests/core/proxy/test_relays.py
@@ -29,9 +29,9 @@
     for number in (1, 2)
 )
 CALM_TIME = 60.0  # seconds without changes
-NO_RELAYS_APPLY_TIME = (
-    3.0  # seconds to apply a change; too short a time for relays to be used
-)
+# Seconds within which changes must be in force: so few that hosts use no relays, and
+# each watches the store itself.
+APPLY_TIME_WITHOUT_RELAYS = 3.0
 APPLY_TIME = 5.0  # seconds within which a change must be in force everywhere
 
 
@@ -43,11 +43,13 @@
 
 
 def _relays(world: ProxyWorld) -> list[Host]:
+    """Return the hosts that watch the store themselves and pass changes on."""
     hosts = world.hosts
     return [host for host in hosts if not host.node.system(Relays).has_relays]
 
 
 def _followers(world: ProxyWorld) -> list[Host]:
+    """Return the hosts that get changes from relays."""
     return [host for host in world.hosts if host.node.system(Relays).has_relays]
 
 
@@ -68,7 +70,7 @@
     world.run(CALM_TIME)
     calls = world.store.calls - before
     assert len(_relays(world)) == 6
-    without_relays = ProxyWorld(hosts=HOSTS, apply_time=NO_RELAYS_APPLY_TIME)
+    without_relays = ProxyWorld(hosts=HOSTS, apply_time=APPLY_TIME_WITHOUT_RELAYS)
     without_relays.run(8.0)
     before = without_relays.store.calls
     without_relays.run(CALM_TIME)
@@ -88,7 +90,7 @@
     world.run(CALM_TIME)
     calls = world.store.calls - before
     without_relays = ProxyWorld(
-        hosts=HOSTS, domains=SMALL_DOMAINS, apply_time=NO_RELAYS_APPLY_TIME
+        hosts=HOSTS, domains=SMALL_DOMAINS, apply_time=APPLY_TIME_WITHOUT_RELAYS
     )
     without_relays.run(8.0)
     before = without_relays.store.calls
@@ -124,7 +126,7 @@
 
 
 def test_first_start_takes_two_calls_of_a_follower():
-    """A follower writes its entry and lists the hosts; the rest is for its relay."""
+    """A follower writes its entry and lists the hosts; its relay sends the rest."""
     world = ProxyWorld(hosts=HOSTS, first_start=True)
     world.run(6.0)
     assert all(host.ready for host in world.hosts)
@@ -132,10 +134,10 @@
 
 
 def test_a_restarting_follower_lists_only_the_hosts(world):
-    """Guard against a rolling restart that reads a square of the fleet's size in bytes.
+    """Guard against bytes read that grow with the square of the number of hosts.
 
-    A host that is no relay is killed and restarts. It would list three tables at the
-    store, two of which it can read from its relays.
+    A host that is no relay restarts, as in a rolling restart. The host would list three
+    tables at the store, two of which it can read from its relays.
     """
     follower = world.hosts.index(_followers(world)[0])
     before = world.store.calls
@@ -298,9 +300,11 @@
 # -- Answers of a relay ------------------------------------------------------
 
 
-def _reply(version: int, *names: str, is_snapshot: bool = False, gone: bool = False):
+def _reply(
+    version: int, *names: str, is_snapshot: bool = False, is_removal: bool = False
+):
     rows = [
-        Row(RowKey(Table.HOSTS, "", name), version, None if gone else "text")
+        Row(RowKey(Table.HOSTS, "", name), version, None if is_removal else "text")
         for name in names
     ]
     return StoreReply(StoreStatus.DONE, tuple(rows), version, is_snapshot=is_snapshot)
@@ -330,7 +334,7 @@
 
 
 def test_removed_rows_are_sent_as_changes_but_not_in_a_snapshot(feeds):
-    feeds.apply(Table.HOSTS, _reply(13, "a", gone=True), by_relay=False)
+    feeds.apply(Table.HOSTS, _reply(13, "a", is_removal=True), by_relay=False)
     assert _changes_after(feeds, 10) == (["a"], False)
     assert _changes_after(feeds, 1) == (["b"], True)
 
@@ -341,8 +345,8 @@
 
 def test_the_number_of_kept_removed_rows_is_limited(feeds):
     for number in range(REMOVED_MAX + 5):
-        gone = _reply(20 + number, f"n{number}", gone=True)
-        feeds.apply(Table.HOSTS, gone, by_relay=False)
+        removal = _reply(20 + number, f"n{number}", is_removal=True)
+        feeds.apply(Table.HOSTS, removal, by_relay=False)
     copy = feeds._copies[Table.HOSTS]
     assert len(copy.rows) == REMOVED_MAX + 2
     assert _changes_after(feeds, 22)[1]
--- a/tests/core/proxy/test_replaced.py
+++ b/tests/core/proxy/test_replaced.py
@@ -1,7 +1,7 @@
-"""Replaced primaries that go on: no caller may be served by one as if it were primary.
+"""No caller is served by a replaced primary as if it were still the primary.
 
-The simulated platform checks no fencing tokens, and a replaced primary goes on until it
-is demoted or has been able to reach its successor for a second.
+The simulated platform checks no fencing tokens, and a replaced primary goes on as
+primary until it is demoted or has been able to reach its successor for a second.
 """
 
 from __future__ import annotations
@@ -55,8 +55,8 @@
         world.cut(index, OLD)
 
 
-def kept(world: ProxyWorld) -> None:
-    """Assert that no guarantee was violated."""
+def check_guarantees(world: ProxyWorld) -> None:
+    """Check that no guarantee was violated."""
     assert world.group.lost == []
     assert world.group.overtaken == []
     assert world.oracle.stale == []
@@ -66,10 +66,10 @@
 def test_a_host_that_reaches_only_the_old_primary_serves_nothing_stale(database):
     """Guard against reads that lack commits acknowledged over a second before.
 
-    A primary was cut off from its replicas and from all hosts but one, which reached
-    no other endpoint, and the other hosts replaced it. The one host went on to read at
-    the old primary, whose log stood at 1.41 when 2.37 had been acknowledged. That the
-    old primary accepted an empty transaction counted as proof that it was primary.
+    A primary was cut off from its replicas and from all hosts but one, which reached no
+    other endpoint, and the other hosts replaced it. The one host went on to read at the
+    old primary, whose log ended at 1.41 when 2.37 had been acknowledged. That the old
+    primary accepted an empty transaction counted as proof that it was primary.
     """
     world = weak_world()
     keep_working(world, 1, 2, 3)
@@ -78,19 +78,21 @@
     cut_off(world)
     world.run(6.0)
     assert world.group.promotions == 1
-    kept(world)
+    check_guarantees(world)
 
 
 @pytest.mark.parametrize("away", [3.0, 6.0, 9.0])
-@pytest.mark.parametrize("given_back", [True, False])
-def test_a_claim_for_the_successor_proves_nothing_for_the_old_primary(away, given_back):
+@pytest.mark.parametrize("is_released", [True, False])
+def test_a_claim_for_the_successor_proves_nothing_for_the_old_primary(
+    away, is_released
+):
     """Guard against reads that lack commits which a successor acknowledged before.
 
     A host was cut off from all but the old primary, also from the store. Once it
     reached the store again, it looked for a claim to replace the old primary. The
     newest claim was a later one, made to resume the successor's replicas: it named
     another primary, or was released. Neither proves anything for the old primary, whose
-    log stood at 1.49 and lacked commit 2.56.
+    log ended at 1.49 and lacked commit 2.56.
     """
     world = weak_world()
     keep_working(world, 1, 2, 3)
@@ -101,7 +103,7 @@
     world.run(away)
     successor = world.primary.name
     assert successor != OLD
-    holder = "-" if given_back else world.hosts[1].name
+    holder = "-" if is_released else world.hosts[1].name
     key = RowKey(Table.CLAIMS, SERVICE, "primary")
     before = Claim.decode(world.store.get(key).value)
     later = replace(
@@ -110,7 +112,7 @@
     world.store.put(key, later.encode())
     world.hosts[0].cut_from.discard("store")
     world.run(1.0)
-    kept(world)
+    check_guarantees(world)
 
 
 def test_a_holder_that_assumes_the_old_primary_proves_nothing_to_others():
@@ -118,14 +120,14 @@
 
     The holder was cut off together with the old primary, which it still assumed to be
     the primary. It therefore refused, in the successor's name, statements that it
-    should have forwarded to the successor. Other hosts took these refusals for replies
-    of the successor, and so for proof that the old primary was the only one.
+    should have forwarded to the successor. Other hosts treated these refusals as
+    replies of the successor, and so as proof that the old primary was the only one.
     """
     world = weak_world(hosts=24)
     world.run(4.0)
     holders = [host for host in world.hosts if host.connections]
     holder = holders[0]
-    guests = [
+    clients = [
         index
         for index, host in enumerate(world.hosts)
         if host.domain == holder.domain and not host.connections
@@ -136,12 +138,12 @@
     holder.cut_from |= {*OTHERS, "store", "orders"}
     for host in holders[1:]:
         host.cut_from.add(OLD)
-    for index in guests:
+    for index in clients:
         world.cut(index, "store")
         keep_reading(world, index, "strict")
     world.run(6.0)
     assert world.group.promotions == 1
-    kept(world)
+    check_guarantees(world)
 
 
 def test_after_a_switchover_the_old_primary_acknowledges_nothing():
@@ -149,8 +151,8 @@
 
     A leaving primary was replaced, and was not ordered to step down. The paused replica
     was resumed once the successor was promoted, and followed the old primary until it
-    learnt of the successor. So it acknowledged commits of a host that could not reach
-    the store and did not know the successor either, and these commits were lost.
+    learnt of the successor. The replica acknowledged commits of a host that could not
+    reach the store and did not know the successor either. These commits were lost.
     """
     world = weak_world()
     keep_working(world, 0, 1, 2, 3)
@@ -159,7 +161,7 @@
     world.enter(world.group.replicas[OLD], draining=True)
     world.run(4.0)
     assert world.group.promotions == 1
-    kept(world)
+    check_guarantees(world)
 
 
 def test_a_stalled_primary_that_was_replaced_acknowledges_nothing():
@@ -177,7 +179,7 @@
     world.group.heal()
     world.run(4.0)
     assert world.group.promotions == 1
-    kept(world)
+    check_guarantees(world)
 
 
 def test_a_replica_that_restarts_during_a_replacement_acknowledges_nothing_more():
@@ -198,7 +200,7 @@
     world.restart(other)
     world.run(4.0)
     assert world.group.promotions >= 1
-    kept(world)
+    check_guarantees(world)
 
 
 def test_an_order_that_is_carried_out_late_loses_nothing():
@@ -225,7 +227,7 @@
     assert any(host.logged("promotion_given_up") for host in world.hosts)
     world.run(15.0)
     assert all(not replica.paused_for for replica in world.group.replicas.values())
-    kept(world)
+    check_guarantees(world)
 
 
 def test_a_host_without_the_store_goes_on_reading_without_a_replacement():
@@ -241,7 +243,7 @@
     for database in ("strict", "bounded", "own"):
         answer = world.caller(0, database).run(Read("a"))
         assert answer.code is Code.DONE
-    kept(world)
+    check_guarantees(world)
 
 
 def test_a_host_cut_from_a_replica_reads_at_the_primary():
@@ -251,7 +253,7 @@
     world.cut(0, "db-agadir")
     world.run(3.0)
     assert world.caller(0, "strict").run(Read("a")).code is Code.DONE
-    kept(world)
+    check_guarantees(world)
 
 
 def test_hosts_that_find_two_primaries_demote_the_older_one():
@@ -270,10 +272,10 @@
     world.run(2.0)
     assert not world.group.replicas[OLD].is_primary
     assert world.hosts[0].tables.groups[SERVICE].primary == "db-tanger"
-    kept(world)
+    check_guarantees(world)
 
 
-def test_what_was_proven_of_a_primary_ends_with_its_start():
+def test_proof_of_a_sole_primary_ends_with_its_start():
     """Guard against a read on the empty log of a restarted primary.
 
     The primary was proven to be the only one, crashed, and restarted under its name
@@ -290,7 +292,7 @@
     world.hosts[0].cut_from.discard("store")
     world.run(6.0)
     assert world.group.promotions >= 1
-    kept(world)
+    check_guarantees(world)
 
 
 def test_a_host_that_does_not_know_the_successor_proves_nothing():
@@ -336,14 +338,14 @@
     world.run(4.0)
     assert world.group.promotions == 1
     assert successor.is_primary
-    kept(world)
+    check_guarantees(world)
 
 
 @pytest.mark.parametrize("led_for", [0.0, 0.01, 0.3, 0.6])
 def test_an_old_primary_that_claims_to_be_primary_is_no_successor(led_for):
     """Guard against the loss of commits that a replaced primary acknowledged.
 
-    Its successor failed as well. The attempt to replace the successor ended early, as a
+    The successor failed as well. The attempt to replace the successor ended early, as a
     member claimed to be primary already, and that member was the old primary.
     """
     world = weak_world()
@@ -359,7 +361,7 @@
     world.run(0.6 - led_for)
     world.dark.discard(OLD)
     world.run(8.0)
-    kept(world)
+    check_guarantees(world)
 
 
 def keep_writing(world: ProxyWorld, *hosts: int) -> None:
@@ -372,7 +374,7 @@
     world.timers.after(0.02, keep_writing, world, *hosts)
 
 
-def replaced_by_some(world: ProxyWorld) -> None:
+def let_two_hosts_replace_the_primary(world: ProxyWorld) -> None:
     """Cut two hosts off from the primary, so that they replace it.
 
     The two other hosts write at the primary and cannot reach the store.
@@ -396,12 +398,12 @@
 ):
     """Guard against commits that an old primary acknowledges beside its successor.
 
-    The host that replaced the primary had failed to reach it earlier, and took that for
-    proof that it was unreachable. Other hosts reached the primary all the time, and the
-    host itself did again when replicas were resumed.
+    The host that replaced the primary had failed to reach it earlier, and treated that
+    as proof that the primary was unreachable. Other hosts reached the primary all the
+    time, and the host itself did again when replicas were resumed.
     """
     world = weak_world(times=GroupTimes(promotion=promotion))
-    replaced_by_some(world)
+    let_two_hosts_replace_the_primary(world)
     for index in (1, 2):
         world.cut(index, "host-0", "host-3")
     world.run_until(lambda: bool(world.orders), 8.0)
@@ -413,24 +415,24 @@
                 host.lose(number, "reset")
     world.run(4.0)
     assert world.group.promotions == 1
-    kept(world)
+    check_guarantees(world)
 
 
 def test_hosts_that_are_cut_off_with_an_old_primary_lose_nothing():
     """Guard against commits that an old primary acknowledges beside its successor.
 
     The host that replaced the primary reached neither the primary nor the hosts that
-    went on to write there. It waited only half a second, as if no host reached the
-    primary.
+    went on to write there. The host waited only half a second, as if no host reached
+    the primary.
     """
     world = weak_world()
-    replaced_by_some(world)
+    let_two_hosts_replace_the_primary(world)
     for index in (1, 2):
         world.cut(index, "host-0", "host-3")
     world.run_until(lambda: world.group.promotions == 1, 8.0)
     world.run(6.0)
     assert world.group.promotions == 1
-    kept(world)
+    check_guarantees(world)
 
 
 @pytest.mark.parametrize("written", [0.01, 0.1, 0.3])
@@ -454,15 +456,15 @@
     assert primaries == {world.primary.name}
     world.dark.discard(OLD)
     world.run(4.0)
-    kept(world)
+    check_guarantees(world)
 
 
 def test_evidence_from_before_the_promotion_does_not_count():
     """Guard against resuming a replica on outdated evidence about the old primary.
 
-    No host had reached the old primary some time before the promotion. It may be
-    reachable again when its successor is promoted, for hosts that do not know the
-    successor.
+    For some time before the promotion, no host had reached the old primary. Hosts that
+    do not know the successor may reach the old primary again when the successor is
+    promoted.
     """
     world = weak_world(times=GroupTimes(promotion=1.0))
     keep_working(world, 0, 1, 2, 3)
--- a/tests/core/proxy/test_replacement.py
+++ b/tests/core/proxy/test_replacement.py
@@ -41,11 +41,11 @@
 
 
 def test_replica_that_restarts_during_a_comparison_is_paused_again():
-    """Seventeen acknowledged commits are lost.
+    """Guard against the loss of seventeen acknowledged commits.
 
     Two hosts of five are cut off from a healthy primary and begin to replace it. A
-    paused replica restarts during the attempt and acknowledges commits again, but still
-    counted as paused.
+    paused replica restarts during the attempt and acknowledges commits again. The
+    replica still counted as paused.
     """
     world = ProxyWorld(hosts=5, times=GroupTimes(promotion=0.5))
     _write(world, 5, host=4)
@@ -64,7 +64,7 @@
 
 
 def test_member_that_receives_before_its_entry_is_known_loses_nothing():
-    """Eleven acknowledged commits are lost.
+    """Guard against the loss of eleven acknowledged commits.
 
     A new member acknowledges commits of a healthy primary before its entry is known.
     All other replicas were paused, including the target of the order.
@@ -91,10 +91,10 @@
 
 
 def test_target_whose_entry_changes_is_not_paused():
-    """Writes stall during a planned replacement.
+    """Guard against writes that stall during a planned replacement.
 
     The entry of the target changes while its log position is queried. The target was
-    taken for a new member, and paused like the other replicas.
+    treated as a new member, and paused like the other replicas.
     """
     world = ProxyWorld()
     _write(world, 5)
@@ -117,10 +117,11 @@
 
 
 def test_primary_that_acknowledges_writes_again_is_not_replaced():
-    """A primary is replaced one second after it has served writes again.
+    """Guard against the replacement of a primary that serves writes again.
 
     The primary is unreachable for a moment, and a replica for longer, so the comparison
-    waits. The attempt went on when the primary was back.
+    waits. The attempt went on when the primary was back, and replaced it one second
+    later.
     """
     world = ProxyWorld()
     _write(world, 5)
@@ -141,7 +142,7 @@
 
 
 def test_attempt_waits_for_a_replica_that_is_briefly_unreachable():
-    """A crash is followed by 3.5 seconds without writes instead of 2.
+    """Guard against 3.5 seconds without writes after a crash, instead of 2.
 
     The replica that has all commits is unreachable for one second when the primary
     crashes. Attempts were given up for lack of that replica, with a backoff of 2 s.
@@ -167,10 +168,10 @@
 
 @pytest.mark.parametrize("after", [0.02, 0.1, 0.2, 0.3])
 def test_target_that_restarts_empty_is_not_ordered_again(after: float):
-    """All acknowledged commits are lost, as an empty endpoint leads.
+    """Guard against the promotion of an empty endpoint, which loses all commits.
 
-    The target restarts with its name and an empty log before it leads. The target was
-    ordered once more, because of the log position that it had before the restart.
+    The target restarts under its name, with an empty log, before it leads. The target
+    was ordered once more, because of the log position that it had before the restart.
     """
     world = ProxyWorld()
     _write(world, 5)
@@ -189,7 +190,7 @@
 
 
 def test_replica_that_restarts_after_the_order_is_paused_again():
-    """An acknowledged commit is lost after a planned replacement.
+    """Guard against the loss of an acknowledged commit after a planned replacement.
 
     A replica restarts between the order and the change of primary, which ends its
     pause. The target lacked the commits that only this replica had acknowledged.
@@ -211,7 +212,7 @@
 
 
 def test_draining_primary_that_restarts_is_not_replaced_repeatedly():
-    """A healthy primary is replaced repeatedly.
+    """Guard against the repeated replacement of a healthy primary.
 
     The primary drains, then restarts with its log and no longer drains. Hosts acted on
     the row from before the restart.
@@ -234,7 +235,7 @@
 
 
 def test_empty_endpoint_that_reports_that_it_leads_serves_no_reads():
-    """Reads from a primary return none of the acknowledged commits.
+    """Guard against reads from a primary that lacks all acknowledged commits.
 
     The primary restarts with an empty log, and its entry still names it as primary.
     """
@@ -257,10 +258,10 @@
 
 
 def test_empty_endpoint_that_reports_that_it_leads_is_replaced():
-    """A group never gets a primary.
+    """Guard against a group that never gets a primary.
 
     A primary restarts with an empty log and reports that it leads. A host that compares
-    members took the report to be true, and ended the attempt without an order.
+    members trusted the report, and ended the attempt without an order.
     """
     world = ProxyWorld()
     _write(world, 5)
--- a/tests/core/proxy/test_resumption.py
+++ b/tests/core/proxy/test_resumption.py
@@ -35,11 +35,11 @@
 
 
 def test_replica_that_was_unreachable_is_resumed_later():
-    """One in six statements is refused for a day, also after a restart of all hosts.
+    """Guard against one in six statements being refused for a day.
 
     The replica that was paused for the comparison is unreachable for two seconds when
     the target leads. The replica was ordered to resume once, without a check of the
-    outcome.
+    outcome, and stayed paused also after a restart of all hosts.
     """
     world = ProxyWorld()
     keep_working(world)
@@ -56,7 +56,7 @@
 
 
 def test_replica_paused_by_a_failed_host_is_resumed_by_others():
-    """A replica never serves reads again.
+    """Guard against a replica that never serves reads again.
 
     A host pauses the replica, has another member promoted, and fails before it can
     resume the replica. Only that host knew of the pause.
@@ -73,7 +73,7 @@
 
 
 def test_replica_whose_pause_is_carried_out_late_is_resumed():
-    """A replica never serves reads again.
+    """Guard against a replica that never serves reads again.
 
     An order to pause is carried out seconds after the attempt has ended. Only replicas
     that had confirmed the pause were resumed.
@@ -99,7 +99,7 @@
 
 
 def test_promotion_orders_of_two_hosts_are_seconds_apart():
-    """Two hosts promote in turns within one second.
+    """Guard against two hosts that promote in turn within one second.
 
     A member is promoted and crashes a second later, and another host is the first to
     replace it. The claim of the first host was released as soon as its attempt had
@@ -121,7 +121,7 @@
 
 
 def test_claim_without_a_promotion_order_is_released():
-    """A crashed primary is replaced three seconds late.
+    """Guard against a crashed primary that is replaced three seconds late.
 
     A host claims in order to resume a replica, and a moment later the primary crashes.
     Other hosts waited until that claim expired, as they do for a promotion.
@@ -140,10 +140,10 @@
 
 
 def test_replica_that_is_far_behind_is_resumed_by_one_host():
-    """A dozen claims within two seconds, each of three calls to the store.
+    """Guard against a dozen claims in two seconds, each of three store calls.
 
     A replica is behind for longer than any lag should last, and all hosts notice. Each
-    of them resumed it, though another host had just done so.
+    host resumed the replica, though another host had just done so.
     """
     world = ProxyWorld(hosts=9)
     keep_working(world)
@@ -155,10 +155,10 @@
 
 
 def test_paused_replicas_are_resumed_by_the_next_host_that_claims():
-    """No write is acknowledged any more, as all replicas stay paused.
+    """Guard against replicas that all stay paused, so no write is acknowledged.
 
-    The host that paused them has lost its claim. Other hosts claimed repeatedly to
-    compare replicas, found none with all commits, and did not resume them.
+    The host that paused the replicas has lost its claim. Other hosts claimed repeatedly
+    to compare replicas, found none with all commits, and did not resume them.
     """
     world = ProxyWorld()
     keep_working(world)
--- a/tests/core/proxy/test_sampling.py
+++ b/tests/core/proxy/test_sampling.py
@@ -25,7 +25,7 @@
     def __init__(self, world: ProxyWorld) -> None:
         self._world = world
         self._random = random.Random(5)
-        self.sent: list[tuple[float, Caller]] = []
+        self.replica_reads: list[tuple[float, Caller]] = []
         self._send()
 
     def _send(self) -> None:
@@ -43,12 +43,12 @@
         else:
             caller = world.caller(host, "own")
             caller.send(Read("a"))
-            self.sent.append((world.timers.now, caller))
+            self.replica_reads.append((world.timers.now, caller))
         world.timers.after(self._random.expovariate(RATE), self._send)
 
     def served_share(self, since: float, until: float) -> float:
         """Return the share of the reads sent in a period that met the objective."""
-        reads = [(at, c) for at, c in self.sent if since <= at < until]
+        reads = [(at, c) for at, c in self.replica_reads if since <= at < until]
         served = [
             caller
             for at, caller in reads
--- a/tests/core/proxy/test_stalls.py
+++ b/tests/core/proxy/test_stalls.py
@@ -54,7 +54,7 @@
             if caller.answers and self.sent_at[caller] >= since
         ]
 
-    def waited(self, callers: list[Caller], since: float) -> float:
+    def longest_wait(self, callers: list[Caller], since: float) -> float:
         return max(
             caller.answered_at[-1] - self.sent_at[caller]
             for caller in callers
@@ -76,7 +76,7 @@
     answers = load.answers(load.reads, since)
     assert len(answers) > 100
     assert {answer.code for answer in answers} == {Code.DONE}
-    assert load.waited(load.reads, since) < 0.3
+    assert load.longest_wait(load.reads, since) < 0.3
     assert world.group.lost == []
 
 
@@ -118,9 +118,9 @@
 def test_primary_whose_replica_receives_again_is_not_replaced():
     """Guard against the replacement of a primary that acknowledges writes again.
 
-    Hosts that had seen writes stall, and had sent no writes since, still suspected it.
-    The replacement was refused while its replica lacked commits, and was ordered two
-    seconds later, once the replica had caught up.
+    Hosts that had seen writes stall, and had sent no writes since, still suspected the
+    primary. The replacement was refused while its replica lacked commits, and was
+    ordered two seconds later, once the replica had caught up.
     """
     world = ProxyWorld()
     _leave_no_receiving_replica(world)
--- a/tests/core/proxy/test_store.py
+++ b/tests/core/proxy/test_store.py
@@ -136,7 +136,8 @@
 
     The store answers nothing for four seconds, and never answers calls that it received
     meanwhile. A host that waited 32 seconds for such an answer sent statements to a
-    leaving primary ten seconds after it had announced that, and did not replace it.
+    primary ten seconds after the primary had announced that it was leaving, and did not
+    replace it.
     """
     world = ProxyWorld()
     world.store.faults.silent = True
--- a/tests/core/proxy/test_unreadable.py
+++ b/tests/core/proxy/test_unreadable.py
@@ -69,7 +69,7 @@
     assert len(_unreadable(world)) == 4
 
 
-def test_good_entry_after_one_that_can_not_be_read(world):
+def test_readable_entry_replaces_an_unreadable_one(world):
     world.garble_entry("db-stray", STRAY)
     world.put_entry(replace(world.entry(REPLICA), name="db-stray"))
     assert not _row(world, "db-stray").is_leaving
@@ -125,7 +125,7 @@
     assert len(_unreadable(world)) == 1
 
 
-def test_entry_of_a_service_that_is_not_configured(world):
+def test_entry_of_a_service_that_is_not_configured_is_ignored(world):
     """Guard against promotions in a group whose service is not configured."""
     stray = replace(world.entry(REPLICA), name="db-stray", service="elsewhere")
     world.put_entry(replace(stray, is_primary=True))
@@ -136,7 +136,7 @@
     assert "elsewhere" in logged["why"]
 
 
-def test_service_that_is_configured_later(world):
+def test_endpoint_whose_service_is_configured_later_is_used(world):
     """Guard against a new service without endpoints.
 
     Its endpoints write their entries before the operator adds the service. Entries of
@@ -152,11 +152,12 @@
     assert _row(world, "db-new").entry.service == "letters"
 
 
-def test_entry_that_is_gone_before_its_service_is_configured(world):
+def test_entry_removed_before_its_service_is_configured_is_dropped(world):
     """Guard against statements at an endpoint that was removed long ago.
 
     The endpoint's entry vanishes while this host cannot follow the entries, and its
-    service is configured later. An entry that is held until then must be dropped.
+    service is configured later. The held entry must be dropped when the host lists the
+    entries again.
     """
     world.put_entry(replace(world.entry(REPLICA), name="db-new", service="letters"))
     world.store.refuse_all()
@@ -170,7 +171,7 @@
     assert "db-new" not in world.hosts[0].tables.endpoints
 
 
-def test_entry_that_names_another_service(world):
+def test_entry_that_names_an_unknown_service_ends_use_of_the_endpoint(world):
     """Guard against an endpoint in two groups.
 
     Another writer puts an entry of another service under the endpoint's name. The row
@@ -184,7 +185,7 @@
     assert not endpoint.is_leaving
 
 
-def test_entry_that_names_another_configured_service(world):
+def test_endpoint_moves_to_the_configured_service_in_its_entry(world):
     services = {name: ServiceLimits(name, 22, 1) for name in (SERVICE, "letters")}
     world.store.put(CONFIGURATION_KEY, configuration(2, services=services))
     world.groups["letters"] = Group("letters", [REPLICA], world.timers)
@@ -199,7 +200,7 @@
     assert REPLICA not in groups["letters"].endpoints
 
 
-def test_configuration_that_can_not_be_read(world):
+def test_unreadable_configuration_keeps_the_earlier_one_in_force(world):
     """Guard against refused callers after another writer garbled the row."""
     for _ in range(3):
         world.store.put(CONFIGURATION_KEY, Unreadable("no JSON"))
@@ -211,7 +212,7 @@
 
 
 @pytest.mark.parametrize("value", [Unreadable("no UTF-8 text"), "x", "casa - nan"])
-def test_host_entry_that_can_not_be_read(world, value):
+def test_unreadable_host_entry_changes_no_host(world, value):
     hosts = dict(world.hosts[0].tables.hosts)
     for name in ("host-1", "host-stray", "host-stray"):
         world.store.put(RowKey(Table.HOSTS, "", name), value)
