--- a/tests/core/proxy/test_links.py
+++ b/tests/core/proxy/test_links.py
@@ -278,8 +278,8 @@
     assert done["patient"] < 0.8
 
 
-@pytest.mark.parametrize("later", [0.0, 0.1, 0.2, 0.3])
-def test_holders_without_connections_borrow_from_other_holders(world, later):
+@pytest.mark.parametrize("delay", [0.0, 0.1, 0.2, 0.3])
+def test_holders_without_connections_borrow_from_other_holders(world, delay):
     """After a loss of power, a quarter of the statements was refused for two seconds.
 
     Endpoints keep the lost connections of holders for three seconds and accept a few
@@ -292,7 +292,7 @@
         while len(replica.connections) < LIMIT - 2:
             connect(world.group, replica.name)
     world.lose_power(0.9, 3.0, lambda host: None)
-    world.run(0.3 + later)
+    world.run(0.3 + delay)
     callers = [world.caller(index, "strict") for index in range(HOSTS)]
     codes = [caller.run(Read("a")).code for caller in callers]
     assert codes == [Code.DONE] * HOSTS
--- a/tests/core/proxy/test_replaced.py
+++ b/tests/core/proxy/test_replaced.py
@@ -81,10 +81,10 @@
     check_guarantees(world)
 
 
-@pytest.mark.parametrize("away", [3.0, 6.0, 9.0])
+@pytest.mark.parametrize("isolated_for", [3.0, 6.0, 9.0])
 @pytest.mark.parametrize("is_released", [True, False])
 def test_a_claim_for_the_successor_proves_nothing_for_the_old_primary(
-    away, is_released
+    isolated_for, is_released
 ):
     """Guard against reads that lack commits which a successor acknowledged before.
 
@@ -100,7 +100,7 @@
     world.run(1.0)
     cut_off(world)
     world.cut(0, *(host.name for host in world.hosts[1:]))
-    world.run(away)
+    world.run(isolated_for)
     successor = world.primary.name
     assert successor != OLD
     holder = "-" if is_released else world.hosts[1].name
@@ -389,12 +389,12 @@
 
 
 @pytest.mark.parametrize(
-    ("promotion", "back"),
-    [(0.3, back) for back in (0.2, 0.29, 0.3, 0.31, 0.4)]
-    + [(1.0, back) for back in (0.6, 0.8, 0.95, 0.99, 1.0)],
+    ("promotion", "reachable_after"),
+    [(0.3, after) for after in (0.2, 0.29, 0.3, 0.31, 0.4)]
+    + [(1.0, after) for after in (0.6, 0.8, 0.95, 0.99, 1.0)],
 )
 def test_an_old_primary_that_is_back_steps_down_before_a_replica_receives(
-    promotion, back
+    promotion, reachable_after
 ):
     """Guard against commits that an old primary acknowledges beside its successor.
 
@@ -407,7 +407,7 @@
     for index in (1, 2):
         world.cut(index, "host-0", "host-3")
     world.run_until(lambda: bool(world.orders), 8.0)
-    world.run(back)
+    world.run(reachable_after)
     for host in world.hosts[1:3]:
         host.cut_from.discard(OLD)
         for number, connection in list(host.connections.items()):
@@ -435,8 +435,8 @@
     check_guarantees(world)
 
 
-@pytest.mark.parametrize("written", [0.01, 0.1, 0.3])
-def test_an_old_primary_that_writes_its_entry_again_is_not_primary(written):
+@pytest.mark.parametrize("rewritten_after", [0.01, 0.1, 0.3])
+def test_an_old_primary_that_writes_its_entry_again_is_not_primary(rewritten_after):
     """Guard against a return to an old primary that wrote its entry last.
 
     The old primary did not know that it had been replaced, and its new entry no longer
@@ -448,7 +448,7 @@
     world.enter(world.group.replicas[OLD], draining=True)
     world.run_until(lambda: world.group.promotions == 1, 4.0)
     world.dark.add(OLD)
-    world.run(written)
+    world.run(rewritten_after)
     world.enter(world.group.replicas[OLD])
     world.run(0.3)
     assert world.group.replicas[OLD].is_primary
--- a/tests/core/proxy/test_requests.py
+++ b/tests/core/proxy/test_requests.py
@@ -19,9 +19,9 @@
 
     After a loss of power all callers of a region connect to the first host that is
     ready, and 200 reads wait for a few connections. When each free connection made the
-    host choose an endpoint for each waiting read, of which only one could run, a fifth
-    of the statements were answered in time, though endpoints and forwarded connections
-    had capacity to spare.
+    host choose an endpoint for each waiting read, of which only one could run, only a
+    fifth of the statements were answered in time, though endpoints and forwarded
+    connections had capacity to spare.
     """
     world = ProxyWorld(hosts=1)
     routes = {
