--- a/mallowpass/core/calls.py
+++ b/mallowpass/core/calls.py
@@ -308,8 +308,8 @@
     """Request reports whenever the member's state changes; times in seconds.
 
     At least one report comes in each `interval`, at most one in each `minimum_gap`.
-    With `silence`, the member also reports when it has received nothing from its
-    primary for that time.
+    With `silence`, the member also reports as soon as it has received nothing from its
+    primary for that time, even within the gap after another report.
     """
 
     interval: float
--- a/mallowpass/core/codec.py
+++ b/mallowpass/core/codec.py
@@ -53,8 +53,8 @@
 def decode_message(data: bytes) -> PeerMessage | None:
     """Return a peer message, None if its kind or format is unknown.
 
-    A newer host may send messages that this version does not know. Raises
-    BadRequestError if the fields do not fit the kind of message.
+    A newer host may send messages that this version does not know: the adapter counts
+    and drops them. Raises BadRequestError if the fields do not fit the kind of message.
     """
     parts = _load(data)
     if not isinstance(parts, list) or len(parts) < HEADER_LENGTH:
--- a/mallowpass/core/node.py
+++ b/mallowpass/core/node.py
@@ -86,7 +86,7 @@
     probe_interval: float = 0.1
     report_gap: float = 0.01  # least time between two reports of a member
     detection: float = 0.4  # a primary that sends nothing for this long is suspected
-    promise_timeout: float = 0.3  # of the control calls of a promotion
+    promise_timeout: float = 0.3  # of the control calls of a failover
     # The steward of a group is the host that tries first to promote a member. The
     # other hosts follow in turn, at this interval.
     steward_stagger: float = 0.15
--- a/mallowpass/core/services.py
+++ b/mallowpass/core/services.py
@@ -99,7 +99,9 @@
     classes: tuple[RequestClass, ...] = (RequestClass(DEFAULT_CLASS),)
     queue_length: int = DEFAULT_QUEUE_LENGTH
     default_deadline: float = DEFAULT_DEADLINE
-    minority_reads: bool = True  # serve reads with an accepted age without a primary
+    # Whether a host that reaches only a minority of the members may serve reads with an
+    # accepted age. The value is stored, but not consulted.
+    minority_reads: bool = True
     objectives: Objectives = Objectives()
 
     def accepted_age(self, database: str, request_class: str) -> float | None:
--- a/mallowpass/core/signals.py
+++ b/mallowpass/core/signals.py
@@ -104,6 +104,10 @@
 
 @record
 class DrainBegan(Signal):
-    """This host accepts no new sessions; it stops at `deadline` at the latest."""
+    """This host accepts no new sessions.
+
+    The work in flight is finished first. What is left at `deadline` ends then: open
+    transactions are rolled back, and new requests are refused.
+    """
 
     deadline: float
--- a/mallowpass/platform/wire.py
+++ b/mallowpass/platform/wire.py
@@ -237,7 +237,11 @@
 
 
 def render_error(code: Code, message: str) -> bytes:
-    """Return the line for an error; line breaks in its message become spaces."""
+    """Return the line for an error.
+
+    White space in the message is collapsed to single spaces, as a line break would end
+    the line. An empty message is replaced by the code's own text.
+    """
     text = " ".join(message.split()) or code.value
     return b"ERR %b %b\r\n" % (encode(_CODE_NAMES[code]), encode(text))
 
--- a/tests/core/test_timers.py
+++ b/tests/core/test_timers.py
@@ -41,7 +41,7 @@
 
 
 def test_periodic_timer_runs_once_after_a_pause():
-    """A host sends a burst of heartbeats after a pause.
+    """A host sends a burst of hundreds of heartbeats after a pause.
 
     A timer with a period of 1 s does not run for 100 s, and then runs once for each
     period missed.
