--- a/mallowpass/core/systems/activity.py
+++ b/mallowpass/core/systems/activity.py
@@ -14,7 +14,7 @@
 
 __all__ = ["STEWARD_COUNT", "Activity"]
 
-# Hosts of the highest ranks that watch a group's primary closely.
+# Hosts of the first ranks, from 0, that watch a group's primary closely.
 STEWARD_COUNT = 3
 RANK_REVIEW_DELAY = 0.2  # seconds after a host's state changed
 
--- a/mallowpass/core/systems/configuration.py
+++ b/mallowpass/core/systems/configuration.py
@@ -79,7 +79,7 @@
 
     @property
     def poll_age(self) -> float | None:
-        """Return the seconds since this host last read the table, or None."""
+        """Return the seconds since this host last read the table, None for never."""
         return self._poll.age
 
     @property
--- a/mallowpass/core/systems/groupfailover.py
+++ b/mallowpass/core/systems/groupfailover.py
@@ -75,8 +75,10 @@
         self._confirmation: Confirmation | None = None
         self._callback: PromoteCallback | None = None  # of a switchover
         self._highest_term = 0  # in any report so far
-        self._unconfirmed_rounds = 0  # rounds of probes that confirmed no failure
-        self._recorded_verdict: Verdict | None = None  # of the last recorded round
+        # Rounds in which too many members may still have received from the suspect.
+        self._unconfirmed_rounds = 0
+        # Of this suspicion, already in the journal.
+        self._recorded_verdict: Verdict | None = None
         self._is_checking_isolation = False  # the primary reports; members are probed
         # Members that lost an isolated primary: only these promise the next term.
         self._disconnected: frozenset[str] = frozenset()
@@ -111,8 +113,8 @@
         if self.row.primary:
             self._on_new_primary()
         elif self.promotion is None and self._confirmation is None:
-            # The primary was lost for another reason than missing replies, so there is
-            # no detection time to wait for.
+            # The primary was lost for another reason than missing replies, such as its
+            # own report or a majority's: there is no detection time to wait for.
             self._check_in(0.0)
 
     def on_report(self, endpoint: EndpointRow, report: Report) -> None:
@@ -219,7 +221,7 @@
             since = max(self._created_at, self._liveness.awake_since)
             elapsed, is_known = self._now - since, True
         if not is_known:
-            return 0.0  # the primary was marked as lost
+            return 0.0  # marked as lost: by its own report, or for missing replies
         return self._overdue_limit - elapsed
 
     @property
@@ -316,8 +318,9 @@
         self._node.record_decision("suspicion", self.row.key, text)
 
     def _probe_again(self, delay: float) -> None:
-        """Probe again after a delay, which is longer after many rounds.
+        """Probe again when enough members may have lost the primary.
 
+        The delay is longer after many rounds in which too few members had lost it.
         A host that is the only one cut off from a primary would otherwise probe at the
         rate of a failover until the link is repaired.
         """
@@ -341,7 +344,7 @@
             self.begin()
 
     def _yield_turn(self) -> None:
-        """Let the proposer of a higher term finish before proposing a higher term."""
+        """Let the proposer of a higher term finish before proposing one above it."""
         delay = self._turn.seconds_to_yield()
         if delay > 0:
             self._check_in(delay)
--- a/mallowpass/core/systems/hostlinks.py
+++ b/mallowpass/core/systems/hostlinks.py
@@ -24,7 +24,8 @@
 LINKS_MAX = 24
 DIAL_TIMEOUT = 3.0  # seconds
 DIALS_AT_ONCE = 4
-BACKOFF_MIN = 1.0  # seconds after a first failed dial; doubled by each further one
+# Seconds after a first failed dial, at most; doubled by each further one.
+BACKOFF_MIN = 1.0
 BACKOFF_MAX = 30.0
 UNWANTED_LINK_TIME = 10.0  # seconds until a link to a non-neighbour is closed
 CHOICE_INTERVAL = 1.0  # seconds at least between two choices of neighbours
--- a/mallowpass/core/systems/opening.py
+++ b/mallowpass/core/systems/opening.py
@@ -11,9 +11,7 @@
 
 __all__ = ["OPENING_GRACE", "Opener"]
 
-# Connections to one endpoint that are being opened at the same time. More would flood
-# an endpoint that comes back while many requests wait.
-OPENING_MAX = 2
+OPENING_MAX = 2  # connections to one endpoint that are being opened at the same time
 # Seconds after its timeout within which an attempt to connect may still report.
 OPENING_GRACE = 1.0
 # Seconds between attempts to connect, before jitter; doubled with each failure.
--- a/mallowpass/core/systems/platformclient.py
+++ b/mallowpass/core/systems/platformclient.py
@@ -39,7 +39,7 @@
 REPLY_MARGIN = 0.25  # seconds that a reply may follow the timeout of its call
 
 FAILURES_TO_OPEN = 4
-OPEN_TIME_MIN = 0.5  # seconds that the circuit stays open after it opened
+OPEN_TIME_MIN = 0.5  # seconds that the circuit stays open at first, before jitter
 OPEN_TIME_MAX = 8.0
 URGENT_PROBE_INTERVAL = 0.5  # seconds at least between two urgent probes
 READ_ATTEMPTS_MAX = 2
@@ -119,7 +119,7 @@
 
     @property
     def last_answer_at(self) -> float | None:
-        """Return the time of the platform's last successful reply, or None."""
+        """Return when the platform last replied successfully, None for never."""
         return self._breaker.last_answer_at
 
     def start(self) -> None:
--- a/mallowpass/core/systems/reads.py
+++ b/mallowpass/core/systems/reads.py
@@ -45,7 +45,7 @@
 # its connection.
 CHECK_INTERVAL = OVERDUE_MIN / 2
 
-# Refusals that do not count as errors of the member.
+# Refusals that do not count as errors of the member, which merely cannot serve now.
 _NO_FAULT_CODES = frozenset({EndpointCode.WRONG_TERM, EndpointCode.LEAVING})
 _FINAL_CODES = frozenset({EndpointCode.SQL_ERROR, EndpointCode.BAD_CALL})
 
@@ -198,9 +198,9 @@
         if session is not None:
             self._sessions.raise_floor(session, request.database, reply.applied)
         for stream, _ in request.duplicates or ():
-            follower = self.tables.sessions.get(stream)
-            if follower is not None:
-                self._sessions.raise_floor(follower, request.database, reply.applied)
+            other = self.tables.sessions.get(stream)
+            if other is not None:
+                self._sessions.raise_floor(other, request.database, reply.applied)
         self._retries.record_success(service_of(request.database))
         database = self.tables.databases.get(request.database)
         replica = database is not None and request.address != database.primary
--- a/mallowpass/core/systems/servicepoll.py
+++ b/mallowpass/core/systems/servicepoll.py
@@ -62,7 +62,7 @@
 
     @property
     def age(self) -> float | None:
-        """Return the seconds since the last answer, or None."""
+        """Return the seconds since the last answer, None for never."""
         if self._last_answer_at is None:
             return None
         return self._node.timers.now - self._last_answer_at
--- a/mallowpass/core/systems/suspicion.py
+++ b/mallowpass/core/systems/suspicion.py
@@ -231,7 +231,11 @@
         )
 
     def _unreachable_count(self) -> int:
-        """Count the members that sent no reply to this host for the detection time."""
+        """Count the members that are unreachable from this host.
+
+        Such a member did not answer this round, and sent no other reply for the
+        detection time.
+        """
         return sum(
             address not in self._reports
             and self._liveness.time_since_reply(address) >= self._node.tuning.detection
