--- a/mallowpass/core/systems/changes.py
+++ b/mallowpass/core/systems/changes.py
@@ -236,11 +236,11 @@
             f"made from version {stated}, but version {current.version} {state}: "
             f"change {current.change_id!r} by {current.changed_by!r}"
         )
-        if not self._has_history(current):
+        if not self._history_covers_request(current):
             detail += "; this change may have been accepted too long ago to be recorded"
         self._finish(code, detail, current)
 
-    def _has_history(self, current: ServiceVersion) -> bool:
+    def _history_covers_request(self, current: ServiceVersion) -> bool:
         oldest = min((change.version for change in current.history), default=0)
         return self._request.from_version + 1 >= oldest
 
--- a/mallowpass/core/systems/connections.py
+++ b/mallowpass/core/systems/connections.py
@@ -18,7 +18,7 @@
 
 __all__ = ["EndpointPool", "BorrowedLoan", "BusyKeepAlive", "TimeoutTracker"]
 
-# Seconds. A timer that runs later than this shows that the host was paused.
+# Seconds. A timer that is late by more than this shows that the host was paused.
 PAUSE_THRESHOLD = 0.5
 HOLD_TIME_SMOOTHING = 0.1  # weight of a new measurement in the moving average
 LIFETIME_MARGIN = 0.5  # seconds of a connection's time to live that are left unused
--- a/mallowpass/core/systems/draining.py
+++ b/mallowpass/core/systems/draining.py
@@ -25,7 +25,9 @@
 __all__ = ["Draining"]
 
 CHECK_INTERVAL = 0.05  # seconds
-REDIRECT_TIME = 1.0  # seconds at least in which answers set go_elsewhere
+# Seconds in which answers set go_elsewhere, at least, unless the drain's limit is
+# shorter.
+REDIRECT_TIME = 1.0
 CLOSING_TIME = 0.2  # seconds in which new requests are refused before the exit
 LIMIT_MAX = 3_600.0  # seconds
 
--- a/mallowpass/core/systems/failover.py
+++ b/mallowpass/core/systems/failover.py
@@ -1,4 +1,4 @@
-"""Replacement of failed primaries, and switchover by an operator's order."""
+"""Replacement of failed primaries, and switchover to another member."""
 
 from __future__ import annotations
 
--- a/mallowpass/core/systems/groupview.py
+++ b/mallowpass/core/systems/groupview.py
@@ -73,7 +73,8 @@
     last_read_at: float = float("-inf")  # when this host last asked for positions
     primary_reported_at: float = float("-inf")  # the last report of row.term's primary
     activity_timer: Timer | None = None
-    is_blocked: bool = False  # the primary gets no writes, even if it reports
+    # No majority can hold the primary's writes, so it gets none, even if it reports.
+    is_blocked: bool = False
     minority_since: float | None = None  # since when no majority is reachable
     stall_timer: Timer | None = None
     is_stalled: bool = False  # writes wait, and the majority position is unchanged
--- a/mallowpass/core/systems/hostlist.py
+++ b/mallowpass/core/systems/hostlist.py
@@ -116,8 +116,8 @@
             self._add_host(_notice(host))
         elif row is not None and host.leaving and row.state is HostState.ALIVE:
             # A restarted host may still be listed with the entry from before its
-            # restart. If this host sent notices that it is leaving, it would have to
-            # refute them after every poll.
+            # restart. If it is not probed but reported to the fleet as leaving, it has
+            # to refute that after every poll.
             self._probe_unless_recent(row, LEAVING_CONTACT_AGE)
 
     def _check_absent(self, listed: dict[str, ListedHost]) -> None:
--- a/mallowpass/core/systems/opening.py
+++ b/mallowpass/core/systems/opening.py
@@ -165,7 +165,7 @@
         )
 
     def _lower_open_limit(self, pool: EndpointPool) -> None:
-        """Use no more connections than now, as the endpoint has reached its limit.
+        """Use no more connections than now for a while: the endpoint is at its limit.
 
         A host exceeds its share, or the connections of a failed host have not
         expired yet. Further attempts would take slots that belong to other hosts.
--- a/mallowpass/core/systems/stewards.py
+++ b/mallowpass/core/systems/stewards.py
@@ -31,7 +31,7 @@
         """Call a handler with the sender and each message of a type."""
 
     def broadcast(self, message: PeerMessage, exclude: str = "") -> None:
-        """Send a message to all linked hosts, except to the host it came from."""
+        """Send a message to all neighbours, except to the host it came from."""
 
 
 class Platform(Protocol):
