--- a/mallowpass/core/systems/opening.py
+++ b/mallowpass/core/systems/opening.py
@@ -11,9 +11,7 @@
 
 __all__ = ["OPENING_GRACE", "Opener"]
 
-# Connections to one endpoint that are being opened at the same time. More would flood
-# an endpoint that comes back while many requests wait.
-OPENING_MAX = 2
+OPENING_MAX = 2  # connections to one endpoint that are being opened at the same time
 # Seconds after its timeout within which an attempt to connect may still report.
 OPENING_GRACE = 1.0
 # Seconds between attempts to connect, before jitter; doubled with each failure.
@@ -167,7 +165,7 @@
         )
 
     def _lower_open_limit(self, pool: EndpointPool) -> None:
-        """Use no more connections than now, as the endpoint has reached its limit.
+        """Use no more connections than now for a while: the endpoint is at its limit.
 
         A host exceeds its share, or the connections of a failed host have not
         expired yet. Further attempts would take slots that belong to other hosts.
