--- a/tests/core/systems/test_busychecks.py
+++ b/tests/core/systems/test_busychecks.py
@@ -12,7 +12,7 @@
 from mallowpass.core.tables import RequestRow
 from tests.fakes.poolpath import CALL, PoolHost
 
-SLOW_STATEMENT_TIME = 25.0  # seconds, above `silence` and the time to live
+SLOW_STATEMENT_TIME = 25.0  # seconds; 2.5 times the time to live, 8 times `silence`
 
 
 def _host(is_supported: bool = True) -> PoolHost:
--- a/tests/core/systems/test_failover.py
+++ b/tests/core/systems/test_failover.py
@@ -453,8 +453,8 @@
     """A group never gets a primary.
 
     All members restart, in one case without the primary, and so do the hosts. The hosts
-    know no suspect and no member has received from a primary, so no silence can be
-    compared.
+    know no suspect, and no member has received from a primary. The silence of no
+    suspect, which is always 0 s, must not be compared in place of a member's report.
     """
     scene = Scene(systems=SYSTEMS)
     for name in "abc":
--- a/tests/core/systems/test_isolation.py
+++ b/tests/core/systems/test_isolation.py
@@ -143,7 +143,8 @@
 
     The isolated primary is blocked: hosts send it no writes. The primary's answers to
     probes are lost, but its answer to the call to promise arrives. A round of probes
-    without the primary's answer must not be taken for a crash of the primary.
+    without the primary's answer must not be taken for a crash of the primary, after
+    which all members are asked to promise.
     """
     scene = make_scene(hosts=1, between=0.012)
     isolate_primary(scene)
@@ -261,7 +262,7 @@
 @pytest.mark.parametrize("pause", [0.3, 0.34, 0.38])
 @pytest.mark.parametrize("between", [0.001, 0.012])
 def test_primary_that_resumes_is_not_taken_for_isolated(pause, between):
-    """A primary is replaced after a pause of about the detection time.
+    """A primary is replaced after a pause slightly below the detection time.
 
     The primary is paused until its members report silence, resumes, and answers the
     probe before it sends its next heartbeat. The silence of the pause must not count as
--- a/tests/core/systems/test_loans.py
+++ b/tests/core/systems/test_loans.py
@@ -37,7 +37,7 @@
 # Most draws of a fault affect no host: hosts that fail all the time lend nothing.
 AFFECTED_HOSTS = st.sampled_from([0, 1, 2, 3, *[None] * 8])
 TICK = 0.05  # seconds; also the duration of a statement
-LIMIT = 16  # connections: four for each of the four seats, two of which may be lent
+LIMIT = 16  # connections: four for each of the four seats, which may lend two each
 SEATS = [(domain.name, seat) for domain in DOMAINS for seat in range(domain.hosts)]
 
 
--- a/tests/core/systems/test_shares.py
+++ b/tests/core/systems/test_shares.py
@@ -31,8 +31,8 @@
 ):
     """An endpoint refuses a connection to a host within its share.
 
-    Each host computes its share by itself. The shares must not overlap because of
-    rounding, ties or a domain that is listed twice.
+    Each host computes its share by itself, from the same settings. The shares must not
+    overlap because of rounding, ties or a domain that is listed twice.
     """
     shares = _all_shares(limit, domains, address)
     if shares:
--- a/tests/core/systems/test_tokens.py
+++ b/tests/core/systems/test_tokens.py
@@ -24,8 +24,8 @@
 def test_changed_token_is_refused(floors, data):
     """A session reads from a replica that lacks the session's own writes.
 
-    A caller, or a fault in transit, lowers a floor in the token. Hosts have no other
-    source of a session's floors.
+    A caller, or a fault in transit, lowers a floor in the token. Only the token
+    states what the session must see on any host.
     """
     token = bytearray(encode_token(KEY, floors))
     index = data.draw(st.integers(0, len(token) - 1))
--- a/tests/core/systems/test_waitqueue.py
+++ b/tests/core/systems/test_waitqueue.py
@@ -59,8 +59,8 @@
 def test_classes_share_connection_time_not_the_number_of_requests():
     """A class of slow statements uses the connections most of the time.
 
-    The statements of that class take thirty times as long. Classes must not get equal
-    numbers of requests.
+    The statements of that class take thirty times as long. If weights applied to the
+    number of requests, the class would get most of the time even at a lower weight.
     """
     queue = WaitQueue({"caseworker": 1, "reconciliation": 1})
     for _ in range(200):
--- a/tests/core/systems/test_writes.py
+++ b/tests/core/systems/test_writes.py
@@ -137,7 +137,8 @@
     """A write runs twice after the primary was lost and found again.
 
     The look-up of attempt 1 is slow. A second look-up is answered first, attempt 2 is
-    sent and lost, then the first look-up returns that attempt 1 was not recorded.
+    sent and lost, then the first look-up returns that attempt 1 was not recorded. This
+    does not show whether attempt 2 ran.
     """
     path.write(1, "file")
     path.lose()
@@ -328,8 +329,8 @@
 def test_connection_granted_after_the_deadline_is_released(path):
     """A write that was answered NOT_RUN is recorded.
 
-    The pool grants a connection to the write just after the write's deadline. The write
-    must not be sent.
+    The pool grants a connection to the write just after the write's deadline, as it may
+    not know yet that the write no longer waits. The write must not be sent.
     """
     path.pooling.granting = False
     path.write(1, "file", deadline=1.0)
@@ -391,8 +392,8 @@
 def test_slow_write_is_not_fenced_while_its_connection_answers(path):
     """A long write never finishes, or is answered NOT_RUN.
 
-    The write takes eight times the usual latency. If it were fenced and sent again,
-    each attempt would be as slow as the first and would be fenced as well.
+    The write takes more than eight times the usual latency. If it were fenced and sent
+    again, each attempt would be as slow as the first and would be fenced as well.
     """
     path.pooling.answering = True
     path.write(1, "reconcile", deadline=60.0)
