--- a/tests/core/proxy/test_claims.py
+++ b/tests/core/proxy/test_claims.py
@@ -63,7 +63,7 @@
         ("host-1", "db-casa", (), False),  # an order may be sent at any moment
         ("host-1", "", (), False),
         ("host-1", "db-old", ("db-casa",), True),  # db-casa promoted under the claim
-        ("-", "db-new", (), False),  # made to replace the successor, then released
+        ("-", "db-new", (), False),  # names the successor, and was released
         ("host-1", "db-new", (), False),
         ("host-1", "db-old", ("db-casa", "db-new"), False),
         ("host-1", "db-old", ("db-new",), False),
--- a/tests/core/proxy/test_links.py
+++ b/tests/core/proxy/test_links.py
@@ -524,7 +524,7 @@
     """300 hosts with as many services were busy for their first seconds.
 
     Hundreds of endpoints register one after the other. For each endpoint, each host
-    chose the holders of all services again.
+    chose the holders of all services again among all hosts.
     """
     calls = []
 
--- a/tests/core/proxy/test_overload_switchover.py
+++ b/tests/core/proxy/test_overload_switchover.py
@@ -79,8 +79,8 @@
     """Guard against one in six statements being refused for forty seconds.
 
     Both replicas apply what they receive a minute late, and still do long after the
-    cause of the lag. The primary alone has too few slots for the reads. Without a
-    switchover, only time brings a replica up to date.
+    cause of the lag. The primary alone had half the slots that the reads needed.
+    Without a switchover, only time brings a replica up to date.
     """
     write_repeatedly(world)
     codes = read_repeatedly(world, READ_RATE)
--- a/tests/core/proxy/test_pending_orders.py
+++ b/tests/core/proxy/test_pending_orders.py
@@ -143,9 +143,9 @@
 def test_replica_that_restarts_while_an_order_is_pending_is_paused():
     """Guard against a promoted endpoint that lacks an acknowledged commit.
 
-    The return of the primary ends the attempt. A replica restarts before the order is
-    carried out, which ends its pause, and acknowledged commits that the target did not
-    receive in time.
+    The return of the primary ends the attempt. A replica joins, or restarts and so ends
+    its pause, before the order is carried out. The replica acknowledged commits that
+    the target did not receive in time.
     """
     world = world_with_promotion_time(1.0)
     world.crash(OLD)
--- a/tests/core/proxy/test_promotion.py
+++ b/tests/core/proxy/test_promotion.py
@@ -244,7 +244,7 @@
 
 
 def test_replica_without_commits_of_an_earlier_primary_is_not_promoted():
-    """Guard against the loss of acknowledged commits after a second replacement.
+    """Guard against the loss of two acknowledged commits in a second replacement.
 
     One replica receives nothing, and the other one acknowledges all commits and leads
     after the loss of the primary. Writes get no answer, since the only replica left
--- a/tests/core/proxy/test_replaced.py
+++ b/tests/core/proxy/test_replaced.py
@@ -116,7 +116,7 @@
 
 
 def test_a_holder_that_assumes_the_old_primary_proves_nothing_to_others():
-    """Guard against forwarded reads that lack commits acknowledged a second before.
+    """Guard against forwarded reads that lack commits acknowledged over 1 s before.
 
     The holder was cut off together with the old primary, which it still assumed to be
     the primary. It therefore refused, in the successor's name, statements that it
--- a/tests/core/proxy/test_resumption.py
+++ b/tests/core/proxy/test_resumption.py
@@ -35,11 +35,12 @@
 
 
 def test_replica_that_was_unreachable_is_resumed_later():
-    """Guard against one in six statements being refused for a day.
+    """Guard against one in six statements being refused for the rest of a day.
 
-    The replica that was paused for the comparison is unreachable for two seconds when
-    the target leads. The replica was ordered to resume once, without a check of the
-    outcome, and stayed paused also after a restart of all hosts.
+    The replica that was paused for the comparison is busy or unreachable for two
+    seconds when the target leads. After a planned replacement the replica was ordered
+    to resume once, without a check of the outcome, and stayed paused also after a
+    restart of all hosts.
     """
     world = ProxyWorld()
     keep_working(world)
