--- a/mallowpass/core/proxy/hosts.py
+++ b/mallowpass/core/proxy/hosts.py
@@ -69,7 +69,7 @@
             self.timers.after(pause, self._register)
 
     def _on_drain_began(self, signal: DrainBegan) -> None:
-        # If the entry stayed, connections would still be assigned to this host.
+        # If the entry stayed, connections would be assigned to this host for ever.
         self._store.call(ChangeRows(deletes=(self._key,)), self._on_deregistered)
 
     def _on_deregistered(self, reply: StoreReply) -> None:
--- a/mallowpass/core/proxy/idleconnections.py
+++ b/mallowpass/core/proxy/idleconnections.py
@@ -73,8 +73,9 @@
     def _return_to_holders(self, endpoint: EndpointRow) -> None:
         """Replace the direct connection of a host that was cut off from the holders.
 
-        The shares of the holders do not account for it. It is closed once a connection
-        through a holder is open.
+        The shares of the holders do not account for it: while it is open, the endpoint
+        may have no connection left for a holder. It is closed once a connection through
+        a holder is open.
         """
         for connection in list(endpoint.connections.values()):
             is_idle = connection.state is ConnectionState.IDLE
--- a/mallowpass/core/proxy/links.py
+++ b/mallowpass/core/proxy/links.py
@@ -327,7 +327,8 @@
         """Refuse the calls that wait for an endpoint that this host can't reach.
 
         After the code UNREACHABLE the other host tries another holder, which may reach
-        the endpoint. After the code BUSY it would try this host again.
+        the endpoint. After the code BUSY, or without a reply, it would wait for an
+        endpoint that this host can't reach.
         """
         endpoint = signal.endpoint
         if self._connections.can_reach(endpoint):
--- a/mallowpass/core/proxy/policy/placement.py
+++ b/mallowpass/core/proxy/policy/placement.py
@@ -1,10 +1,13 @@
 """Placement: the cost by which the endpoint that runs a statement is chosen.
 
+Several endpoints may be able to run a read, while one of them is slow, busy, far away,
+or the only one that can also run writes.
+
 The endpoint with the shortest expected response time is chosen, as estimated from its
 recent latency and its load. A fixed penalty in seconds stands for a longer distance,
-for the primary, which must keep room for writes, and for an endpoint that failed to
-serve the statement before. An endpoint without any measurement gets a default latency,
-so that it is tried.
+and for an endpoint that failed to serve the statement before. The primary, which must
+keep room for writes, counts as more loaded than it is. An endpoint without any
+measurement gets a default latency, so that it is tried.
 """
 
 from __future__ import annotations
--- a/mallowpass/core/proxy/transactions.py
+++ b/mallowpass/core/proxy/transactions.py
@@ -80,8 +80,9 @@
         self._attempts.attach(request, connection)
         connection.state = ConnectionState.PINNED
         request.transaction.has_proven_floor = floor is not None
-        # An endpoint accepts a transaction that may write only while it is primary, so
-        # a replaced primary that has stepped down refuses it.
+        # Without a floor, also a transaction that only reads is begun as one that may
+        # write. An endpoint accepts that only while it is primary: a replaced primary
+        # that has stepped down refuses it.
         read_only = floor is not None
         minimum = floor or self._floors.session_floor(request.session, request.route)
         call = EndpointCall(Begin(read_only), minimum=minimum)
@@ -195,7 +196,11 @@
     def _answer_if_proven(
         self, request: RequestRow, connection: ConnectionRow, reply: EndpointReply
     ) -> None:
-        """Answer a read once the primary is proven to be the only one."""
+        """Answer a read once the primary is proven to have been the only one.
+
+        The proof is for the time when the caller began the transaction, less the age
+        that the read accepts, or for a later time.
+        """
         self._attempts.watch_loss(request, connection)
 
         def on_proof(is_proven: bool) -> None:
