--- a/mallowpass/core/proxy/holders.py
+++ b/mallowpass/core/proxy/holders.py
@@ -216,8 +216,8 @@
         """Return a plan for the current endpoints; reuse the cached one if possible.
 
         Choosing holders takes time in proportion to the number of hosts. Repeated for
-        all services with each endpoint that registers, it would keep a host busy for
-        seconds when a fleet starts.
+        all services with each endpoint that registers, it would take all of a host's
+        processor time when a fleet starts.
         """
         statement_limit = self.statement_limit(service)
         if cached is None or cached.statement_limit != statement_limit:
--- a/mallowpass/core/proxy/policy/sharing.py
+++ b/mallowpass/core/proxy/policy/sharing.py
@@ -1,7 +1,7 @@
 """Divide the connections that each endpoint of a service accepts among the hosts.
 
 Connections are divided equally where each host gets at least two, and where an endpoint
-can run a statement of each host at once. With one connection, a host would delay all
+may have a statement of each host at once. With one connection, a host would delay all
 its statements while a transaction is open. In larger fleets a few hosts, the holders,
 open all connections, and the other hosts forward their statements to a holder. Each
 host computes the plan on its own, from the same host entries.
--- a/mallowpass/core/proxy/sampling.py
+++ b/mallowpass/core/proxy/sampling.py
@@ -31,7 +31,7 @@
 __all__ = ["Sampling"]
 
 # Seconds for the answer to a probe, the same as for the members' part of the proof. A
-# round trip between regions takes 0.1 s, and a probe may wait for a connection.
+# round trip between regions takes a tenth of it, and a probe may wait for a connection.
 ANSWER_TIMEOUT = 0.25
 FAILURE_BACKOFF = 0.5  # seconds without a probe after a failed one
 # Share of the accepted age beyond which the newest floor is replaced.
--- a/mallowpass/core/proxy/statements.py
+++ b/mallowpass/core/proxy/statements.py
@@ -278,5 +278,5 @@
     code: Code
     state: SessionState
     rows: tuple[bytes, ...] = ()
-    signature: str = ""  # of the endpoint that ran it; empty: it did not run
+    signature: str = ""  # of the endpoint that ran it; empty: no endpoint ran it
     message: str = ""
--- a/mallowpass/core/proxy/tables.py
+++ b/mallowpass/core/proxy/tables.py
@@ -377,7 +377,7 @@
     """All tables of a host, and the settings that its systems share."""
 
     first_start: bool = False  # the whole fleet starts for the first time
-    # The old primary stops accepting statements at the moment that its successor is
+    # The old primary loses the role of primary at the moment that its successor is
     # promoted.
     promotion_fences_primary: bool = False
     # Seconds after a disruption during which hosts may act on the state from before it.
