--- a/mallowpass/core/proxy/demotion.py
+++ b/mallowpass/core/proxy/demotion.py
@@ -35,7 +35,8 @@
 __all__ = ["Demotion"]
 
 # Seconds to wait for a primary's answer. An unreachable primary never answers, and the
-# successor's writes wait meanwhile; a round trip between regions takes 0.1 s.
+# successor's writes wait meanwhile; a round trip between regions takes a tenth of it
+# at most.
 ANSWER_TIMEOUT = 0.5
 # Seconds after which other hosts are asked to forward the order as well.
 FORWARD_DELAY = 0.1
--- a/mallowpass/core/proxy/leadership.py
+++ b/mallowpass/core/proxy/leadership.py
@@ -46,9 +46,9 @@
 
 __all__ = ["LEADERSHIP_UNPROVEN", "Leadership", "ProofHandler"]
 
-# Seconds within which a member must answer; a round trip between regions takes 0.1 s.
-# If a member does not answer, the newest claim is read from the store afterwards, and
-# statements wait for both.
+# Seconds within which a member must answer; a round trip between regions takes a
+# tenth of it. If a member does not answer, the newest claim is read from the store
+# afterwards, and statements wait for both.
 MEMBER_TIMEOUT = 0.25
 # A list of members that is at most this many seconds old names each endpoint that may
 # be primary: when an endpoint is promoted, its entry in the store is older than this.
--- a/mallowpass/core/proxy/primaryconflicts.py
+++ b/mallowpass/core/proxy/primaryconflicts.py
@@ -23,7 +23,7 @@
 
 __all__ = ["PrimaryConflicts", "PrimaryHandler"]
 
-# Seconds for one statement; a round trip between regions takes 0.1 s.
+# Seconds for one statement; a round trip between regions takes a tenth of it.
 REPLY_TIMEOUT = 0.25
 
 # Called with the name of the endpoint that is primary, empty if that is unknown.
